--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -8,112 +8,117 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Advice is what the configuration says about a queue whose policy decides
-// which workers may run a step. Only a service outside knows the policy.
+// Advice describes the placement policy of a queue: an external service decides which workers
+// may run a step, and has to be asked.
 type Advice struct {
-	// Decision is how long one question takes, PerWorker how much more each worker named.
+	// Decision is how long the service takes to answer a question; PerWorker is added for each
+	// worker that the question names.
 	Decision, PerWorker time.Duration
 }
 
-// Limits of questions.
+// Limits and delays of questions to the placement policy service.
 const (
-	// mostNamed is how many workers one question names; callers' objectives
-	// count one question about 30 workers a step.
-	mostNamed = 30
-	// mostAsked is how many questions one asker has open: the service handles
-	// one at a time for each asking machine.
-	mostAsked = 2
-	// answerMargin is how much longer than stated an answer may take.
-	answerMargin = 1500 * time.Millisecond
-	// askAgainAfter is the delay after a question that was refused or not answered.
-	askAgainAfter = 150 * time.Millisecond
-	// avoidAsker is how long a worker whose question was not answered gets no other.
-	avoidAsker = 2 * time.Second
-	// ticketSlack is kept of a ticket's time for the way of a start to its runner.
-	ticketSlack = 200 * time.Millisecond
-	// askBefore is how much earlier than necessary a question is asked.
-	askBefore = 100 * time.Millisecond
-	// silentLong is after which silence the tasks that last at a worker are
-	// taken to need another one soon: a second before they must have ended.
-	silentLong = 4 * time.Second
+	// maxNamedWorkers is how many workers one question names; the latency objectives of callers
+	// include one question about 30 workers for each step.
+	maxNamedWorkers = 30
+	// maxOpenQuestions bounds the open questions of one asker: the service handles one at a
+	// time for each asking machine.
+	maxOpenQuestions = 2
+	// answerTimeoutMargin is how much longer than configured an answer may take.
+	answerTimeoutMargin = 1500 * time.Millisecond
+	// questionRetryDelay is the delay before asking again after a question was refused or not
+	// answered.
+	questionRetryDelay = 150 * time.Millisecond
+	// askerBackoff is how long an asker gets no further question after one was not answered in
+	// time.
+	askerBackoff = 2 * time.Second
+	// ticketSafetyMargin is subtracted from a ticket's validity: a start order takes time to
+	// reach the runner.
+	ticketSafetyMargin = 200 * time.Millisecond
+	// questionLeadTime is how much earlier than necessary a question is asked.
+	questionLeadTime = 100 * time.Millisecond
+	// replacementSilence is how long a worker is silent before its long-running tasks are
+	// expected to need another worker: one second less than its lease.
+	replacementSilence = 4 * time.Second
 )
 
-func (a *Advice) takes(workers int) time.Duration {
+func (a *Advice) expectedDuration(workers int) time.Duration {
 	return a.Decision + time.Duration(workers)*a.PerWorker
 }
 
-// Question asks which workers may run a step.
+// Question asks the placement policy service which workers may run a step.
 type Question struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Asker is the worker whose agent asks.
+	// Asker is the worker whose agent sends the question.
 	Asker string          `cbor:"-"`
 	Step  workflow.StepID `cbor:"2,keyasint"`
-	// Instances are the runners' names of their present lives.
+	// Instances are the instance IDs of the runners of the workers in question.
 	Instances []string `cbor:"3,keyasint"`
 	// Timeout is how long the answer may take, in nanoseconds on the wire.
 	Timeout time.Duration `cbor:"4,keyasint"`
 }
 
-// question is a question that has not been answered.
-type question struct {
+// openQuestion is a question that has not been answered.
+type openQuestion struct {
 	step  *stepState
-	asker *host
-	// named are the lives of the workers that the question names.
-	named map[*host]uint64
-	until time.Time
+	asker *workerState
+	// lives are the workers that the question names, with the lives of their runners at that
+	// time.
+	lives     map[*workerState]uint64
+	expiresAt time.Time
 }
 
-// ruling is what is known about one life of a worker.
-type ruling struct {
-	life    uint64
-	allowed bool
-	ticket  string
-	until   time.Time
+// permission is the answer of the placement policy service for one life of a worker's runner.
+type permission struct {
+	life      uint64
+	allowed   bool
+	ticket    string
+	expiresAt time.Time
 }
 
-// rulings are what a step knows of the workers that may run it.
-type rulings struct {
-	of map[*host]ruling
-	// asked is set while a question is open, notBefore delays the next.
-	asked     bool
-	notBefore time.Time
+// stepPermissions are the permissions of a step.
+type stepPermissions struct {
+	byWorker map[*workerState]permission
+	// questionOpen is set while a question is open; no question is asked before nextQuestionAt.
+	questionOpen   bool
+	nextQuestionAt time.Time
 }
 
-// ticket returns what a start of the step at a worker must carry.
-func (s *stepState) ticket(h *host) string { return s.rulings.of[h].ticket }
+// ticket returns the ticket that an order to start the step at a worker has to carry.
+func (s *stepState) ticket(w *workerState) string { return s.permissions.byWorker[w].ticket }
 
-// ruled reports whether the policy of the step's queue lets a worker run it.
-func (s *stepState) ruled(now time.Time, q *Queue, h *host) bool {
-	r := s.rulings.of[h]
-	return q.Advice == nil || r.life == h.life && r.allowed && now.Before(r.until)
+// permitted reports whether the placement policy of the step's queue lets a worker run it.
+func (s *stepState) permitted(now time.Time, q *Queue, w *workerState) bool {
+	p := s.permissions.byWorker[w]
+	return q.Advice == nil || p.life == w.life && p.allowed && now.Before(p.expiresAt)
 }
 
-// consult asks for advice that is needed now or soon, in the order of the line.
-func (b *Board) consult(now time.Time, o *Orders) {
-	b.forgetUnanswered(now)
-	if !b.advised {
+// askQuestions asks about steps that need permissions now or soon, the most urgent first.
+func (sc *Board) askQuestions(now time.Time, o *Orders) {
+	sc.expireQuestions(now)
+	if !sc.anyPolicy {
 		return
 	}
 	var steps []*stepState
-	for _, j := range b.jobs {
-		if q := b.queues[j.sub.Queue]; q.Advice != nil && !j.phase.Ended() {
-			steps = b.unadvised(now, j, &q, steps)
+	for _, j := range sc.jobs {
+		if q := sc.queues[j.submission.Queue]; q.Advice != nil && !j.phase.Ended() {
+			steps = sc.appendStepsToAsk(now, j, &q, steps)
 		}
 	}
-	for _, s := range b.inOrder(now, steps) {
-		asker := b.asker(now)
+	for _, s := range sc.sortByUrgency(now, steps) {
+		asker := sc.chooseAsker(now)
 		if asker == nil {
 			return
 		}
-		b.ask(now, s, asker, o)
+		sc.ask(now, s, asker, o)
 	}
 }
 
-// unadvised appends the steps of a job that need advice now or soon.
-func (b *Board) unadvised(now time.Time, j *jobState, q *Queue, steps []*stepState) []*stepState {
-	for _, o := range j.occs {
+// appendStepsToAsk appends the steps of a job that need permissions now or soon.
+func (sc *Board) appendStepsToAsk(now time.Time, j *jobState, q *Queue, steps []*stepState) []*stepState {
+	for _, o := range j.occurrences {
 		for _, s := range o.steps {
-			if !s.closed && !s.rulings.asked && !now.Before(s.rulings.notBefore) && s.needsAdvice(now, q) && b.canLearn(now, s, q) {
+			if !s.closed && !s.permissions.questionOpen && !now.Before(s.permissions.nextQuestionAt) && s.placesSoon(now, q) && sc.questionHelps(now, s, q) {
 				steps = append(steps, s)
 			}
 		}
@@ -121,25 +126,26 @@
 	return steps
 }
 
-// needsAdvice reports whether tasks of the step are to be placed within the
-// time that a question takes.
-func (s *stepState) needsAdvice(now time.Time, q *Queue) bool {
-	lead := q.Advice.takes(mostNamed) + askBefore
-	return s.open && s.waiting > 0 || !s.open && s.opensWithin(now, lead) || s.spec.Lasts && s.losesSoon(now)
+// placesSoon reports whether tasks of the step are likely to be placed before a question asked
+// now would be answered.
+func (s *stepState) placesSoon(now time.Time, q *Queue) bool {
+	lead := q.Advice.expectedDuration(maxNamedWorkers) + questionLeadTime
+	return s.open && s.waitingTasks > 0 || !s.open && s.opensWithin(now, lead) || s.spec.Lasts && s.losesWorkerSoon(now)
 }
 
-// opensWithin reports whether all earlier steps are expected to be done within d.
+// opensWithin reports whether all steps that this one depends on are expected to be done within
+// d.
 func (s *stepState) opensWithin(now time.Time, d time.Duration) bool {
-	for _, a := range s.spec.After {
-		e := s.occ.steps[a]
-		if e.done == len(e.tasks) {
+	for _, index := range s.spec.After {
+		dependency := s.occurrence.steps[index]
+		if dependency.doneTasks == len(dependency.tasks) {
 			continue
 		}
-		if !e.open || e.waiting > 0 {
+		if !dependency.open || dependency.waitingTasks > 0 {
 			return false
 		}
-		for i := range e.tasks {
-			if t := &e.tasks[i]; !t.done && len(t.runs) > 0 && t.runs[0].left(now) > d {
+		for i := range dependency.tasks {
+			if t := &dependency.tasks[i]; !t.done && len(t.runs) > 0 && t.runs[0].remaining(now) > d {
 				return false
 			}
 		}
@@ -147,12 +153,11 @@
 	return true
 }
 
-// losesSoon reports whether tasks at a worker that is not heard any more are
-// about to be started elsewhere.
-func (s *stepState) losesSoon(now time.Time) bool {
+// losesWorkerSoon reports whether tasks at a silent worker are about to be started elsewhere.
+func (s *stepState) losesWorkerSoon(now time.Time) bool {
 	for i := range s.tasks {
 		for _, r := range s.tasks[i].runs {
-			if r.host.silent && now.Sub(r.host.heard) > silentLong {
+			if r.worker.silent && now.Sub(r.worker.lastContact) > replacementSilence {
 				return true
 			}
 		}
@@ -160,150 +165,152 @@
 	return false
 }
 
-// canLearn reports whether a question about a step would help: there is a
-// worker to name, and no ticket is fresh or those that are have no room while
+// questionHelps reports whether a question about a step would help: there is a worker to name,
+// and either no permission stays valid long enough, or no permitted worker has room while
 // another worker has.
-func (b *Board) canLearn(now time.Time, s *stepState, q *Queue) bool {
-	later := now.Add(q.Advice.takes(mostNamed) + askBefore)
-	named, fresh, roomy, other := false, false, false, false
-	for _, h := range b.workers {
-		if !b.usable(now, s, q, h) || s.denied(h) {
+func (sc *Board) questionHelps(now time.Time, s *stepState, q *Queue) bool {
+	answeredAt := now.Add(q.Advice.expectedDuration(maxNamedWorkers) + questionLeadTime)
+	candidate, permitted, permittedWithRoom, otherWithRoom := false, false, false, false
+	for _, w := range sc.workers {
+		if !sc.suitable(now, s, q, w) || s.denied(w) {
 			continue
 		}
-		named = true
-		room := s.spec.Reserved().Fits(h.free())
-		if s.ruled(later, q, h) {
-			fresh = true
-			roomy = roomy || room
+		candidate = true
+		room := s.spec.Reserved().Fits(w.free())
+		if s.permitted(answeredAt, q, w) {
+			permitted = true
+			permittedWithRoom = permittedWithRoom || room
 		} else {
-			other = other || room
+			otherWithRoom = otherWithRoom || room
 		}
 	}
-	return named && (!fresh || !roomy && other)
+	return candidate && (!permitted || !permittedWithRoom && otherWithRoom)
 }
 
-// denied reports whether a worker is known not to be allowed; that does not change.
-func (s *stepState) denied(h *host) bool {
-	r, ok := s.rulings.of[h]
-	return ok && r.life == h.life && !r.allowed
+// denied reports whether the policy has denied a worker. A denial is final for the life of its
+// runner.
+func (s *stepState) denied(w *workerState) bool {
+	p, ok := s.permissions.byWorker[w]
+	return ok && p.life == w.life && !p.allowed
 }
 
-// asker returns the worker whose agent asks the next question, or nil.
-func (b *Board) asker(now time.Time) *host {
-	var best *host
-	for _, h := range b.workers {
-		if h.silent || h.lapsed || h.life == 0 || h.asking >= mostAsked || now.Before(h.asksAfter) {
+// chooseAsker returns the worker whose agent sends the next question, or nil.
+func (sc *Board) chooseAsker(now time.Time) *workerState {
+	var best *workerState
+	for _, w := range sc.workers {
+		if w.silent || w.leaseExpired || w.life == 0 || w.openQuestions >= maxOpenQuestions || now.Before(w.nextQuestionAt) {
 			continue
 		}
-		if best == nil || h.asking < best.asking || h.asking == best.asking && h.name < best.name {
-			best = h
+		if best == nil || w.openQuestions < best.openQuestions || w.openQuestions == best.openQuestions && w.name < best.name {
+			best = w
 		}
 	}
 	return best
 }
 
 // ask orders a question about a step.
-func (b *Board) ask(now time.Time, s *stepState, asker *host, o *Orders) {
-	q := b.queues[s.occ.job.sub.Queue]
-	named := b.named(now, s, &q)
+func (sc *Board) ask(now time.Time, s *stepState, asker *workerState, o *Orders) {
+	q := sc.queues[s.occurrence.job.submission.Queue]
+	named := sc.workersToName(now, s, &q)
 	if len(named) == 0 {
 		return
 	}
-	b.asked++
-	timeout := mostAsked*q.Advice.takes(len(named)) + answerMargin
-	open := &question{step: s, asker: asker, named: make(map[*host]uint64, len(named)), until: now.Add(timeout)}
-	out := Question{Seq: b.asked, Asker: asker.name, Step: s.stepID(), Timeout: timeout}
-	for _, h := range named {
-		open.named[h] = h.life
-		out.Instances = append(out.Instances, h.instance)
+	sc.lastQuestion++
+	timeout := maxOpenQuestions*q.Advice.expectedDuration(len(named)) + answerTimeoutMargin
+	open := &openQuestion{step: s, asker: asker, lives: make(map[*workerState]uint64, len(named)), expiresAt: now.Add(timeout)}
+	out := Question{Seq: sc.lastQuestion, Asker: asker.name, Step: s.stepID(), Timeout: timeout}
+	for _, w := range named {
+		open.lives[w] = w.life
+		out.Instances = append(out.Instances, w.instance)
 	}
-	b.questions[b.asked] = open
-	asker.asking++
-	s.rulings.asked = true
+	sc.openQuestions[sc.lastQuestion] = open
+	asker.openQuestions++
+	s.permissions.questionOpen = true
 	o.questions = append(o.questions, out)
 }
 
-// named returns the workers that a question about a step names: those that may
-// be allowed, the best ones first.
-func (b *Board) named(now time.Time, s *stepState, q *Queue) []*host {
+// workersToName returns the workers that a question about a step names: those not known to be
+// denied, those with room first, then by score.
+func (sc *Board) workersToName(now time.Time, s *stepState, q *Queue) []*workerState {
 	type rated struct {
-		host  *host
-		full  bool
-		score float64
+		worker *workerState
+		full   bool
+		score  float64
 	}
 	var all []rated
-	for _, h := range b.workers {
-		if b.usable(now, s, q, h) && !s.denied(h) && h.instance != "" {
-			all = append(all, rated{h, !s.spec.Reserved().Fits(h.free()), b.score(s, &s.tasks[0], h)})
+	for _, w := range sc.workers {
+		if sc.suitable(now, s, q, w) && !s.denied(w) && w.instance != "" {
+			all = append(all, rated{w, !s.spec.Reserved().Fits(w.free()), sc.score(s, &s.tasks[0], w)})
 		}
 	}
 	slices.SortFunc(all, func(x, y rated) int {
-		return cmp.Or(compareBool(x.full, y.full), cmp.Compare(x.score, y.score), cmp.Compare(x.host.name, y.host.name))
+		return cmp.Or(compareBool(x.full, y.full), cmp.Compare(x.score, y.score), cmp.Compare(x.worker.name, y.worker.name))
 	})
-	out := make([]*host, 0, mostNamed)
-	for i := range all[:min(len(all), mostNamed)] {
-		out = append(out, all[i].host)
+	out := make([]*workerState, 0, maxNamedWorkers)
+	for i := range all[:min(len(all), maxNamedWorkers)] {
+		out = append(out, all[i].worker)
 	}
 	return out
 }
 
-// forgetUnanswered gives up questions that were not answered in time.
-func (b *Board) forgetUnanswered(now time.Time) {
-	for seq, open := range b.questions {
-		if now.After(open.until) {
-			open.asker.asksAfter = now.Add(avoidAsker)
-			b.closeQuestion(now, seq, askAgainAfter)
+// expireQuestions gives up questions that were not answered in time.
+func (sc *Board) expireQuestions(now time.Time) {
+	for seq, open := range sc.openQuestions {
+		if now.After(open.expiresAt) {
+			open.asker.nextQuestionAt = now.Add(askerBackoff)
+			sc.closeQuestion(now, seq, questionRetryDelay)
 		}
 	}
 }
 
-func (b *Board) closeQuestion(now time.Time, seq uint64, delay time.Duration) {
-	open := b.questions[seq]
-	delete(b.questions, seq)
-	open.asker.asking--
-	open.step.rulings.asked = false
-	open.step.rulings.notBefore = now.Add(delay)
+func (sc *Board) closeQuestion(now time.Time, seq uint64, delay time.Duration) {
+	open := sc.openQuestions[seq]
+	delete(sc.openQuestions, seq)
+	open.asker.openQuestions--
+	open.step.permissions.questionOpen = false
+	open.step.permissions.nextQuestionAt = now.Add(delay)
 }
 
-// Advised takes in the answer to a question: the tickets of the workers that
-// are allowed, by instance, and how long they are valid. It returns the step, or
-// false if the question was given up.
-func (b *Board) Advised(now time.Time, seq uint64, tickets map[string]string, valid time.Duration) (workflow.StepID, bool) {
-	open := b.questions[seq]
+// Advised records the answer to a question: the tickets of the permitted workers by runner
+// instance, and how long they are valid. It returns the step, or false if the question has
+// expired.
+func (sc *Board) Advised(now time.Time, seq uint64, tickets map[string]string, valid time.Duration) (workflow.StepID, bool) {
+	open := sc.openQuestions[seq]
 	if open == nil {
 		return workflow.StepID{}, false
 	}
-	b.closeQuestion(now, seq, 0)
+	sc.closeQuestion(now, seq, 0)
 	s := open.step
-	if s.rulings.of == nil {
-		s.rulings.of = make(map[*host]ruling)
+	if s.permissions.byWorker == nil {
+		s.permissions.byWorker = make(map[*workerState]permission)
 	}
-	for h, life := range open.named {
-		if h.life != life {
+	for w, life := range open.lives {
+		if w.life != life {
 			continue
 		}
-		ticket, allowed := tickets[h.instance]
-		s.rulings.of[h] = ruling{life: life, allowed: allowed, ticket: ticket, until: now.Add(valid - ticketSlack)}
+		ticket, allowed := tickets[w.instance]
+		s.permissions.byWorker[w] = permission{life: life, allowed: allowed, ticket: ticket, expiresAt: now.Add(valid - ticketSafetyMargin)}
 	}
 	return s.stepID(), true
 }
 
-// NotAdvised notes that a question was refused or not answered. It returns the
-// step, or false if the question was given up.
-func (b *Board) NotAdvised(now time.Time, seq uint64) (workflow.StepID, bool) {
-	open := b.questions[seq]
+// NotAdvised records that a question was refused or not answered. It returns the step, or false
+// if the question has expired.
+func (sc *Board) NotAdvised(now time.Time, seq uint64) (workflow.StepID, bool) {
+	open := sc.openQuestions[seq]
 	if open == nil {
 		return workflow.StepID{}, false
 	}
-	b.closeQuestion(now, seq, askAgainAfter)
+	sc.closeQuestion(now, seq, questionRetryDelay)
 	return open.step.stepID(), true
 }
 
-// Unticketed notes that a runner did not accept a task's ticket.
-func (b *Board) Unticketed(worker string, task workflow.TaskID) {
-	s, _ := b.task(task)
-	h := b.workers[worker]
-	if s != nil && h != nil {
-		delete(s.rulings.of, h)
+// Unticketed records that a runner rejected the ticket of a task, so that a new one is
+// requested.
+func (sc *Board) Unticketed(worker string, task workflow.TaskID) {
+	s, _ := sc.task(task)
+	w := sc.workers[worker]
+	if s != nil && w != nil {
+		delete(s.permissions.byWorker, w)
 	}
 }
--- a/pkg/dispatch/board.go
+++ b/pkg/dispatch/board.go
@@ -1,9 +1,8 @@
-// Package dispatch decides which worker runs which task: it holds the waiting
-// and running tasks of all jobs, the workers and what they run, and returns
-// orders to start and stop tasks.
+// Package dispatch decides which worker runs which task. It holds the waiting and running tasks
+// of all jobs and the state of the workers, and returns orders to start and stop tasks.
 //
-// It does no I/O. The present time is an argument: now on a clock that goes on
-// while the machine is suspended, wall times in Unix milliseconds.
+// It does no I/O. The current time is an argument: now is on a clock that also advances while
+// the machine is suspended, wall-clock times are Unix milliseconds.
 package dispatch
 
 import (
@@ -13,151 +12,161 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Queue is what the configuration says about a queue of jobs.
+// Queue is the configuration of a queue of jobs.
 type Queue struct {
 	Service string
-	// Priority 0 comes first and may preempt others.
+	// Priority 0 is the highest; long-running tasks may preempt tasks of lower priority.
 	Priority int
-	// Attempts is how many runs of a task may fail.
+	// Attempts is the number of failed runs of a task after which its job fails; 0 means no
+	// limit.
 	Attempts int
-	// Stretch and Target make the latency objective of a job: Stretch times
-	// its longest chain of work, and Target more.
+	// Stretch and Target set the latency objective of a job: its critical path times the
+	// stretch, plus the target latency.
 	Stretch float64
 	Target  time.Duration
-	// Advice is set if only some workers may run a step, and which ones must be asked.
+	// Advice is set if an external service decides which workers may run a step.
 	Advice *Advice
 }
 
 // Board holds the jobs and workers of one dispatcher. The zero value is empty.
 type Board struct {
 	queues  map[string]Queue
-	workers map[string]*host
+	workers map[string]*workerState
 	jobs    map[string]*jobState
-	// runBase is added to run numbers, so that they rise over terms.
-	runBase uint64
-	// unheard are workers that may run tasks started before this term.
-	unheard map[string]bool
-	// ready are steps that have waiting tasks.
-	ready map[*stepState]struct{}
-	dirty map[*jobState]struct{}
-	notes map[string]noted
-	// urgent is set if a dirty job has ended.
-	urgent bool
-	stops  []Stop
-	lost   []Lost
-	spread float64
-	// shares are what filling images may use beside serving ones.
-	shares map[pair]float64
-	// advised is set if a queue needs advice; questions are those without an answer.
-	advised   bool
-	questions map[uint64]*question
-	asked     uint64
-	// unknowns are the workers that list something of jobs that are not known.
-	unknowns map[*host]struct{}
+	// runNumberBase is added to run numbers, so that they increase from term to term.
+	runNumberBase uint64
+	// unreported are workers that may run tasks started before this term and have not reported
+	// in it.
+	unreported map[string]bool
+	// readySteps are open steps with waiting tasks.
+	readySteps map[*stepState]struct{}
+	// changedJobs are jobs whose progress has to be stored.
+	changedJobs map[*jobState]struct{}
+	// acks are the ends, by worker, that have been processed and not yet acknowledged.
+	acks map[string]ackPosition
+	// jobEnded is set if one of changedJobs has ended.
+	jobEnded           bool
+	stops              []Stop
+	lost               []Lost
+	remoteRackSlowdown float64
+	// shareLimits are the fractions of a worker's processors that best-effort images may use
+	// next to serving images.
+	shareLimits map[imagePair]float64
+	// anyPolicy is set if a queue has a placement policy; openQuestions are those without an
+	// answer.
+	anyPolicy     bool
+	openQuestions map[uint64]*openQuestion
+	lastQuestion  uint64
+	// workersWithUnknownJobs are the workers that list runs or ends of jobs that are not known.
+	workersWithUnknownJobs map[*workerState]struct{}
 }
 
-// noted is up to which end a worker's list has been taken in.
-type noted struct {
+// ackPosition is the number of the last end processed, in one life of a worker's runner.
+type ackPosition struct {
 	life uint64
 	end  uint64
 }
 
-// Runs per term: a task that is started more often in one term is not expected.
+// runsPerTerm is the distance between the run numbers of two terms: no task is expected to be
+// started more often in one term.
 const runsPerTerm = 1000
 
-// Begin starts a term. Jobs that are admitted as old may run at one of the
-// workers named, until each has reported or lapsed.
-func (b *Board) Begin(term uint64, workers []string) {
-	*b = Board{queues: b.queues, advised: b.advised, spread: b.spread, shares: make(map[pair]float64), questions: make(map[uint64]*question)}
-	b.workers = make(map[string]*host)
-	b.jobs = make(map[string]*jobState)
-	b.unheard = make(map[string]bool)
-	b.ready = make(map[*stepState]struct{})
-	b.dirty = make(map[*jobState]struct{})
-	b.notes = make(map[string]noted)
-	b.unknowns = make(map[*host]struct{})
+// Begin starts a term. Jobs from earlier terms may still run at one of the given workers,
+// until each has reported or its lease has expired.
+func (sc *Board) Begin(term uint64, workers []string) {
+	*sc = Board{queues: sc.queues, anyPolicy: sc.anyPolicy, remoteRackSlowdown: sc.remoteRackSlowdown, shareLimits: make(map[imagePair]float64), openQuestions: make(map[uint64]*openQuestion)}
+	sc.workers = make(map[string]*workerState)
+	sc.jobs = make(map[string]*jobState)
+	sc.unreported = make(map[string]bool)
+	sc.readySteps = make(map[*stepState]struct{})
+	sc.changedJobs = make(map[*jobState]struct{})
+	sc.acks = make(map[string]ackPosition)
+	sc.workersWithUnknownJobs = make(map[*workerState]struct{})
 	if term > 1 {
-		b.runBase = (term - 1) * runsPerTerm
+		sc.runNumberBase = (term - 1) * runsPerTerm
 	}
-	for _, w := range workers {
-		b.unheard[w] = true
+	for _, name := range workers {
+		sc.unreported[name] = true
 	}
 }
 
 // SetQueues replaces the queues.
-func (b *Board) SetQueues(queues map[string]Queue) {
-	b.queues = queues
-	b.advised = false
+func (sc *Board) SetQueues(queues map[string]Queue) {
+	sc.queues = queues
+	sc.anyPolicy = false
 	for _, q := range queues {
-		b.advised = b.advised || q.Advice != nil
+		sc.anyPolicy = sc.anyPolicy || q.Advice != nil
 	}
 }
 
-// SetSpread sets how much longer a task takes away from its data.
-func (b *Board) SetSpread(factor float64) { b.spread = factor }
+// SetSpread sets the factor by which a task takes longer on another rack than that of its data.
+func (sc *Board) SetSpread(factor float64) { sc.remoteRackSlowdown = factor }
 
-// Unheard returns the workers that may still run tasks of an earlier term.
-func (b *Board) Unheard() int { return len(b.unheard) }
+// Unheard returns the number of workers that may still run tasks of an earlier term.
+func (sc *Board) Unheard() int { return len(sc.unreported) }
 
-// Settle notes that nothing of an earlier term can run any more.
-func (b *Board) Settle() { clear(b.unheard) }
+// Settle records that nothing of an earlier term can run any more.
+func (sc *Board) Settle() { clear(sc.unreported) }
 
 type jobState struct {
-	sub      *workflow.Submission
-	accepted time.Time
-	phase    workflow.Phase
-	endedMS  int64
-	begun    bool
-	// old jobs were accepted before this term.
-	old  bool
-	occs map[int]*occurrence
-	// next is the first occurrence that has not been created yet.
-	next     int
-	doneOccs int
-	// restored is progress from the store, until its occurrence is created.
-	restored *workflow.Progress
+	submission *workflow.Submission
+	acceptedAt time.Time
+	phase      workflow.Phase
+	endedMS    int64
+	started    bool
+	// fromEarlierTerm is set if the job was accepted before this term, so that another
+	// dispatcher may have started it.
+	fromEarlierTerm bool
+	occurrences     map[int]*occurrence
+	// nextOccurrence is the first occurrence that has not been created yet.
+	nextOccurrence  int
+	doneOccurrences int
+	// storedProgress is progress from the store that is applied when an occurrence is created.
+	storedProgress *workflow.Progress
 }
 
 type occurrence struct {
-	job   *jobState
-	k     int
-	began time.Time
-	steps []*stepState
-	done  int
+	job       *jobState
+	index     int
+	startedAt time.Time
+	steps     []*stepState
+	doneSteps int
 }
 
 type stepState struct {
-	occ   *occurrence
-	index int
-	spec  *workflow.Step
-	tasks []taskState
-	done  int
-	// waiting counts tasks that have no run and are not done.
-	waiting int
-	// open is set once all earlier steps are done, closed once all its tasks are.
+	occurrence *occurrence
+	index      int
+	spec       *workflow.Step
+	tasks      []taskState
+	doneTasks  int
+	// waitingTasks counts tasks that have no run and are not done.
+	waitingTasks int
+	// open is set once all steps that this one depends on are done, closed once all its tasks
+	// are.
 	open, closed bool
-	// perWorker counts live runs by worker, for steps that bound them.
-	perWorker map[string]int
-	// tail is the longest chain of work from the start of this step on, in milliseconds.
-	tail    int64
-	rulings rulings
+	// runsPerWorker counts live runs by worker, for steps that limit them.
+	runsPerWorker map[string]int
+	// criticalPathMS is the longest chain of estimated work from the start of this step to the
+	// end of the job, in milliseconds.
+	criticalPathMS int64
+	permissions    stepPermissions
 }
 
 type taskState struct {
 	done bool
-	// failed holds the numbers of the runs that failed.
-	failed []uint64
-	saved  string
-	// lastRun is the highest run number known.
-	lastRun uint64
-	runs    []*run
-	// after is when the task may be started again.
-	after time.Time
-	// freed is since when the task has had no run.
-	freed time.Time
-	// avoid is the worker where the last run failed.
-	avoid string
-	// stalls counts runs that were stopped because they stood still.
+	// failedRuns holds the numbers of the runs that failed.
+	failedRuns []uint64
+	checkpoint string
+	// lastRunNumber is the highest run number known.
+	lastRunNumber uint64
+	runs          []*run
+	// notBefore is the earliest time at which the task may be started again.
+	notBefore time.Time
+	// waitingSince is the time since which the task has had no run.
+	waitingSince time.Time
+	// failedWorker is the worker where the last run failed.
+	failedWorker string
+	// stalls counts runs that were stopped because they made no progress.
 	stalls int
 }
 
@@ -165,32 +174,33 @@
 
 const (
 	runOrdered runPhase = iota
-	runWorking
+	runRunning
 	runStopping
 )
 
 type run struct {
-	step    *stepState
-	id      workflow.TaskID
-	number  uint64
-	host    *host
-	phase   runPhase
-	since   time.Time
-	percent int
-	moved   time.Time
-	reading float64
-	saved   string
-	stopped time.Time
-	reason  string
+	step         *stepState
+	id           workflow.TaskID
+	number       uint64
+	worker       *workerState
+	phase        runPhase
+	orderedAt    time.Time
+	percent      int
+	progressedAt time.Time
+	// reading is the newest reading that the worker has reported.
+	reading       float64
+	checkpoint    string
+	stopOrderedAt time.Time
+	stopReason    string
 }
 
 // task returns the state of a task, or nil if the job, occurrence or step is not known.
-func (b *Board) task(id workflow.TaskID) (*stepState, *taskState) {
-	j := b.jobs[id.Job]
+func (sc *Board) task(id workflow.TaskID) (*stepState, *taskState) {
+	j := sc.jobs[id.Job]
 	if j == nil {
 		return nil, nil
 	}
-	o := j.occs[id.Occurrence]
+	o := j.occurrences[id.Occurrence]
 	if o == nil || id.Step >= len(o.steps) || id.Step < 0 {
 		return nil, nil
 	}
@@ -202,95 +212,98 @@
 }
 
 func (s *stepState) stepID() workflow.StepID {
-	return workflow.StepID{Job: s.occ.job.sub.ID, Occurrence: s.occ.k, Step: s.index}
+	return workflow.StepID{Job: s.occurrence.job.submission.ID, Occurrence: s.occurrence.index, Step: s.index}
 }
 
-func (s *stepState) id(index int) workflow.TaskID {
-	return workflow.TaskID{Job: s.occ.job.sub.ID, Occurrence: s.occ.k, Step: s.index, Index: index}
+func (s *stepState) taskID(index int) workflow.TaskID {
+	return workflow.TaskID{Job: s.occurrence.job.submission.ID, Occurrence: s.occurrence.index, Step: s.index, Index: index}
 }
 
-// host is a worker as the board sees it.
-type host struct {
-	name     string
+// workerState is what the dispatcher knows of a worker.
+type workerState struct {
+	name string
+	// life identifies the life of the worker's runner; 0 while none is known.
 	life     uint64
 	service  string
 	capacity worker.Resources
 	labels   map[string]bool
 	rack     string
 	draining bool
-	// pace is the percentage at which filling tasks work there.
-	pace int
-	// paced is when filling tasks were last seen slowed down.
-	paced time.Time
-	// fillEnded is when a filling task ended last.
-	fillEnded time.Time
-	// servingImages counts tasks with a latency target by image.
-	servingImages map[string]int
-	// fillShares are the shares of the processors that filling images ask for.
-	fillShares map[string]float64
-	heard      time.Time
-	silent     bool
-	// lapsed is set while nothing can run there.
-	lapsed bool
-	runs   map[workflow.TaskID]*run
-	used   worker.Resources
-	// filling is the processor time that filling tasks ask for.
-	filling int64
-	// serving counts tasks with a latency target.
-	serving int
-	lasting int
-	// reserved is the processor time that tasks that last reserve.
-	reserved int64
-	health   health
-	// instance is the runner's name of its present life.
+	// pacePercent is the pace of best-effort tasks there, in percent of full pace.
+	pacePercent int
+	// lastSlowedAt is when best-effort tasks were last seen below full pace.
+	lastSlowedAt time.Time
+	// bestEffortEndedAt is when a best-effort run last ended.
+	bestEffortEndedAt time.Time
+	// servingTasksByImage counts tasks with a latency target by image.
+	servingTasksByImage map[string]int
+	// bestEffortShares are the fractions of the worker's processors that best-effort images
+	// request.
+	bestEffortShares map[string]float64
+	lastContact      time.Time
+	silent           bool
+	// leaseExpired is set while nothing can run there.
+	leaseExpired bool
+	runs         map[workflow.TaskID]*run
+	allocated    worker.Resources
+	// bestEffortMilliCPU is the processor time that best-effort tasks request.
+	bestEffortMilliCPU int64
+	// servingTasks counts tasks with a latency target.
+	servingTasks     int
+	longRunningTasks int
+	// longRunningMilliCPU is the processor time that long-running tasks reserve.
+	longRunningMilliCPU int64
+	health              workerHealth
+	// instance is the instance ID of the runner.
 	instance string
-	// asking counts the open questions of its agent, which asks none before asksAfter.
-	asking    int
-	asksAfter time.Time
-	// lastEnd is the number of the last end taken in.
-	lastEnd uint64
-	unknown unknown
+	// openQuestions counts the open questions of the worker's agent, which gets none before
+	// nextQuestionAt.
+	openQuestions  int
+	nextQuestionAt time.Time
+	// lastEndNumber is the number of the last end processed.
+	lastEndNumber uint64
+	unknownJobs   unknownJobReport
 }
 
-func (h *host) free() worker.Resources { return h.capacity.Minus(h.used) }
+func (w *workerState) free() worker.Resources { return w.capacity.Minus(w.allocated) }
 
-func (h *host) add(r *run) {
-	h.runs[r.id] = r
-	h.used = h.used.Plus(r.step.spec.Reserved())
-	h.count(r, 1)
+func (w *workerState) add(r *run) {
+	w.runs[r.id] = r
+	w.allocated = w.allocated.Plus(r.step.spec.Reserved())
+	w.count(r, 1)
 }
 
-func (h *host) remove(r *run) {
-	if h.runs[r.id] != r {
+func (w *workerState) remove(r *run) {
+	if w.runs[r.id] != r {
 		return
 	}
-	delete(h.runs, r.id)
-	h.used = h.used.Minus(r.step.spec.Reserved())
-	h.count(r, -1)
+	delete(w.runs, r.id)
+	w.allocated = w.allocated.Minus(r.step.spec.Reserved())
+	w.count(r, -1)
 }
 
-// fill counts a filling run, or counts it out.
-func (h *host) fill(r *run, by int) {
+// countBestEffort counts a best-effort run, or with by of -1 removes it from the count.
+func (w *workerState) countBestEffort(r *run, by int) {
 	image := r.step.spec.Image
-	h.filling += int64(by) * r.step.spec.Size.MilliCPU
-	h.fillShares[image] += float64(by) * float64(r.step.spec.Size.MilliCPU) / float64(max(1, h.capacity.MilliCPU))
-	if h.fillShares[image] < 1e-9 {
-		delete(h.fillShares, image)
+	w.bestEffortMilliCPU += int64(by) * r.step.spec.Size.MilliCPU
+	w.bestEffortShares[image] += float64(by) * float64(r.step.spec.Size.MilliCPU) / float64(max(1, w.capacity.MilliCPU))
+	if w.bestEffortShares[image] < 1e-9 {
+		delete(w.bestEffortShares, image)
 	}
 }
 
-func (h *host) count(r *run, by int) {
+func (w *workerState) count(r *run, by int) {
 	if r.step.spec.Fills {
-		h.fill(r, by)
+		w.countBestEffort(r, by)
 	}
 	if r.step.spec.TargetMS > 0 {
-		h.serving += by
-		if h.servingImages[r.step.spec.Image] += by; h.servingImages[r.step.spec.Image] <= 0 {
-			delete(h.servingImages, r.step.spec.Image)
+		w.servingTasks += by
+		if w.servingTasksByImage[r.step.spec.Image] += by; w.servingTasksByImage[r.step.spec.Image] <= 0 {
+			delete(w.servingTasksByImage, r.step.spec.Image)
 		}
 	}
 	if r.step.spec.Lasts {
-		h.lasting += by
-		h.reserved += int64(by) * r.step.spec.Size.MilliCPU
+		w.longRunningTasks += by
+		w.longRunningMilliCPU += int64(by) * r.step.spec.Size.MilliCPU
 	}
 }
--- a/pkg/dispatch/board_test.go
+++ b/pkg/dispatch/board_test.go
@@ -14,8 +14,8 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// script is a scenario: events, each followed by the orders that are wanted.
-type script struct {
+// scenario is a sequence of events, each with the orders that are wanted after it.
+type scenario struct {
 	Name   string   `json:"name"`
 	Term   uint64   `json:"term"`
 	Known  []string `json:"known"`
@@ -32,9 +32,9 @@
 	MemMB    int64    `json:"mem-mb"`
 	Labels   []string `json:"labels"`
 	Draining bool     `json:"draining"`
-	// Runs are what a worker lists: "task run percent reading".
+	// Runs are the runs that a worker lists: "task run percent reading".
 	Runs []string `json:"runs"`
-	// Ends are "number task run how saved".
+	// Ends are the ends that a worker lists: "number task run outcome checkpoint".
 	Ends []string `json:"ends"`
 	// Job, Queue, Old and Steps describe a job.
 	Job   string          `json:"job"`
@@ -44,26 +44,29 @@
 	First int64           `json:"first-ms"`
 	Every int64           `json:"every-ms"`
 	Steps json.RawMessage `json:"steps"`
-	// Start and Stop are the orders wanted: "task run worker"; a worker * is any.
-	// A start may name its ticket after that.
+	// Start and Stop are the orders wanted: "task run worker", with * for any worker. The
+	// ticket may follow in a start order.
 	Start []string `json:"start"`
 	Stop  []string `json:"stop"`
-	// Lost are the runs lost with their workers: "task run worker"; not compared if missing.
+	// Lost are the runs wanted as lost with their workers: "task run worker"; not compared if
+	// missing.
 	Lost []string `json:"lost"`
-	// Ask are the questions wanted: "step asker workers", the workers joined by
-	// commas; a worker is named with its life.
+	// Ask are the questions wanted: "step asker workers", with the workers separated by commas
+	// and each written as worker/life.
 	Ask []string `json:"ask"`
-	// Question is the one that Tickets answers, by worker and life, valid for ValidMS.
+	// Question is the number of the question that Tickets answers, by worker/life; the tickets
+	// are valid for ValidMS.
 	Question uint64            `json:"question"`
 	Tickets  map[string]string `json:"tickets"`
 	ValidMS  int64             `json:"valid-ms"`
-	// Noted are the ends wanted up to which workers may forget: "worker number"; not compared if missing.
+	// Noted are the acknowledgements wanted: "worker number", with the number of the last end
+	// that the worker may forget; not compared if missing.
 	Noted []string `json:"noted"`
 	// Phase is the phase wanted of the job.
 	Phase string `json:"phase"`
 }
 
-type scriptStep struct {
+type scenarioStep struct {
 	Count         int     `json:"count"`
 	CPU           int64   `json:"cpu"`
 	MemMB         int64   `json:"mem-mb"`
@@ -95,36 +98,36 @@
 func TestBoard(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scenarios in testdata: %v", err)
 	}
 	for _, f := range files {
 		data, err := os.ReadFile(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var scripts []script
-		if err := json.Unmarshal(data, &scripts); err != nil {
+		var scenarios []scenario
+		if err := json.Unmarshal(data, &scenarios); err != nil {
 			t.Fatalf("%s: %v", f, err)
 		}
-		for i := range scripts {
-			s := &scripts[i]
-			t.Run(strings.TrimSuffix(filepath.Base(f), ".json")+"/"+s.Name, func(t *testing.T) { play(t, s) })
+		for i := range scenarios {
+			s := &scenarios[i]
+			t.Run(strings.TrimSuffix(filepath.Base(f), ".json")+"/"+s.Name, func(t *testing.T) { runScenario(t, s) })
 		}
 	}
 }
 
-func play(t *testing.T, s *script) {
+func runScenario(t *testing.T, s *scenario) {
 	t.Helper()
-	var b Board
-	b.SetQueues(testQueues)
-	b.SetSpread(1.5)
-	b.Begin(max(1, s.Term), s.Known)
+	var sc Board
+	sc.SetQueues(testQueues)
+	sc.SetSpread(1.5)
+	sc.Begin(max(1, s.Term), s.Known)
 	base := time.Unix(1000, 0)
 	for i := range s.Events {
 		e := &s.Events[i]
 		now, wall := base.Add(time.Duration(e.AtMS)*time.Millisecond), 1_000_000+e.AtMS
-		apply(t, &b, now, wall, e)
-		orders := b.Decide(now, wall)
+		applyEvent(t, &sc, now, wall, e)
+		orders := sc.Decide(now, wall)
 		var starts, stops []string
 		for _, o := range orders.Starts() {
 			starts = append(starts, fmt.Sprintf("%s %d %s %s", o.Task, o.Run, o.Worker, o.Ticket))
@@ -132,29 +135,29 @@
 		for _, o := range orders.Stops() {
 			stops = append(stops, fmt.Sprintf("%s %d %s", o.Task, o.Run, o.Worker))
 		}
-		compare(t, fmt.Sprintf("event %d (%s): starts", i, e.Do), starts, e.Start)
-		compare(t, fmt.Sprintf("event %d (%s): stops", i, e.Do), stops, e.Stop)
+		compareLines(t, fmt.Sprintf("event %d (%s): starts", i, e.Do), starts, e.Start)
+		compareLines(t, fmt.Sprintf("event %d (%s): stops", i, e.Do), stops, e.Stop)
 		var asked []string
 		for _, q := range orders.Questions() {
 			slices.Sort(q.Instances)
 			asked = append(asked, fmt.Sprintf("%s %s %s", q.Step, q.Asker, strings.Join(q.Instances, ",")))
 		}
-		compare(t, fmt.Sprintf("event %d (%s): questions", i, e.Do), asked, e.Ask)
+		compareLines(t, fmt.Sprintf("event %d (%s): questions", i, e.Do), asked, e.Ask)
 		if e.Lost != nil {
 			var lost []string
-			for _, l := range b.TakeLost() {
+			for _, l := range sc.TakeLost() {
 				lost = append(lost, fmt.Sprintf("%s %d %s", l.Task, l.Run, l.Worker))
 			}
-			compare(t, fmt.Sprintf("event %d (%s): lost", i, e.Do), lost, e.Lost)
+			compareLines(t, fmt.Sprintf("event %d (%s): lost", i, e.Do), lost, e.Lost)
 		}
 		if e.Noted != nil {
-			var noted []string
-			b.TakeChange().EachNote(func(worker string, _, end uint64) { noted = append(noted, fmt.Sprintf("%s %d ", worker, end)) })
-			compare(t, fmt.Sprintf("event %d (%s): noted", i, e.Do), noted, e.Noted)
+			var acked []string
+			sc.TakeChange().EachNote(func(worker string, _, end uint64) { acked = append(acked, fmt.Sprintf("%s %d ", worker, end)) })
+			compareLines(t, fmt.Sprintf("event %d (%s): acknowledged ends", i, e.Do), acked, e.Noted)
 		}
 		if e.Phase != "" {
 			got := "unknown"
-			if p, ok := b.Phase(e.Job); ok {
+			if p, ok := sc.Phase(e.Job); ok {
 				got = p.String()
 			}
 			if got != e.Phase {
@@ -164,7 +167,7 @@
 	}
 }
 
-func compare(t *testing.T, what string, got, want []string) {
+func compareLines(t *testing.T, what string, got, want []string) {
 	t.Helper()
 	slices.Sort(got)
 	slices.Sort(want)
@@ -184,7 +187,7 @@
 	}
 }
 
-func apply(t *testing.T, b *Board, now time.Time, wall int64, e *event) {
+func applyEvent(t *testing.T, sc *Board, now time.Time, wall int64, e *event) {
 	t.Helper()
 	w := &Worker{Name: e.Worker, Life: e.Life, Service: "bench", Capacity: worker.Resources{MilliCPU: e.CPU, MemoryMB: e.MemMB}, Labels: e.Labels, Draining: e.Draining, Pace: 100, Instance: fmt.Sprintf("%s/%d", e.Worker, e.Life)}
 	if e.CPU == 0 {
@@ -192,36 +195,36 @@
 	}
 	switch e.Do {
 	case "report":
-		b.Report(now, wall, w, rowsOf(t, e.Runs), endsOf(t, e.Ends))
+		sc.Report(now, wall, w, runsOf(t, e.Runs), endsOf(t, e.Ends))
 	case "describe":
-		b.Describe(now, w, rowsOf(t, e.Runs))
+		sc.Describe(now, w, runsOf(t, e.Runs))
 	case "ended":
-		b.Ended(now, wall, e.Worker, e.Life, endsOf(t, e.Ends))
+		sc.Ended(now, wall, e.Worker, e.Life, endsOf(t, e.Ends))
 	case "refused":
-		for _, r := range rowsOf(t, e.Runs) {
-			b.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+		for _, r := range runsOf(t, e.Runs) {
+			sc.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "admit":
-		b.Admit(now, wall, jobOf(t, e), nil, e.Old)
+		sc.Admit(now, wall, jobOf(t, e), nil, e.Old)
 	case "cancel":
-		b.Cancel(now, wall, e.Job)
+		sc.Cancel(now, wall, e.Job)
 	case "advised":
-		b.Advised(now, e.Question, e.Tickets, time.Duration(e.ValidMS)*time.Millisecond)
+		sc.Advised(now, e.Question, e.Tickets, time.Duration(e.ValidMS)*time.Millisecond)
 	case "not-advised":
-		b.NotAdvised(now, e.Question)
+		sc.NotAdvised(now, e.Question)
 	case "ticket-refused":
-		for _, r := range rowsOf(t, e.Runs) {
-			b.Unticketed(e.Worker, r.Task)
-			b.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+		for _, r := range runsOf(t, e.Runs) {
+			sc.Unticketed(e.Worker, r.Task)
+			sc.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "silent":
-		b.Silent(e.Worker)
+		sc.Silent(e.Worker)
 	case "lapsed":
-		b.Lapsed(now, e.Worker)
+		sc.Lapsed(now, e.Worker)
 	case "caught-up":
-		b.CaughtUp(now, now)
+		sc.CaughtUp(now, now)
 	case "settle":
-		b.Settle()
+		sc.Settle()
 	case "wait":
 	default:
 		t.Fatalf("unknown event %q", e.Do)
@@ -230,7 +233,7 @@
 
 func jobOf(t *testing.T, e *event) *workflow.Submission {
 	t.Helper()
-	var steps []scriptStep
+	var steps []scenarioStep
 	if err := json.Unmarshal(e.Steps, &steps); err != nil {
 		t.Fatal(err)
 	}
@@ -252,19 +255,19 @@
 	t.Helper()
 	id, ok := workflow.ParseTask(name)
 	if !ok {
-		t.Fatalf("task %q", name)
+		t.Fatalf("invalid task ID %q", name)
 	}
 	return id
 }
 
-func rowsOf(t *testing.T, lines []string) []Row {
+func runsOf(t *testing.T, lines []string) []Row {
 	t.Helper()
 	var out []Row
 	for _, l := range lines {
 		var name string
 		var r Row
 		if _, err := fmt.Sscan(l+" 0 0", &name, &r.Run, &r.Percent, &r.Reading); err != nil {
-			t.Fatalf("run %q: %v", l, err)
+			t.Fatalf("invalid run %q: %v", l, err)
 		}
 		r.Task = taskOf(t, name)
 		out = append(out, r)
@@ -279,10 +282,10 @@
 		f := strings.Fields(l + " ")
 		var e End
 		if _, err := fmt.Sscan(f[0]+" "+f[2], &e.Number, &e.Run); err != nil {
-			t.Fatalf("end %q: %v", l, err)
+			t.Fatalf("invalid end %q: %v", l, err)
 		}
 		e.Task = taskOf(t, f[1])
-		e.How = How(slices.Index(howNames[:], f[3]))
+		e.How = How(slices.Index(outcomeNames[:], f[3]))
 		if len(f) > 4 {
 			e.Saved = f[4]
 		}
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -9,25 +9,25 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Times of orders.
+// Delays of orders and placement.
 const (
-	// refusedDelay keeps an order that a worker refused from being repeated at once.
-	refusedDelay = 100 * time.Millisecond
-	// firstLastingDelay and longestLastingDelay bound how long a task that
-	// lasts waits after its failures; it is to be at work again within three seconds.
-	firstLastingDelay   = 50 * time.Millisecond
-	longestLastingDelay = 800 * time.Millisecond
-	// stopAgain is how long a stop is given before it is ordered again.
-	stopAgain = 1500 * time.Millisecond
-	// harmAfter is how long a filling task waits for a worker where it does no
-	// harm: a task that has room everywhere is to run within three seconds.
-	harmAfter = 2 * time.Second
-	// preemptAfter is how long a task that lasts waits for room before others make it.
-	preemptAfter = 300 * time.Millisecond
+	// refusedRetryDelay is the delay before an order that a worker refused is repeated.
+	refusedRetryDelay = 100 * time.Millisecond
+	// minRestartDelay and maxRestartDelay bound the delay before a long-running task is
+	// restarted after a failure; it has to run again within three seconds.
+	minRestartDelay = 50 * time.Millisecond
+	maxRestartDelay = 800 * time.Millisecond
+	// stopRetryInterval is the time after which a stop order without effect is repeated.
+	stopRetryInterval = 1500 * time.Millisecond
+	// interferenceWait is how long a best-effort task waits for a worker without interference:
+	// a task that has room everywhere has to run within three seconds.
+	interferenceWait = 2 * time.Second
+	// preemptionWait is how long a long-running task waits for room before it preempts others.
+	preemptionWait = 300 * time.Millisecond
 )
 
-func lastingDelay(failures int) time.Duration {
-	return min(firstLastingDelay<<min(max(failures-1, 0), 8), longestLastingDelay)
+func restartDelay(failures int) time.Duration {
+	return min(minRestartDelay<<min(max(failures-1, 0), 8), maxRestartDelay)
 }
 
 // Start is an order to start a task.
@@ -38,12 +38,13 @@
 	Run    uint64
 	Text   string
 	Saved  string
-	// Fills and TargetMS are what the worker's guard needs to know.
+	// Fills (set for a best-effort task) and TargetMS are for the worker's latency guard.
 	Fills    bool
 	TargetMS float64
-	// Ticket shows that the queue's policy lets the worker run the step.
+	// Ticket shows that the queue's placement policy lets the worker run the step.
 	Ticket string
-	// Harm is how much a filling task is expected to harm the serving ones there, from 0 to 1.
+	// Harm is the interference load that the image of a best-effort task is expected to cause
+	// there, from 0 to 1.
 	Harm   float64
 	Reason string
 }
@@ -70,83 +71,83 @@
 // Stops returns the runs to stop.
 func (o *Orders) Stops() []Stop { return o.stops }
 
-// Questions returns the questions about steps to ask.
+// Questions returns the questions for the placement policy service.
 func (o *Orders) Questions() []Question { return o.questions }
 
-// stop orders the end of a run.
-func (b *Board) stop(now time.Time, r *run, reason string) {
+// orderStop orders a run to stop.
+func (sc *Board) orderStop(now time.Time, r *run, reason string) {
 	if r.phase == runStopping {
 		return
 	}
-	r.phase, r.stopped, r.reason = runStopping, now, reason
-	b.stops = append(b.stops, Stop{Worker: r.host.name, Life: r.host.life, Task: r.id, Run: r.number, Reason: reason})
+	r.phase, r.stopOrderedAt, r.stopReason = runStopping, now, reason
+	sc.stops = append(sc.stops, Stop{Worker: r.worker.name, Life: r.worker.life, Task: r.id, Run: r.number, Reason: reason})
 }
 
 // Decide returns the orders that are due.
-func (b *Board) Decide(now time.Time, wallMS int64) *Orders {
-	for _, j := range b.jobs {
-		if j.next < j.sub.Spec.Occurrences() && !j.phase.Ended() {
-			b.advance(now, wallMS, j)
+func (sc *Board) Decide(now time.Time, wallMS int64) *Orders {
+	for _, j := range sc.jobs {
+		if j.nextOccurrence < j.submission.Spec.Occurrences() && !j.phase.Ended() {
+			sc.createDueOccurrences(now, wallMS, j)
 		}
 	}
 	o := &Orders{}
-	b.consult(now, o)
-	for _, s := range b.line(now) {
-		b.placeStep(now, s, o)
+	sc.askQuestions(now, o)
+	for _, s := range sc.placementOrder(now) {
+		sc.placeStep(now, s, o)
 	}
-	b.copyStragglers(now, o)
-	b.stopStalled(now)
-	b.repeatStops(now)
-	o.stops, b.stops = b.stops, nil
+	sc.startSpeculativeRuns(now, o)
+	sc.stopStalled(now)
+	sc.repeatStops(now)
+	o.stops, sc.stops = sc.stops, nil
 	return o
 }
 
-// repeatStops orders stops again that have had no effect.
-func (b *Board) repeatStops(now time.Time) {
-	for _, h := range b.workers {
-		for _, r := range h.runs {
-			if r.phase == runStopping && now.Sub(r.stopped) >= stopAgain {
-				r.stopped = now
-				b.stops = append(b.stops, Stop{Worker: h.name, Life: h.life, Task: r.id, Run: r.number, Reason: r.reason})
+// repeatStops repeats stop orders that have had no effect.
+func (sc *Board) repeatStops(now time.Time) {
+	for _, w := range sc.workers {
+		for _, r := range w.runs {
+			if r.phase == runStopping && now.Sub(r.stopOrderedAt) >= stopRetryInterval {
+				r.stopOrderedAt = now
+				sc.stops = append(sc.stops, Stop{Worker: w.name, Life: w.life, Task: r.id, Run: r.number, Reason: r.stopReason})
 			}
 		}
 	}
 }
 
-// standing is what decides a step's place in the line.
-type standing struct {
-	step     *stepState
-	lasts    bool
-	priority int
-	late     bool
-	slack    time.Duration
+// placementRank is what determines a step's place in the placement order.
+type placementRank struct {
+	step        *stepState
+	longRunning bool
+	priority    int
+	late        bool
+	slack       time.Duration
 }
 
-// line returns the steps with waiting tasks in the order in which they are placed.
-// It answers surges of wide jobs: what can still meet its objective goes before
-// what no longer can, the least slack first.
-func (b *Board) line(now time.Time) []*stepState {
-	steps := make([]*stepState, 0, len(b.ready))
-	for s := range b.ready {
-		if !s.occ.job.old || len(b.unheard) == 0 {
+// placementOrder returns the steps with waiting tasks in the order in which they are placed.
+// During surges of jobs with many tasks, steps that can still meet their latency objective go
+// before those that no longer can, the least slack first.
+func (sc *Board) placementOrder(now time.Time) []*stepState {
+	steps := make([]*stepState, 0, len(sc.readySteps))
+	for s := range sc.readySteps {
+		if !s.occurrence.job.fromEarlierTerm || len(sc.unreported) == 0 {
 			steps = append(steps, s)
 		}
 	}
-	return b.inOrder(now, steps)
+	return sc.sortByUrgency(now, steps)
 }
 
-// inOrder sorts steps by urgency.
-func (b *Board) inOrder(now time.Time, steps []*stepState) []*stepState {
-	all := make([]standing, 0, len(steps))
+// sortByUrgency sorts steps by urgency.
+func (sc *Board) sortByUrgency(now time.Time, steps []*stepState) []*stepState {
+	all := make([]placementRank, 0, len(steps))
 	for _, s := range steps {
-		q := b.queues[s.occ.job.sub.Queue]
-		slack := b.deadline(s.occ, q).Sub(now) - time.Duration(s.tail)*time.Millisecond
-		all = append(all, standing{step: s, lasts: s.spec.Lasts, priority: q.Priority, late: slack < 0, slack: slack})
+		q := sc.queues[s.occurrence.job.submission.Queue]
+		slack := sc.deadline(s.occurrence, q).Sub(now) - time.Duration(s.criticalPathMS)*time.Millisecond
+		all = append(all, placementRank{step: s, longRunning: s.spec.Lasts, priority: q.Priority, late: slack < 0, slack: slack})
 	}
-	slices.SortFunc(all, func(x, y standing) int {
-		return cmp.Or(-compareBool(x.lasts, y.lasts), cmp.Compare(x.priority, y.priority), compareBool(x.late, y.late),
-			cmp.Compare(x.slack, y.slack), strings.Compare(x.step.occ.job.sub.ID, y.step.occ.job.sub.ID),
-			cmp.Compare(x.step.occ.k, y.step.occ.k), cmp.Compare(x.step.index, y.step.index))
+	slices.SortFunc(all, func(x, y placementRank) int {
+		return cmp.Or(-compareBool(x.longRunning, y.longRunning), cmp.Compare(x.priority, y.priority), compareBool(x.late, y.late),
+			cmp.Compare(x.slack, y.slack), strings.Compare(x.step.occurrence.job.submission.ID, y.step.occurrence.job.submission.ID),
+			cmp.Compare(x.step.occurrence.index, y.step.occurrence.index), cmp.Compare(x.step.index, y.step.index))
 	})
 	for i := range all {
 		steps[i] = all[i].step
@@ -164,151 +165,151 @@
 	return -1
 }
 
-// deadline returns when an occurrence stops being worth its full benefit.
-func (b *Board) deadline(o *occurrence, q Queue) time.Time {
+// deadline returns the time by which an occurrence has to end to meet its latency objective.
+func (sc *Board) deadline(o *occurrence, q Queue) time.Time {
 	chain := int64(0)
 	for _, s := range o.steps {
-		chain = max(chain, s.tail)
+		chain = max(chain, s.criticalPathMS)
 	}
-	return o.began.Add(time.Duration(float64(chain)*q.Stretch)*time.Millisecond + q.Target)
+	return o.startedAt.Add(time.Duration(float64(chain)*q.Stretch)*time.Millisecond + q.Target)
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
-func (b *Board) placeStep(now time.Time, s *stepState, o *Orders) {
-	q, ok := b.queues[s.occ.job.sub.Queue]
+func (sc *Board) placeStep(now time.Time, s *stepState, o *Orders) {
+	q, ok := sc.queues[s.occurrence.job.submission.Queue]
 	if !ok {
 		return
 	}
 	if s.spec.Gang {
-		b.placeGang(now, s, q, o)
+		sc.placeGang(now, s, q, o)
 		return
 	}
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.done || len(t.runs) > 0 || now.Before(t.after) {
+		if t.done || len(t.runs) > 0 || now.Before(t.notBefore) {
 			continue
 		}
-		h, why := b.choose(now, s, t, q, nil)
-		if h == nil {
-			if s.spec.Lasts && now.Sub(t.freed) >= preemptAfter {
-				b.makeRoom(now, s, q)
+		w, reason := sc.chooseWorker(now, s, t, q, nil)
+		if w == nil {
+			if s.spec.Lasts && now.Sub(t.waitingSince) >= preemptionWait {
+				sc.preemptFor(now, s, q)
 			}
 			return
 		}
-		b.start(now, s, i, h, t.lastRun+1, why, o)
+		sc.orderStart(now, s, i, w, t.lastRunNumber+1, reason, o)
 	}
 }
 
-// start orders a run of a task.
-func (b *Board) start(now time.Time, s *stepState, index int, h *host, number uint64, why string, o *Orders) {
+// orderStart orders a run of a task.
+func (sc *Board) orderStart(now time.Time, s *stepState, index int, w *workerState, number uint64, reason string, o *Orders) {
 	t := &s.tasks[index]
-	id := s.id(index)
-	b.place(now, s, t, id, h, number)
-	h.health.probing = h.health.outcomes.Suspect()
-	b.begin(s.occ.job)
+	id := s.taskID(index)
+	sc.addRun(now, s, t, id, w, number)
+	w.health.probing = w.health.outcomes.Suspect()
+	sc.markStarted(s.occurrence.job)
 	o.starts = append(o.starts, Start{
-		Worker: h.name, Life: h.life, Task: id, Run: number, Text: s.occ.job.sub.Spec.Text,
-		Saved: t.saved, Fills: s.spec.Fills, TargetMS: s.spec.TargetMS, Ticket: s.ticket(h), Harm: b.blameOf(h, s.spec.Image), Reason: why,
+		Worker: w.name, Life: w.life, Task: id, Run: number, Text: s.occurrence.job.submission.Spec.Text,
+		Saved: t.checkpoint, Fills: s.spec.Fills, TargetMS: s.spec.TargetMS, Ticket: s.ticket(w), Harm: sc.imageInterference(w, s.spec.Image), Reason: reason,
 	})
 }
 
 // allowed reports whether a worker may run a step at all.
-func (b *Board) allowed(now time.Time, s *stepState, q Queue, h *host) bool {
-	return b.usable(now, s, &q, h) && s.ruled(now, &q, h)
+func (sc *Board) allowed(now time.Time, s *stepState, q Queue, w *workerState) bool {
+	return sc.suitable(now, s, &q, w) && s.permitted(now, &q, w)
 }
 
-// usable reports whether a worker may run a step as far as its queue's policy lets it.
-func (b *Board) usable(now time.Time, s *stepState, q *Queue, h *host) bool {
-	return h.life != 0 && !h.silent && !h.lapsed && !h.draining && h.service == q.Service &&
-		(s.spec.Label == "" || h.labels[s.spec.Label]) && h.health.usable(now)
+// suitable reports whether a worker may run a step, apart from the placement policy.
+func (sc *Board) suitable(now time.Time, s *stepState, q *Queue, w *workerState) bool {
+	return w.life != 0 && !w.silent && !w.leaseExpired && !w.draining && w.service == q.Service &&
+		(s.spec.Label == "" || w.labels[s.spec.Label]) && w.health.usable(now)
 }
 
-// choose returns the worker that a task should run on, or nil. Planned holds
-// tasks of a gang that take room already.
-func (b *Board) choose(now time.Time, s *stepState, t *taskState, q Queue, planned map[*host]int) (*host, string) {
+// chooseWorker returns the worker that a task should run on, or nil, and the reason. Planned
+// counts the tasks of a gang that already take room at each worker.
+func (sc *Board) chooseWorker(now time.Time, s *stepState, t *taskState, q Queue, planned map[*workerState]int) (*workerState, string) {
 	need := s.spec.Reserved()
-	patient := s.spec.Fills && now.Sub(t.freed) < harmAfter && b.harmless(now, s, q)
-	var best *host
-	lowest := 0.0
-	for _, h := range b.workers {
-		n := planned[h]
-		if !b.allowed(now, s, q, h) || !need.Times(int64(n)+1).Fits(h.free()) {
+	avoidInterference := s.spec.Fills && now.Sub(t.waitingSince) < interferenceWait && sc.runsWithoutInterference(now, s, q)
+	var best *workerState
+	lowestScore := 0.0
+	for _, w := range sc.workers {
+		reserved := planned[w]
+		if !sc.allowed(now, s, q, w) || !need.Times(int64(reserved)+1).Fits(w.free()) {
 			continue
 		}
-		if s.spec.MostPerWorker > 0 && s.perWorker[h.name]+n >= s.spec.MostPerWorker {
+		if s.spec.MostPerWorker > 0 && s.runsPerWorker[w.name]+reserved >= s.spec.MostPerWorker {
 			continue
 		}
-		if running(t, h) || patient && b.loadWith(h, s.spec.Image, s.spec.Size.MilliCPU) >= harmful {
+		if runsOn(t, w) || avoidInterference && sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU) >= overload {
 			continue
 		}
-		score := b.score(s, t, h)
-		if best == nil || score < lowest || score == lowest && h.name < best.name {
-			best, lowest = h, score
+		score := sc.score(s, t, w)
+		if best == nil || score < lowestScore || score == lowestScore && w.name < best.name {
+			best, lowestScore = w, score
 		}
 	}
 	if best == nil {
 		return nil, "no worker has room"
 	}
-	return best, s.why(best)
+	return best, s.placementReason(best)
 }
 
-func running(t *taskState, h *host) bool {
+func runsOn(t *taskState, w *workerState) bool {
 	for _, r := range t.runs {
-		if r.host == h {
+		if r.worker == w {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *stepState) why(h *host) string {
+func (s *stepState) placementReason(w *workerState) string {
 	switch {
 	case s.spec.Lasts:
-		return "lasting tasks are kept together"
+		return "long-running tasks are packed together"
 	case s.spec.Fills:
-		return "most processor time left"
-	case s.spec.Rack != "" && s.spec.Rack == h.rack:
-		return "near its data"
+		return "most unused processor time"
+	case s.spec.Rack != "" && s.spec.Rack == w.rack:
+		return "on the rack of its data"
 	}
-	return "room and pace"
+	return "lowest placement score"
 }
 
 // placeGang starts all tasks of a step at once, under one run number.
-func (b *Board) placeGang(now time.Time, s *stepState, q Queue, o *Orders) {
+func (sc *Board) placeGang(now time.Time, s *stepState, q Queue, o *Orders) {
 	number := uint64(0)
 	saved := ""
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.done || len(t.runs) > 0 || now.Before(t.after) {
+		if t.done || len(t.runs) > 0 || now.Before(t.notBefore) {
 			return
 		}
-		number = max(number, t.lastRun)
-		saved = max(saved, t.saved)
+		number = max(number, t.lastRunNumber)
+		saved = max(saved, t.checkpoint)
 	}
-	for _, rack := range b.racks(s) {
-		plan := b.planGang(now, s, q, rack)
+	for _, rack := range sc.racksToTry(s) {
+		plan := sc.planGang(now, s, q, rack)
 		if plan == nil {
 			continue
 		}
-		for i, h := range plan {
-			s.tasks[i].saved = saved
-			b.start(now, s, i, h, number+1, "the whole gang fits", o)
+		for i, w := range plan {
+			s.tasks[i].checkpoint = saved
+			sc.orderStart(now, s, i, w, number+1, "the whole gang fits", o)
 		}
 		return
 	}
 }
 
-// racks returns the racks to try for a gang; "" stands for any.
-func (b *Board) racks(s *stepState) []string {
+// racksToTry returns the racks to try for a gang; "" stands for any.
+func (sc *Board) racksToTry(s *stepState) []string {
 	if !s.spec.SameRack {
 		return []string{""}
 	}
 	seen := map[string]bool{}
 	var out []string
-	for _, h := range b.workers {
-		if h.rack != "" && !seen[h.rack] {
-			seen[h.rack] = true
-			out = append(out, h.rack)
+	for _, w := range sc.workers {
+		if w.rack != "" && !seen[w.rack] {
+			seen[w.rack] = true
+			out = append(out, w.rack)
 		}
 	}
 	slices.Sort(out)
@@ -318,23 +319,23 @@
 	return append(out, "")
 }
 
-func (b *Board) planGang(now time.Time, s *stepState, q Queue, rack string) []*host {
-	planned := make(map[*host]int)
+func (sc *Board) planGang(now time.Time, s *stepState, q Queue, rack string) []*workerState {
+	planned := make(map[*workerState]int)
 	if rack != "" {
-		for _, h := range b.workers {
-			if h.rack != rack {
-				planned[h] = len(s.tasks) + 1<<20
+		for _, w := range sc.workers {
+			if w.rack != rack {
+				planned[w] = len(s.tasks) + 1<<20
 			}
 		}
 	}
-	plan := make([]*host, len(s.tasks))
+	plan := make([]*workerState, len(s.tasks))
 	for i := range s.tasks {
-		h, _ := b.choose(now, s, &s.tasks[i], q, planned)
-		if h == nil {
+		w, _ := sc.chooseWorker(now, s, &s.tasks[i], q, planned)
+		if w == nil {
 			return nil
 		}
-		planned[h]++
-		plan[i] = h
+		planned[w]++
+		plan[i] = w
 	}
 	return plan
 }
--- a/pkg/dispatch/guarded.go
+++ b/pkg/dispatch/guarded.go
@@ -2,27 +2,28 @@
 
 import "savoryhoist.example/savoryhoist/pkg/workflow"
 
-// Guarded is what a worker's guard needs to know of a task.
+// Guarded is what the latency guard of a worker has to know of a task.
 type Guarded struct {
 	_    struct{} `cbor:",toarray"`
 	Task workflow.TaskID
-	// TargetMS bounds the tail latency of a task that serves, in milliseconds.
+	// TargetMS is the limit of the tail latency of a serving task, in milliseconds.
 	TargetMS float64
 	Fills    bool
-	// Harm is how much a filling task is expected to harm the serving ones there, from 0 to 1.
+	// Harm is the interference load that the image of a best-effort task is expected to cause
+	// there, from 0 to 1.
 	Harm float64
 }
 
-// Guarded returns the tasks at a worker that serve or fill.
-func (b *Board) Guarded(name string) []Guarded {
-	h := b.workers[name]
-	if h == nil {
+// Guarded returns the serving and best-effort tasks at a worker.
+func (sc *Board) Guarded(name string) []Guarded {
+	w := sc.workers[name]
+	if w == nil {
 		return nil
 	}
 	var out []Guarded
-	for id, r := range h.runs {
+	for id, r := range w.runs {
 		if s := r.step.spec; s.TargetMS > 0 || s.Fills {
-			out = append(out, Guarded{Task: id, TargetMS: s.TargetMS, Fills: s.Fills, Harm: b.blameOf(h, s.Image)})
+			out = append(out, Guarded{Task: id, TargetMS: s.TargetMS, Fills: s.Fills, Harm: sc.imageInterference(w, s.Image)})
 		}
 	}
 	return out
--- a/pkg/dispatch/harm.go
+++ b/pkg/dispatch/harm.go
@@ -5,117 +5,122 @@
 	"time"
 )
 
-// Limits of what is learned about filling tasks beside serving ones. For each
-// pair of images the board keeps the share of a worker's processors that the
-// filling image may use before the serving one misses its target.
+// Parameters of the learned interference between best-effort and serving tasks. For each pair
+// of images the dispatcher learns a share limit: the fraction of a worker's processors that the
+// best-effort image may use before the serving image misses its latency target.
 const (
-	// unknownShare stands for a pair that has not been seen together: on the
-	// standard days half of the pairs do harm from a quarter of the processors on.
-	unknownShare = 0.25
-	// leastShare and mostShare bound what is learned.
-	leastShare = 0.02
-	mostShare  = 4.0
-	// calmGrowth is how far one calm reading raises the shares that were in use,
-	// for a load that was taken for the limit.
-	calmGrowth = 0.12
-	// missCut and mostCut bound how far one missed target lowers them.
-	missCut = 0.25
-	mostCut = 0.6
-	// tellingLoad is the load from which a calm reading says something.
-	tellingLoad = 0.5
-	// overPressure and calmPressure bound the readings that say something: the
-	// tail latency as part of its target.
-	overPressure = 1.1
-	calmPressure = 1.0
-	// harmful is the load from which a worker's serving tasks are expected to miss their targets.
-	harmful = 1.0
-	// settleFor is how long a change takes to show: readings cover half a second.
-	settleFor = 700 * time.Millisecond
+	// defaultShareLimit applies to a pair that has not been seen together: on the standard test
+	// days, half of the pairs interfere from a quarter of the processors on.
+	defaultShareLimit = 0.25
+	// minShareLimit and maxShareLimit bound the limits learned.
+	minShareLimit = 0.02
+	maxShareLimit = 4.0
+	// shareLimitGrowth is by which fraction one reading that meets its target raises the limits
+	// of the images in use, if the interference load was at its limit.
+	shareLimitGrowth = 0.12
+	// missReduction and maxReduction determine by which fraction one missed target lowers the
+	// limits.
+	missReduction = 0.25
+	maxReduction  = 0.6
+	// minMeaningfulLoad is the interference load from which a reading that meets its target is
+	// used.
+	minMeaningfulLoad = 0.5
+	// Readings with a pressure between metPressure and missedPressure are ignored. The pressure
+	// is the tail latency divided by its target.
+	missedPressure = 1.1
+	metPressure    = 1.0
+	// overload is the interference load from which the serving tasks of a worker are expected
+	// to miss their targets.
+	overload = 1.0
+	// settleTime is how long a change takes to show in the readings, which cover half a second.
+	settleTime = 700 * time.Millisecond
 )
 
-// pair names the images of a serving and of a filling task.
-type pair struct{ serving, filling string }
+// imagePair names the images of a serving and of a best-effort task.
+type imagePair struct{ serving, bestEffort string }
 
-func (b *Board) shareOf(serving, filling string) float64 {
-	if v, ok := b.shares[pair{serving, filling}]; ok {
-		return v
+func (sc *Board) shareLimit(serving, bestEffort string) float64 {
+	if limit, ok := sc.shareLimits[imagePair{serving, bestEffort}]; ok {
+		return limit
 	}
-	return unknownShare
+	return defaultShareLimit
 }
 
-// load returns how much of what a serving image bears is used by filling ones;
-// targets are expected to be missed from 1 on.
-func (b *Board) load(serving string, shares map[string]float64) float64 {
+// interferenceLoad returns how much of what a serving image tolerates is used by best-effort
+// images; it is expected to miss its target from 1 on.
+func (sc *Board) interferenceLoad(serving string, shares map[string]float64) float64 {
 	sum := 0.0
-	for f, share := range shares {
-		sum += share / b.shareOf(serving, f)
+	for image, share := range shares {
+		sum += share / sc.shareLimit(serving, image)
 	}
 	return sum
 }
 
-// loadWith returns the highest load of a worker's serving images with a further
-// filling task.
-func (b *Board) loadWith(h *host, image string, size int64) float64 {
-	worst, share := 0.0, float64(size)/float64(max(1, h.capacity.MilliCPU))
-	for serving := range h.servingImages {
-		worst = max(worst, b.load(serving, h.fillShares)+share/b.shareOf(serving, image))
+// interferenceLoadWith returns the highest interference load of a worker's serving images if
+// one more best-effort task ran there.
+func (sc *Board) interferenceLoadWith(w *workerState, image string, milliCPU int64) float64 {
+	worst, share := 0.0, float64(milliCPU)/float64(max(1, w.capacity.MilliCPU))
+	for serving := range w.servingTasksByImage {
+		worst = max(worst, sc.interferenceLoad(serving, w.bestEffortShares)+share/sc.shareLimit(serving, image))
 	}
 	return worst
 }
 
-// blameOf returns how much of a worker's load is due to one filling image, from 0 to 1.
-func (b *Board) blameOf(h *host, image string) float64 {
+// imageInterference returns the interference load that one best-effort image causes at a worker,
+// from 0 to 1.
+func (sc *Board) imageInterference(w *workerState, image string) float64 {
 	worst := 0.0
-	for serving := range h.servingImages {
-		worst = max(worst, h.fillShares[image]/b.shareOf(serving, image))
+	for serving := range w.servingTasksByImage {
+		worst = max(worst, w.bestEffortShares[image]/sc.shareLimit(serving, image))
 	}
 	return min(1, worst)
 }
 
-// learnHarm takes in the readings of a worker. It answers days on which filling
-// work is wide and serving tasks are on most workers.
-func (b *Board) learnHarm(now time.Time, h *host) {
-	using := make(map[string]float64)
-	for _, r := range h.runs {
-		if r.step.spec.Fills && r.phase == runWorking && now.Sub(r.since) > settleFor {
-			using[r.step.spec.Image] += r.reading / float64(max(1, h.capacity.MilliCPU))
+// learnInterference adjusts the share limits to the readings of a worker. It matters on days
+// when best-effort jobs have many tasks and serving tasks run on most workers.
+func (sc *Board) learnInterference(now time.Time, w *workerState) {
+	sharesInUse := make(map[string]float64)
+	for _, r := range w.runs {
+		if r.step.spec.Fills && r.phase == runRunning && now.Sub(r.orderedAt) > settleTime {
+			sharesInUse[r.step.spec.Image] += r.reading / float64(max(1, w.capacity.MilliCPU))
 		}
 	}
-	for _, r := range h.runs {
+	for _, r := range w.runs {
 		target := r.step.spec.TargetMS
-		if target <= 0 || r.phase != runWorking {
+		if target <= 0 || r.phase != runRunning {
 			continue
 		}
 		pressure := r.reading / target
-		if pressure <= calmPressure || now.Sub(h.fillEnded) > settleFor {
-			b.learnPair(r.step.spec.Image, using, pressure) // else what ended may be to blame
+		if pressure <= metPressure || now.Sub(w.bestEffortEndedAt) > settleTime {
+			sc.adjustShareLimits(r.step.spec.Image, sharesInUse, pressure) // otherwise a best-effort run that has just ended may be the cause
 		}
 	}
 }
 
-// learnPair takes in one reading of a serving image beside filling ones.
-func (b *Board) learnPair(serving string, using map[string]float64, pressure float64) {
-	load := b.load(serving, using)
-	if load <= 0 || pressure > calmPressure && pressure <= overPressure {
+// adjustShareLimits adjusts the share limits of a serving image to one reading next to
+// best-effort images.
+func (sc *Board) adjustShareLimits(serving string, sharesInUse map[string]float64, pressure float64) {
+	load := sc.interferenceLoad(serving, sharesInUse)
+	if load <= 0 || pressure > metPressure && pressure <= missedPressure {
 		return
 	}
-	for f, share := range using {
-		v := b.shareOf(serving, f)
-		part := share / v / load
-		if pressure > overPressure {
-			v *= 1 - min(mostCut, missCut*(1+math.Log(pressure)))*part
-		} else if load > tellingLoad {
-			v *= 1 + calmGrowth*part
+	for image, share := range sharesInUse {
+		limit := sc.shareLimit(serving, image)
+		contribution := share / limit / load
+		if pressure > missedPressure {
+			limit *= 1 - min(maxReduction, missReduction*(1+math.Log(pressure)))*contribution
+		} else if load > minMeaningfulLoad {
+			limit *= 1 + shareLimitGrowth*contribution
 		}
-		b.shares[pair{serving, f}] = min(max(v, leastShare), mostShare)
+		sc.shareLimits[imagePair{serving, image}] = min(max(limit, minShareLimit), maxShareLimit)
 	}
 }
 
-// harmless reports whether a worker may run a filling step where it does no
-// harm, though it may have no room now.
-func (b *Board) harmless(now time.Time, s *stepState, q Queue) bool {
-	for _, h := range b.workers {
-		if b.allowed(now, s, q, h) && b.loadWith(h, s.spec.Image, s.spec.Size.MilliCPU) < harmful {
+// runsWithoutInterference reports whether there is a worker that could run a best-effort step
+// without interference, though it may have no room now.
+func (sc *Board) runsWithoutInterference(now time.Time, s *stepState, q Queue) bool {
+	for _, w := range sc.workers {
+		if sc.allowed(now, s, q, w) && sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU) < overload {
 			return true
 		}
 	}
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -6,35 +6,36 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Limits of what is learned about a worker's speed.
+// Parameters of the estimate of a worker's slowdown.
 const (
-	// paceWeight is the weight of the newest run in a worker's pace.
-	paceWeight = 0.25
-	// shortestPaced is the estimate below which a run says nothing about the pace.
-	shortestPaced = 50
+	// newestRunWeight is the weight of the newest run in the moving average.
+	newestRunWeight = 0.25
+	// minMeasuredEstimateMS is the shortest estimate, in milliseconds, of a run that counts.
+	minMeasuredEstimateMS = 50
 )
 
-// health is what runs tell about a worker.
-type health struct {
+// workerHealth is what the outcomes of runs say about a worker.
+type workerHealth struct {
 	outcomes worker.Health
-	// pace is the weighted quotient of measured and estimated running time; 0 while nothing is known.
-	pace float64
-	// probing is set while a suspect worker is tested.
+	// slowdown is the moving average of measured divided by estimated run time; 0 before the
+	// first measurement.
+	slowdown float64
+	// probing is set while a task is run on a suspect worker to test it.
 	probing bool
 }
 
-// learn takes in how a run ended.
-func (b *Board) learn(now time.Time, r *run, how How) {
-	h := &r.host.health
+// recordOutcome updates the health of a run's worker after the run has ended.
+func (sc *Board) recordOutcome(now time.Time, r *run, how How) {
+	h := &r.worker.health
 	switch how {
 	case HowDone:
 		h.outcomes.Succeeded()
-		if est := r.step.spec.EstimateMS; est >= shortestPaced && !r.step.spec.Fills && r.saved == "" {
-			ratio := float64(now.Sub(r.since).Milliseconds()) / float64(est)
-			if h.pace == 0 {
-				h.pace = 1
+		if est := r.step.spec.EstimateMS; est >= minMeasuredEstimateMS && !r.step.spec.Fills && r.checkpoint == "" {
+			ratio := float64(now.Sub(r.orderedAt).Milliseconds()) / float64(est)
+			if h.slowdown == 0 {
+				h.slowdown = 1
 			}
-			h.pace += (ratio - h.pace) * paceWeight
+			h.slowdown += (ratio - h.slowdown) * newestRunWeight
 		}
 	case HowFailed:
 		h.outcomes.Failed(now, r.id.Job)
@@ -42,8 +43,8 @@
 	h.probing = false
 }
 
-// usable reports whether a worker should get a task, given what its runs told.
-func (h *health) usable(now time.Time) bool {
+// usable reports whether a worker may get a task, as far as its health allows.
+func (h *workerHealth) usable(now time.Time) bool {
 	if !h.outcomes.Suspect() {
 		return true
 	}
--- a/pkg/dispatch/learned.go
+++ b/pkg/dispatch/learned.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// Learned is what was learned about one pair of images.
+// Learned is the learned limit of interference between the images of a serving and of a
+// best-effort task.
 type Learned struct {
 	_       struct{} `cbor:",toarray"`
 	Serving string
 	Filling string
-	// Share is the part of a worker's processors that the filling image may use
-	// beside the serving one.
+	// Share is the fraction of a worker's processors that the best-effort image may use before
+	// the serving image misses its latency target.
 	Share float64
 }
 
-// mostLearned bounds what is kept of pairs of images; a site has some fifty.
-const mostLearned = 1000
+// maxInterferenceLimits bounds the number of image pairs that are stored; a site has about
+// fifty.
+const maxInterferenceLimits = 1000
 
-// Learned returns what was learned about pairs of images, in order of their names.
-func (b *Board) Learned() []Learned {
-	out := make([]Learned, 0, len(b.shares))
-	for p, share := range b.shares {
-		out = append(out, Learned{Serving: p.serving, Filling: p.filling, Share: share})
+// Learned returns the learned limits, ordered by the names of the images.
+func (sc *Board) Learned() []Learned {
+	out := make([]Learned, 0, len(sc.shareLimits))
+	for p, share := range sc.shareLimits {
+		out = append(out, Learned{Serving: p.serving, Filling: p.bestEffort, Share: share})
 	}
 	slices.SortFunc(out, func(x, y Learned) int {
 		return cmp.Or(cmp.Compare(x.Serving, y.Serving), cmp.Compare(x.Filling, y.Filling))
 	})
-	return out[:min(len(out), mostLearned)]
+	return out[:min(len(out), maxInterferenceLimits)]
 }
 
-// Teach takes in what another dispatcher had learned.
-func (b *Board) Teach(learned []Learned) {
+// Teach adds the limits that another dispatcher has learned.
+func (sc *Board) Teach(learned []Learned) {
 	for _, l := range learned {
-		b.shares[pair{l.Serving, l.Filling}] = min(max(l.Share, leastShare), mostShare)
+		sc.shareLimits[imagePair{l.Serving, l.Filling}] = min(max(l.Share, minShareLimit), maxShareLimit)
 	}
 }
--- a/pkg/dispatch/lost.go
+++ b/pkg/dispatch/lost.go
@@ -6,17 +6,17 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// vacate ends every run at a worker.
-func (b *Board) vacate(now time.Time, h *host) {
-	h.unknown = unknown{}
-	delete(b.unknowns, h)
-	for _, r := range h.runs {
-		b.lost = append(b.lost, Lost{Task: r.id, Run: r.number, Worker: h.name})
-		b.finish(now, 0, h, &End{Task: r.id, Run: r.number, How: HowGone})
+// endAllRuns ends every run at a worker and records the runs as lost.
+func (sc *Board) endAllRuns(now time.Time, w *workerState) {
+	w.unknownJobs = unknownJobReport{}
+	delete(sc.workersWithUnknownJobs, w)
+	for _, r := range w.runs {
+		sc.lost = append(sc.lost, Lost{Task: r.id, Run: r.number, Worker: w.name})
+		sc.endRun(now, 0, w, &End{Task: r.id, Run: r.number, How: HowGone})
 	}
 }
 
-// Lost is a run that ended with its worker.
+// Lost is a run that ended because its worker did.
 type Lost struct {
 	Task   workflow.TaskID
 	Run    uint64
@@ -24,38 +24,40 @@
 }
 
 // TakeLost returns the runs that were lost since the last call.
-func (b *Board) TakeLost() []Lost {
-	out := b.lost
-	b.lost = nil
+func (sc *Board) TakeLost() []Lost {
+	out := sc.lost
+	sc.lost = nil
 	return out
 }
 
-// Silent notes that a worker is not heard; it gets no further orders.
-func (b *Board) Silent(name string) {
-	if h := b.workers[name]; h != nil {
-		h.silent = true
+// Silent records that a worker is silent; it gets no further orders.
+func (sc *Board) Silent(name string) {
+	if w := sc.workers[name]; w != nil {
+		w.silent = true
 	}
 }
 
-// Lapsed notes that everything at a worker has ended.
-func (b *Board) Lapsed(now time.Time, name string) int {
-	delete(b.unheard, name)
-	h := b.workers[name]
-	if h == nil {
+// Lapsed records that the lease of a worker has expired, so that everything there has ended. It
+// returns the number of runs lost.
+func (sc *Board) Lapsed(now time.Time, name string) int {
+	delete(sc.unreported, name)
+	w := sc.workers[name]
+	if w == nil {
 		return 0
 	}
-	n := len(h.runs)
-	b.vacate(now, h)
-	h.silent = true
-	h.lapsed = true
+	n := len(w.runs)
+	sc.endAllRuns(now, w)
+	w.silent = true
+	w.leaseExpired = true
 	return n
 }
 
-// Vacated notes that a worker has no runner; everything at it has ended.
-func (b *Board) Vacated(now time.Time, name string) int {
-	n := b.Lapsed(now, name)
-	if h := b.workers[name]; h != nil {
-		h.life = 0
+// Vacated records that a worker has no runner, so that everything there has ended. It returns
+// the number of runs lost.
+func (sc *Board) Vacated(now time.Time, name string) int {
+	n := sc.Lapsed(now, name)
+	if w := sc.workers[name]; w != nil {
+		w.life = 0
 	}
 	return n
 }
--- a/pkg/dispatch/report.go
+++ b/pkg/dispatch/report.go
@@ -9,38 +9,38 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// rackPrefix starts the label that names a worker's rack.
+// rackPrefix is the prefix of the label that names a worker's rack.
 const rackPrefix = "r"
 
 // How says how a run ended.
 type How uint8
 
-// The ways in which a run ends.
+// The outcomes of a run.
 const (
 	// HowDone is a run that finished its work.
 	HowDone How = iota + 1
-	// HowFailed is a run that failed by its own fault or its worker's.
+	// HowFailed is a run that failed, through its own fault or its worker's.
 	HowFailed
-	// HowStopped is a run that was told to stop.
+	// HowStopped is a run that was stopped by order.
 	HowStopped
-	// HowLapsed is a run whose lease ended.
+	// HowLapsed is a run whose lease expired.
 	HowLapsed
-	// HowBroken is a run of a gang of which another member ended.
+	// HowBroken is a run of a gang that ended because another member ended.
 	HowBroken
-	// HowAlone is a run of a gang that waited for the others in vain.
+	// HowAlone is a run of a gang that waited in vain for the other members.
 	HowAlone
 	// HowRefused is an order that is known never to run.
 	HowRefused
-	// HowGone is a run whose worker ended or lapsed.
+	// HowGone is a run that ended because its worker ended or the worker's lease expired.
 	HowGone
 )
 
-var howNames = [...]string{"", "done", "failed", "stopped", "lapsed", "broken", "alone", "refused", "gone"}
+var outcomeNames = [...]string{"", "done", "failed", "stopped", "lapsed", "broken", "alone", "refused", "gone"}
 
 // String returns the name used in logs and between processes.
-func (h How) String() string { return howNames[h] }
+func (h How) String() string { return outcomeNames[h] }
 
-// End is the end of one run.
+// End is the end of a run, as listed by a worker.
 type End struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
@@ -50,232 +50,235 @@
 	Saved  string
 }
 
-// Row is one run that a worker lists.
+// Row is the status of a run, as listed by a worker.
 type Row struct {
 	_    struct{} `cbor:",toarray"`
 	Task workflow.TaskID
 	Run  uint64
 	// Saved is the newest checkpoint.
 	Saved string
-	// Percent is how much of the work is done.
+	// Percent is the progress of the run.
 	Percent int
-	// Reading is the tail latency in milliseconds of a task that serves, else the thousandths of a processor in use.
+	// Reading is the tail latency of a serving task in milliseconds; for other tasks, the
+	// processor time in use in thousandths of a processor.
 	Reading float64
 	// Pending marks an order that may still take effect.
 	Pending bool
 }
 
-// Worker is what a worker says about itself.
+// Worker is what a worker reports about itself.
 type Worker struct {
 	Name string `cbor:"1,keyasint"`
-	// Life tells one life of the runner from the next; 0 while none is known.
+	// Life identifies a life of the worker's runner, from its start to its end; 0 while none is
+	// known.
 	Life     uint64           `cbor:"2,keyasint"`
 	Service  string           `cbor:"3,keyasint"`
 	Capacity worker.Resources `cbor:"4,keyasint"`
 	Labels   []string         `cbor:"5,keyasint"`
 	Draining bool             `cbor:"6,keyasint,omitempty"`
-	// Pace is the percentage at which filling tasks work there.
+	// Pace is the pace of best-effort tasks there, in percent of full pace.
 	Pace int `cbor:"7,keyasint,omitempty"`
-	// Instance is the runner's name of its present life.
+	// Instance is the instance ID of the runner.
 	Instance string `cbor:"8,keyasint,omitempty"`
 }
 
-// Report takes in a worker's whole state: what it runs, and the ends that it
-// lists. Runs that it does not list are fenced.
-func (b *Board) Report(now time.Time, wallMS int64, w *Worker, rows []Row, ends []End) {
-	h := b.host(w.Name)
-	if h.life != w.Life {
-		b.vacate(now, h)
-		h.life = w.Life
-		h.health = health{}
-		h.lastEnd = 0
-	}
-	h.unknown = unknown{}
-	delete(b.unknowns, h)
-	b.describe(now, h, w)
-	b.Ended(now, wallMS, w.Name, w.Life, ends)
-	listed := make(map[workflow.TaskID]uint64, len(rows))
-	for i := range rows {
-		listed[rows[i].Task] = rows[i].Run
-		if b.jobs[rows[i].Task.Job] == nil {
-			b.keepRow(now, h, &rows[i])
+// Report takes in the full state of a worker: its runs and the ends that it lists. Runs that it
+// does not list are stopped, so that they can never start there.
+func (sc *Board) Report(now time.Time, wallMS int64, info *Worker, runs []Row, ends []End) {
+	w := sc.workerState(info.Name)
+	if w.life != info.Life {
+		sc.endAllRuns(now, w)
+		w.life = info.Life
+		w.health = workerHealth{}
+		w.lastEndNumber = 0
+	}
+	w.unknownJobs = unknownJobReport{}
+	delete(sc.workersWithUnknownJobs, w)
+	sc.setWorkerInfo(now, w, info)
+	sc.Ended(now, wallMS, info.Name, info.Life, ends)
+	listed := make(map[workflow.TaskID]uint64, len(runs))
+	for i := range runs {
+		listed[runs[i].Task] = runs[i].Run
+		if sc.jobs[runs[i].Task.Job] == nil {
+			sc.holdRun(now, w, &runs[i])
 			continue
 		}
-		b.adopt(now, h, &rows[i])
+		sc.adoptRun(now, w, &runs[i])
 	}
-	for id, r := range h.runs {
+	for id, r := range w.runs {
 		if listed[id] != r.number && r.phase != runStopping {
-			b.stop(now, r, "the worker does not list the run")
+			sc.orderStop(now, r, "the worker does not report the run")
 		}
 	}
-	delete(b.unheard, w.Name)
+	delete(sc.unreported, info.Name)
 }
 
-// Describe takes in what a worker says about itself between two reports.
-func (b *Board) Describe(now time.Time, w *Worker, rows []Row) {
-	h := b.host(w.Name)
-	if h.life != w.Life {
+// Describe takes in the state that a worker sends between two reports.
+func (sc *Board) Describe(now time.Time, info *Worker, runs []Row) {
+	w := sc.workerState(info.Name)
+	if w.life != info.Life {
 		return
 	}
-	b.describe(now, h, w)
-	for i := range rows {
-		if r := h.runs[rows[i].Task]; r != nil && r.number == rows[i].Run {
-			b.observe(now, r, &rows[i])
+	sc.setWorkerInfo(now, w, info)
+	for i := range runs {
+		if r := w.runs[runs[i].Task]; r != nil && r.number == runs[i].Run {
+			sc.updateRun(now, r, &runs[i])
 		}
 	}
-	b.learnHarm(now, h)
+	sc.learnInterference(now, w)
 }
 
-func (b *Board) host(name string) *host {
-	h := b.workers[name]
-	if h == nil {
-		h = &host{name: name, runs: make(map[workflow.TaskID]*run), servingImages: make(map[string]int), fillShares: make(map[string]float64)}
-		b.workers[name] = h
+func (sc *Board) workerState(name string) *workerState {
+	w := sc.workers[name]
+	if w == nil {
+		w = &workerState{name: name, runs: make(map[workflow.TaskID]*run), servingTasksByImage: make(map[string]int), bestEffortShares: make(map[string]float64)}
+		sc.workers[name] = w
 	}
-	return h
+	return w
 }
 
-func (b *Board) describe(now time.Time, h *host, w *Worker) {
-	h.heard, h.silent, h.lapsed = now, false, false
-	h.service, h.capacity, h.draining, h.pace, h.instance = w.Service, w.Capacity, w.Draining, w.Pace, w.Instance
-	if h.pace < fullPace {
-		h.paced = now
-	}
-	h.labels = make(map[string]bool, len(w.Labels))
-	h.rack = ""
-	for _, l := range w.Labels {
-		h.labels[l] = true
+func (sc *Board) setWorkerInfo(now time.Time, w *workerState, info *Worker) {
+	w.lastContact, w.silent, w.leaseExpired = now, false, false
+	w.service, w.capacity, w.draining, w.pacePercent, w.instance = info.Service, info.Capacity, info.Draining, info.Pace, info.Instance
+	if w.pacePercent < fullPacePercent {
+		w.lastSlowedAt = now
+	}
+	w.labels = make(map[string]bool, len(info.Labels))
+	w.rack = ""
+	for _, l := range info.Labels {
+		w.labels[l] = true
 		if strings.HasPrefix(l, rackPrefix) && strings.Contains(l, "-") {
-			h.rack = l
+			w.rack = l
 		}
 	}
 }
 
-// observe takes in a row of a run that the board knows.
-func (b *Board) observe(now time.Time, r *run, row *Row) {
-	if row.Pending {
+// updateRun updates a known run from its status.
+func (sc *Board) updateRun(now time.Time, r *run, status *Row) {
+	if status.Pending {
 		return
 	}
 	if r.phase == runOrdered {
-		r.phase = runWorking
+		r.phase = runRunning
 	}
-	if row.Percent != r.percent {
-		r.percent, r.moved = row.Percent, now
+	if status.Percent != r.percent {
+		r.percent, r.progressedAt = status.Percent, now
 	}
-	r.reading = row.Reading
-	if row.Saved != "" {
-		r.saved = row.Saved
+	r.reading = status.Reading
+	if status.Saved != "" {
+		r.checkpoint = status.Saved
 	}
 }
 
-// adopt takes in a row of a report; the run may have been ordered in an earlier term.
-func (b *Board) adopt(now time.Time, h *host, row *Row) {
-	if r := h.runs[row.Task]; r != nil && r.number == row.Run {
-		b.observe(now, r, row)
+// adoptRun takes in the status of a run from a report; the run may have been ordered in an
+// earlier term.
+func (sc *Board) adoptRun(now time.Time, w *workerState, status *Row) {
+	if r := w.runs[status.Task]; r != nil && r.number == status.Run {
+		sc.updateRun(now, r, status)
 		return
 	}
-	s, t := b.task(row.Task)
-	if t == nil || t.done || s.occ.job.phase.Ended() || (len(t.runs) > 0 && !s.spec.Copies) {
-		b.stops = append(b.stops, Stop{Worker: h.name, Life: h.life, Task: row.Task, Run: row.Run, Reason: "the run is not wanted"})
+	s, t := sc.task(status.Task)
+	if t == nil || t.done || s.occurrence.job.phase.Ended() || (len(t.runs) > 0 && !s.spec.Copies) {
+		sc.stops = append(sc.stops, Stop{Worker: w.name, Life: w.life, Task: status.Task, Run: status.Run, Reason: "the run is unknown or no longer needed"})
 		return
 	}
-	r := b.place(now, s, t, row.Task, h, row.Run)
+	r := sc.addRun(now, s, t, status.Task, w, status.Run)
 	r.phase = runOrdered
-	b.observe(now, r, row)
-	s.occ.job.begun = true
+	sc.updateRun(now, r, status)
+	s.occurrence.job.started = true
 }
 
-// place notes that a run of a task is at a worker.
-func (b *Board) place(now time.Time, s *stepState, t *taskState, id workflow.TaskID, h *host, number uint64) *run {
-	r := &run{step: s, id: id, number: number, host: h, since: now, moved: now}
+// addRun adds a run of a task at a worker.
+func (sc *Board) addRun(now time.Time, s *stepState, t *taskState, id workflow.TaskID, w *workerState, number uint64) *run {
+	r := &run{step: s, id: id, number: number, worker: w, orderedAt: now, progressedAt: now}
 	if len(t.runs) == 0 && !t.done {
-		b.wait(s, -1)
+		sc.addWaiting(s, -1)
 	}
 	t.runs = append(t.runs, r)
-	t.lastRun = max(t.lastRun, number)
-	if s.perWorker != nil {
-		s.perWorker[h.name]++
+	t.lastRunNumber = max(t.lastRunNumber, number)
+	if s.runsPerWorker != nil {
+		s.runsPerWorker[w.name]++
 	}
-	h.add(r)
+	w.add(r)
 	return r
 }
 
-func (b *Board) wait(s *stepState, by int) {
-	s.waiting += by
-	if s.waiting > 0 && s.open && !s.occ.job.phase.Ended() {
-		b.ready[s] = struct{}{}
+func (sc *Board) addWaiting(s *stepState, by int) {
+	s.waitingTasks += by
+	if s.waitingTasks > 0 && s.open && !s.occurrence.job.phase.Ended() {
+		sc.readySteps[s] = struct{}{}
 	} else {
-		delete(b.ready, s)
+		delete(sc.readySteps, s)
 	}
 }
 
 // Ended takes in the ends that a worker lists.
-func (b *Board) Ended(now time.Time, wallMS int64, name string, life uint64, ends []End) {
-	h := b.host(name)
-	if h.life != life {
+func (sc *Board) Ended(now time.Time, wallMS int64, name string, life uint64, ends []End) {
+	w := sc.workerState(name)
+	if w.life != life {
 		return
 	}
 	for i := range ends {
 		e := &ends[i]
-		h.lastEnd = max(h.lastEnd, e.Number)
-		if b.jobs[e.Task.Job] == nil {
-			b.keepEnd(now, h, e)
+		w.lastEndNumber = max(w.lastEndNumber, e.Number)
+		if sc.jobs[e.Task.Job] == nil {
+			sc.holdEnd(now, w, e)
 			continue
 		}
-		b.finish(now, wallMS, h, e)
+		sc.endRun(now, wallMS, w, e)
 	}
 	if len(ends) > 0 {
-		b.note(h)
+		sc.acknowledge(w)
 	}
 }
 
-// Refused notes that an order is known never to run at a worker.
-func (b *Board) Refused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, number uint64) {
-	h := b.host(name)
-	if h.life == life {
-		b.finish(now, wallMS, h, &End{Task: id, Run: number, How: HowRefused})
+// Refused records that an order is known never to run at a worker.
+func (sc *Board) Refused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, number uint64) {
+	w := sc.workerState(name)
+	if w.life == life {
+		sc.endRun(now, wallMS, w, &End{Task: id, Run: number, How: HowRefused})
 	}
 }
 
-// finish takes in one end.
-func (b *Board) finish(now time.Time, wallMS int64, h *host, e *End) {
-	s, t := b.task(e.Task)
-	r := h.runs[e.Task]
+// endRun takes in one end.
+func (sc *Board) endRun(now time.Time, wallMS int64, w *workerState, e *End) {
+	s, t := sc.task(e.Task)
+	r := w.runs[e.Task]
 	if r != nil && r.number == e.Run {
-		b.learn(now, r, e.How)
-		b.release(now, r)
+		sc.recordOutcome(now, r, e.How)
+		sc.removeRun(now, r)
 	} else if t == nil {
 		return
 	}
 	if t == nil {
 		return
 	}
-	t.lastRun = max(t.lastRun, e.Run)
+	t.lastRunNumber = max(t.lastRunNumber, e.Run)
 	if e.Saved != "" {
-		t.saved = e.Saved
-	} else if r != nil && r.saved != "" {
-		t.saved = r.saved
+		t.checkpoint = e.Saved
+	} else if r != nil && r.checkpoint != "" {
+		t.checkpoint = r.checkpoint
 	}
-	j := s.occ.job
+	j := s.occurrence.job
 	switch e.How {
 	case HowDone:
-		b.complete(now, wallMS, s, t)
+		sc.completeTask(now, wallMS, s, t)
 	case HowFailed:
-		b.failed(now, wallMS, s, t, h, e.Run)
+		sc.recordFailure(now, wallMS, s, t, w, e.Run)
 	case HowRefused:
-		t.after = now.Add(refusedDelay)
+		t.notBefore = now.Add(refusedRetryDelay)
 	}
 	if !t.done && len(t.runs) == 0 && !j.phase.Ended() {
-		t.freed = now
+		t.waitingSince = now
 	}
 }
 
-// release removes a run from its task and worker.
-func (b *Board) release(now time.Time, r *run) {
-	r.host.remove(r)
+// removeRun removes a run from its task and worker.
+func (sc *Board) removeRun(now time.Time, r *run) {
+	r.worker.remove(r)
 	s := r.step
 	if s.spec.Fills {
-		r.host.fillEnded = now
+		r.worker.bestEffortEndedAt = now
 	}
 	t := &s.tasks[r.id.Index]
 	for i, o := range t.runs {
@@ -284,74 +287,74 @@
 			break
 		}
 	}
-	if s.perWorker != nil {
-		s.perWorker[r.host.name]--
+	if s.runsPerWorker != nil {
+		s.runsPerWorker[r.worker.name]--
 	}
 	if len(t.runs) == 0 && !t.done {
-		t.freed = now
-		b.wait(s, 1)
+		t.waitingSince = now
+		sc.addWaiting(s, 1)
 	}
 }
 
-func (b *Board) complete(now time.Time, wallMS int64, s *stepState, t *taskState) {
-	j := s.occ.job
+func (sc *Board) completeTask(now time.Time, wallMS int64, s *stepState, t *taskState) {
+	j := s.occurrence.job
 	if s.spec.Lasts || j.phase.Ended() {
 		return
 	}
-	b.begin(j)
+	sc.markStarted(j)
 	if s.spec.Gang {
 		for i := range s.tasks {
-			b.markDone(now, s, &s.tasks[i])
+			sc.markTaskDone(now, s, &s.tasks[i])
 		}
 	} else {
-		b.markDone(now, s, t)
+		sc.markTaskDone(now, s, t)
 	}
-	b.dirty[j] = struct{}{}
-	if s.done == len(s.tasks) && !s.closed {
+	sc.changedJobs[j] = struct{}{}
+	if s.doneTasks == len(s.tasks) && !s.closed {
 		s.closed = true
-		s.occ.done++
-		b.openSteps(s.occ)
-		b.checkOccurrence(now, wallMS, s.occ)
+		s.occurrence.doneSteps++
+		sc.openSteps(s.occurrence)
+		sc.checkOccurrence(now, wallMS, s.occurrence)
 	}
 }
 
-func (b *Board) markDone(now time.Time, s *stepState, t *taskState) {
+func (sc *Board) markTaskDone(now time.Time, s *stepState, t *taskState) {
 	if t.done {
 		return
 	}
 	t.done = true
-	s.done++
+	s.doneTasks++
 	if len(t.runs) == 0 {
-		b.wait(s, -1)
+		sc.addWaiting(s, -1)
 	}
 	for _, r := range t.runs {
 		if !s.spec.Gang {
-			b.stop(now, r, "another copy is done")
+			sc.orderStop(now, r, "another run of the task is done")
 		}
 	}
 }
 
-func (b *Board) failed(now time.Time, wallMS int64, s *stepState, t *taskState, h *host, number uint64) {
-	j := s.occ.job
-	if t.done || j.phase.Ended() || slices.Contains(t.failed, number) {
+func (sc *Board) recordFailure(now time.Time, wallMS int64, s *stepState, t *taskState, w *workerState, number uint64) {
+	j := s.occurrence.job
+	if t.done || j.phase.Ended() || slices.Contains(t.failedRuns, number) {
 		return
 	}
-	b.begin(j)
-	t.failed = append(t.failed, number)
-	t.avoid = h.name
-	b.dirty[j] = struct{}{}
-	if q := b.queues[j.sub.Queue]; !s.spec.Lasts && q.Attempts > 0 && len(t.failed) >= q.Attempts {
-		b.end(now, wallMS, j, workflow.PhaseFailed)
+	sc.markStarted(j)
+	t.failedRuns = append(t.failedRuns, number)
+	t.failedWorker = w.name
+	sc.changedJobs[j] = struct{}{}
+	if q := sc.queues[j.submission.Queue]; !s.spec.Lasts && q.Attempts > 0 && len(t.failedRuns) >= q.Attempts {
+		sc.endJob(now, wallMS, j, workflow.PhaseFailed)
 		return
 	}
 	if s.spec.Lasts {
-		t.after = now.Add(lastingDelay(len(t.failed)))
+		t.notBefore = now.Add(restartDelay(len(t.failedRuns)))
 	}
 }
 
-func (b *Board) begin(j *jobState) {
-	if !j.begun {
-		j.begun = true
-		b.dirty[j] = struct{}{}
+func (sc *Board) markStarted(j *jobState) {
+	if !j.started {
+		j.started = true
+		sc.changedJobs[j] = struct{}{}
 	}
 }
--- a/pkg/dispatch/score.go
+++ b/pkg/dispatch/score.go
@@ -6,148 +6,155 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Weights of a placement's score, in units of one whole worker.
+// Weights of the terms of a placement score. A score of 1 stands for the processor time of a
+// whole worker.
 const (
-	// weightAvoid speaks against the worker where the last run failed.
-	weightAvoid = 4.0
-	// weightFar speaks against another rack than that of the data, for each unit of the spread factor beyond 1.
-	weightFar = 2.0
-	// weightSlow speaks against a worker for each unit of its pace beyond 1.5.
-	weightSlow = 1.0
-	slowFrom   = 1.5
-	// weightHarm speaks against filling tasks beside serving ones, for the harm expected and the pace lost.
-	weightHarm = 3.0
-	// weightTogether draws tasks that last to where others last already, so that
-	// some workers stay free for filling ones, and short tasks to the others.
-	weightTogether = 2.0
-	// weightCrowd speaks against taking processor time that filling tasks use.
-	weightCrowd = 0.5
-	// weightStarve speaks against a filling task for each further share of its
-	// running time that it would take longer.
-	weightStarve = 1.0
-	// lastingUnused is the part of its reservation that a task that lasts leaves
-	// unused: served load is at 0.42 on average, by the sites' sheets.
-	lastingUnused = 0.55
-	// fillShare is how much more than what is left filling tasks may ask for
-	// before they get slower: up to twice as much, runs were as fast as alone.
-	fillShare = 2.0
-	// fullPace is the pace of filling tasks that are not slowed down.
-	fullPace = 100
+	// weightFailedWorker penalises the worker where the task's last run failed.
+	weightFailedWorker = 4.0
+	// weightRemoteRack penalises other racks than that of the data, per unit of the remote-rack
+	// slowdown above 1.
+	weightRemoteRack = 2.0
+	// weightSlowWorker penalises a worker per unit of its slowdown above 1.5.
+	weightSlowWorker  = 1.0
+	toleratedSlowdown = 1.5
+	// weightInterference penalises best-effort tasks next to serving tasks, by the expected
+	// interference and by how far best-effort tasks are slowed down there.
+	weightInterference = 3.0
+	// weightPacking packs long-running tasks onto workers that already have some, so that other
+	// workers stay free for best-effort tasks; a quarter of it draws short tasks to workers
+	// with serving tasks.
+	weightPacking = 2.0
+	// weightDisplacement penalises taking processor time that best-effort tasks use.
+	weightDisplacement = 0.5
+	// weightStretching penalises workers where a best-effort task would run longer, by the
+	// relative increase of its run time.
+	weightStretching = 1.0
+	// longRunningUnusedShare is the fraction of its reservation that a long-running task leaves
+	// unused: according to the sites' data sheets, the average load of services is 0.42.
+	longRunningUnusedShare = 0.55
+	// bestEffortOvercommit is how far the requests of best-effort tasks may exceed the unused
+	// processor time before the tasks slow down: with requests of up to twice that time, runs
+	// were as fast as alone.
+	bestEffortOvercommit = 2.0
+	// fullPacePercent is the pace of best-effort tasks that are not slowed down.
+	fullPacePercent = 100
 )
 
-// unused returns the processor time that filling tasks at a worker could still
-// use: what nobody reserves, and a part of what tasks that last reserve.
-func (h *host) unused() float64 {
-	return float64(h.free().MilliCPU-h.filling) + lastingUnused*float64(h.reserved)
+// unusedMilliCPU returns the processor time that best-effort tasks at a worker could still use:
+// what nobody reserves, and a part of the reservations of long-running tasks.
+func (w *workerState) unusedMilliCPU() float64 {
+	return float64(w.free().MilliCPU-w.bestEffortMilliCPU) + longRunningUnusedShare*float64(w.longRunningMilliCPU)
 }
 
-// harmOf returns the harm expected at a load, from 0 to 1: little below the
-// limit, full from one and a half times the limit on.
-func harmOf(load float64) float64 {
+// interferenceCost returns the expected cost of an interference load, from 0 to 1: 0 up to half
+// the load limit, 1 from one and a half times the limit on.
+func interferenceCost(load float64) float64 {
 	const from, to = 0.5, 1.5
 	return min(1, max(0, (load-from)/(to-from)))
 }
 
-// slowness returns how much longer filling tasks at a worker would take with
-// one more of a size, as part of their running time.
-func (h *host) slowness(size int64) float64 {
-	most := fillShare * (float64(h.free().MilliCPU) + lastingUnused*float64(h.reserved))
-	asked := float64(h.filling + size)
-	const least = 0.05
-	return 1/min(1, max(least, most/asked)) - 1
+// relativeDelay returns by which fraction best-effort tasks at a worker would run longer if one
+// more of the given size started.
+func (w *workerState) relativeDelay(milliCPU int64) float64 {
+	limit := bestEffortOvercommit * (float64(w.free().MilliCPU) + longRunningUnusedShare*float64(w.longRunningMilliCPU))
+	requested := float64(w.bestEffortMilliCPU + milliCPU)
+	const minSpeed = 0.05
+	return 1/min(1, max(minSpeed, limit/requested)) - 1
 }
 
-// score rates a worker for a task; the lowest is chosen.
-func (b *Board) score(s *stepState, t *taskState, h *host) float64 {
-	v := 0.0
-	if t.avoid == h.name {
-		v += weightAvoid
+// score rates a worker for a task; the worker with the lowest score is chosen.
+func (sc *Board) score(s *stepState, t *taskState, w *workerState) float64 {
+	score := 0.0
+	if t.failedWorker == w.name {
+		score += weightFailedWorker
 	}
-	if s.spec.Rack != "" && s.spec.Rack != h.rack {
-		v += weightFar * max(0, b.spread-1)
+	if s.spec.Rack != "" && s.spec.Rack != w.rack {
+		score += weightRemoteRack * max(0, sc.remoteRackSlowdown-1)
 	}
-	if h.health.pace > slowFrom {
-		v += weightSlow * (h.health.pace - slowFrom)
+	if w.health.slowdown > toleratedSlowdown {
+		score += weightSlowWorker * (w.health.slowdown - toleratedSlowdown)
 	}
-	v += h.health.outcomes.Failing()
-	whole := float64(max(1, h.capacity.MilliCPU))
-	left := h.unused()
+	score += w.health.outcomes.Failing()
+	capacity := float64(max(1, w.capacity.MilliCPU))
+	unused := w.unusedMilliCPU()
 	size := float64(s.spec.Size.MilliCPU)
-	crowd := weightCrowd * max(0, size-left) / whole
+	displacement := weightDisplacement * max(0, size-unused) / capacity
 	switch {
 	case s.spec.Fills:
-		v += weightStarve*h.slowness(s.spec.Size.MilliCPU) - left/whole/4
-		if h.serving > 0 {
-			v += weightHarm * (harmOf(b.loadWith(h, s.spec.Image, s.spec.Size.MilliCPU)) + float64(fullPace-h.pace)/fullPace)
+		score += weightStretching*w.relativeDelay(s.spec.Size.MilliCPU) - unused/capacity/4
+		if w.servingTasks > 0 {
+			score += weightInterference * (interferenceCost(sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU)) + float64(fullPacePercent-w.pacePercent)/fullPacePercent)
 		}
 	case s.spec.Lasts:
-		v += crowd + float64(h.filling)/whole + float64(h.free().MilliCPU)/float64(b.largest())
-		if h.lasting > 0 {
-			v -= weightTogether
+		score += displacement + float64(w.bestEffortMilliCPU)/capacity + float64(w.free().MilliCPU)/float64(sc.largestMilliCPU())
+		if w.longRunningTasks > 0 {
+			score -= weightPacking
 		}
 	default:
-		v += crowd - left/whole/4
-		if h.serving > 0 {
-			v -= weightTogether / 4
+		score += displacement - unused/capacity/4
+		if w.servingTasks > 0 {
+			score -= weightPacking / 4
 		}
 	}
-	return v
+	return score
 }
 
-// largest returns the processor time of the largest worker.
-func (b *Board) largest() int64 {
+// largestMilliCPU returns the processor time of the largest worker.
+func (sc *Board) largestMilliCPU() int64 {
 	most := int64(1)
-	for _, h := range b.workers {
-		most = max(most, h.capacity.MilliCPU)
+	for _, w := range sc.workers {
+		most = max(most, w.capacity.MilliCPU)
 	}
 	return most
 }
 
-// makeRoom stops tasks of lower priority on the worker where the least is lost,
-// so that a task that lasts fits once they have ended.
-func (b *Board) makeRoom(now time.Time, s *stepState, q Queue) {
-	var best *host
+// preemptFor stops tasks of lower priority so that a long-running task fits once they have
+// ended. It chooses the worker where the fewest runs have to be stopped.
+func (sc *Board) preemptFor(now time.Time, s *stepState, q Queue) {
+	var best *workerState
 	var victims []*run
-	for _, h := range b.workers {
-		if !b.allowed(now, s, q, h) || s.spec.MostPerWorker > 0 && s.perWorker[h.name] >= s.spec.MostPerWorker {
+	for _, w := range sc.workers {
+		if !sc.allowed(now, s, q, w) || s.spec.MostPerWorker > 0 && s.runsPerWorker[w.name] >= s.spec.MostPerWorker {
 			continue
 		}
-		if v, ok := b.victims(h, s.spec.Reserved(), q.Priority); ok && (best == nil || len(v) < len(victims) || len(v) == len(victims) && h.name < best.name) {
-			best, victims = h, v
+		if v, ok := sc.preemptionVictims(w, s.spec.Reserved(), q.Priority); ok && (best == nil || len(v) < len(victims) || len(v) == len(victims) && w.name < best.name) {
+			best, victims = w, v
 		}
 	}
 	for _, r := range victims {
-		b.stop(now, r, "a task that lasts needs the room")
+		sc.orderStop(now, r, "preempted by a long-running task")
 	}
 }
 
-// victims returns runs of lower priority whose end makes room for need.
-func (b *Board) victims(h *host, need worker.Resources, priority int) ([]*run, bool) {
-	free := h.free()
-	var young []*run
-	for _, r := range h.runs {
+// preemptionVictims returns the runs of lower priority that have to end, the youngest first,
+// for need to fit, and reports whether that is enough. Runs that are being stopped count as
+// ended.
+func (sc *Board) preemptionVictims(w *workerState, need worker.Resources, priority int) ([]*run, bool) {
+	free := w.free()
+	var candidates []*run
+	for _, r := range w.runs {
 		if r.phase == runStopping {
 			free = free.Plus(r.step.spec.Reserved())
 			continue
 		}
-		if !r.step.spec.Lasts && b.queues[r.step.occ.job.sub.Queue].Priority > priority {
-			young = append(young, r)
+		if !r.step.spec.Lasts && sc.queues[r.step.occurrence.job.submission.Queue].Priority > priority {
+			candidates = append(candidates, r)
 		}
 	}
-	sortRuns(young)
-	var out []*run
-	for _, r := range young {
+	sortYoungestFirst(candidates)
+	var victims []*run
+	for _, r := range candidates {
 		if need.Fits(free) {
 			break
 		}
 		free = free.Plus(r.step.spec.Reserved())
-		out = append(out, r)
+		victims = append(victims, r)
 	}
-	return out, need.Fits(free)
+	return victims, need.Fits(free)
 }
 
-// sortRuns puts the runs first that lose the least: the youngest.
-func sortRuns(runs []*run) {
+// sortYoungestFirst puts the youngest runs first: they lose the least work.
+func sortYoungestFirst(runs []*run) {
 	for i := 1; i < len(runs); i++ {
 		for j := i; j > 0 && younger(runs[j], runs[j-1]); j-- {
 			runs[j], runs[j-1] = runs[j-1], runs[j]
@@ -156,8 +163,8 @@
 }
 
 func younger(x, y *run) bool {
-	if !x.since.Equal(y.since) {
-		return x.since.After(y.since)
+	if !x.orderedAt.Equal(y.orderedAt) {
+		return x.orderedAt.After(y.orderedAt)
 	}
 	return x.id.String() < y.id.String()
 }
--- a/pkg/dispatch/unknown.go
+++ b/pkg/dispatch/unknown.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// unknown is what a worker lists of jobs that the board does not know: another
-// dispatcher may have read a record before this one does.
-type unknown struct {
-	rows []Row
+// unknownJobReport is what a worker has listed of jobs that this dispatcher does not know:
+// another dispatcher may have read the record of a job earlier.
+type unknownJobReport struct {
+	runs []Row
 	ends []End
-	// since is when the newest of them was listed.
-	since time.Time
+	// lastListedAt is when the newest of the runs and ends was listed.
+	lastListedAt time.Time
 }
 
-func (u *unknown) empty() bool { return len(u.rows)+len(u.ends) == 0 }
+func (u *unknownJobReport) empty() bool { return len(u.runs)+len(u.ends) == 0 }
 
-// firstEnd returns the number of the first end that must not be noted.
-func (u *unknown) firstEnd() uint64 {
+// firstEndNumber returns the number of the first end that must not be acknowledged.
+func (u *unknownJobReport) firstEndNumber() uint64 {
 	first := uint64(math.MaxUint64)
 	for i := range u.ends {
 		first = min(first, u.ends[i].Number)
@@ -25,77 +25,78 @@
 	return first
 }
 
-// keepRow keeps a row of a job that is not known until the job is read.
-func (b *Board) keepRow(now time.Time, h *host, row *Row) {
-	h.unknown.rows = append(h.unknown.rows, *row)
-	h.unknown.since = now
-	b.unknowns[h] = struct{}{}
+// holdRun holds a run of an unknown job until the job is read from the store.
+func (sc *Board) holdRun(now time.Time, w *workerState, status *Row) {
+	w.unknownJobs.runs = append(w.unknownJobs.runs, *status)
+	w.unknownJobs.lastListedAt = now
+	sc.workersWithUnknownJobs[w] = struct{}{}
 }
 
-// keepEnd keeps an end of a job that is not known until the job is read.
-func (b *Board) keepEnd(now time.Time, h *host, e *End) {
-	for i := range h.unknown.ends {
-		if h.unknown.ends[i].Number == e.Number {
+// holdEnd holds an end of an unknown job until the job is read from the store.
+func (sc *Board) holdEnd(now time.Time, w *workerState, e *End) {
+	for i := range w.unknownJobs.ends {
+		if w.unknownJobs.ends[i].Number == e.Number {
 			return
 		}
 	}
-	h.unknown.ends = append(h.unknown.ends, *e)
-	h.unknown.since = now
-	b.unknowns[h] = struct{}{}
+	w.unknownJobs.ends = append(w.unknownJobs.ends, *e)
+	w.unknownJobs.lastListedAt = now
+	sc.workersWithUnknownJobs[w] = struct{}{}
 }
 
-// note lets a worker forget its ends up to the last one taken in, as far as
-// none before it belongs to a job that is not known.
-func (b *Board) note(h *host) {
-	upTo := min(h.lastEnd, h.unknown.firstEnd()-1)
-	if n := b.notes[h.name]; upTo > 0 && (n.life != h.life || n.end < upTo) {
-		b.notes[h.name] = noted{life: h.life, end: upTo}
+// acknowledge lets a worker forget its ends up to the last one processed, but none from the
+// first end of an unknown job on.
+func (sc *Board) acknowledge(w *workerState) {
+	upTo := min(w.lastEndNumber, w.unknownJobs.firstEndNumber()-1)
+	if n := sc.acks[w.name]; upTo > 0 && (n.life != w.life || n.end < upTo) {
+		sc.acks[w.name] = ackPosition{life: w.life, end: upTo}
 	}
 }
 
-// recall takes in what workers have listed of a job that has become known.
-func (b *Board) recall(now time.Time, wallMS int64, job string) {
-	for h := range b.unknowns {
-		u := h.unknown
-		h.unknown = unknown{since: u.since}
+// applyHeld applies the runs and ends held for a job that has become known.
+func (sc *Board) applyHeld(now time.Time, wallMS int64, job string) {
+	for w := range sc.workersWithUnknownJobs {
+		u := w.unknownJobs
+		w.unknownJobs = unknownJobReport{lastListedAt: u.lastListedAt}
 		for i := range u.ends {
 			if u.ends[i].Task.Job == job {
-				b.finish(now, wallMS, h, &u.ends[i])
+				sc.endRun(now, wallMS, w, &u.ends[i])
 			} else {
-				h.unknown.ends = append(h.unknown.ends, u.ends[i])
+				w.unknownJobs.ends = append(w.unknownJobs.ends, u.ends[i])
 			}
 		}
-		for i := range u.rows {
-			if u.rows[i].Task.Job == job {
-				b.adopt(now, h, &u.rows[i])
+		for i := range u.runs {
+			if u.runs[i].Task.Job == job {
+				sc.adoptRun(now, w, &u.runs[i])
 			} else {
-				h.unknown.rows = append(h.unknown.rows, u.rows[i])
+				w.unknownJobs.runs = append(w.unknownJobs.runs, u.runs[i])
 			}
 		}
-		b.recalled(h)
+		sc.afterHeldChange(w)
 	}
 }
 
-// recalled notes what can be noted after the unknown jobs of a worker have changed.
-func (b *Board) recalled(h *host) {
-	if h.unknown.empty() {
-		delete(b.unknowns, h)
+// afterHeldChange acknowledges what is possible after the held runs and ends of a worker have
+// changed.
+func (sc *Board) afterHeldChange(w *workerState) {
+	if w.unknownJobs.empty() {
+		delete(sc.workersWithUnknownJobs, w)
 	}
-	b.note(h)
+	sc.acknowledge(w)
 }
 
-// CaughtUp notes that every job stored before a time is known: what workers had
-// listed of others by then belongs to no job.
-func (b *Board) CaughtUp(now, before time.Time) {
-	for h := range b.unknowns {
-		if !h.unknown.since.Before(before) {
+// CaughtUp records that every job stored before a time is known: runs and ends of unknown jobs
+// that workers had listed by then belong to no job.
+func (sc *Board) CaughtUp(now, before time.Time) {
+	for w := range sc.workersWithUnknownJobs {
+		if !w.unknownJobs.lastListedAt.Before(before) {
 			continue
 		}
-		rows := h.unknown.rows
-		h.unknown = unknown{}
-		for i := range rows {
-			b.adopt(now, h, &rows[i])
+		runs := w.unknownJobs.runs
+		w.unknownJobs = unknownJobReport{}
+		for i := range runs {
+			sc.adoptRun(now, w, &runs[i])
 		}
-		b.recalled(h)
+		sc.afterHeldChange(w)
 	}
 }
