--- a/pkg/tenure/tenure.go
+++ b/pkg/tenure/tenure.go
@@ -1,184 +1,189 @@
-// Package tenure decides which entry dispatches: when one may claim the
-// dispatch, how long it may vouch for it, and how long a worker may go on
-// without hearing from it.
+// Package tenure elects the dispatcher, the leader among the entries, and computes leases: when
+// an entry may claim leadership, how long a dispatcher may act, and how long a worker may go on
+// without contact with it.
 //
-// A claim is a record in the store, conditional on the end of its topic, so
-// that its offset gives each claim a term of its own. The present time is on a
-// clock that goes on while the machine is suspended.
+// A claim is a record in the store that is appended only if the end of its topic has not moved,
+// so that its offset gives each claim a term of its own. The current time is on a clock that
+// also advances while the machine is suspended.
 package tenure
 
 import "time"
 
-// Times of a tenure.
+// Durations of leases and elections.
 const (
-	// GrantFor is how long a worker goes on after it sent a ping that the
-	// dispatcher answered. The work of a lost worker waits as long, and work
-	// that lasts is to run again within six seconds of its loss.
+	// GrantFor is the length of a worker lease, counted from the sending of a ping that the
+	// dispatcher answered. The tasks of a lost worker are restarted only after it; long-running
+	// tasks have to run again within six seconds of the loss.
 	GrantFor = 5 * time.Second
-	// ProofFor is how long a dispatcher goes on after it sent a write that the
-	// store accepted under its term. It covers store outages of nine seconds.
+	// ProofFor is the length of a leadership lease, counted from the sending of a write that
+	// the store accepted under the dispatcher's term. It covers store outages of nine seconds.
 	ProofFor = 10 * time.Second
-	// ClaimAfter is how long the dispatcher is silent before another entry
-	// claims: four pings missed.
+	// ClaimAfter is how long the dispatcher has to be silent before another entry claims
+	// leadership: four missed pings.
 	ClaimAfter = 1200 * time.Millisecond
-	// rankStep keeps entries from claiming at the same moment; a claim takes about 30 ms.
-	rankStep = 150 * time.Millisecond
-	// slack covers delays between reading a clock and acting on it.
-	slack = 200 * time.Millisecond
-	// driftShare bounds the relative error of a clock's rate, twofold.
-	driftShare = 50
+	// claimStagger separates the claims of entries of different rank: one claim takes about
+	// 30 ms.
+	claimStagger = 150 * time.Millisecond
+	// schedulingSlack covers delays between reading a clock and acting on it.
+	schedulingSlack = 200 * time.Millisecond
+	// A duration divided by clockDriftDivisor is twice the largest error of a clock over that
+	// duration, so that two clocks may err in opposite directions.
+	clockDriftDivisor = 50
 )
 
-// withDrift returns how long to wait for d to have passed on any other clock.
-func withDrift(d time.Duration) time.Duration { return d + d/driftShare + slack }
+// withDrift returns how long to wait here until d has passed on any other clock.
+func withDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor + schedulingSlack }
 
-// LapsesAt returns when everything on a worker has ended, if the last ping that
-// was answered arrived at heard and no later dispatcher has answered one since.
-func LapsesAt(heard time.Time) time.Time { return heard.Add(withDrift(GrantFor)) }
+// LapsesAt returns when everything on a worker has ended because its lease has expired, if its
+// last ping that was answered arrived at lastContact and no later dispatcher has answered another
+// since.
+func LapsesAt(lastContact time.Time) time.Time { return lastContact.Add(withDrift(GrantFor)) }
 
-// Claim is what the store says about the dispatcher.
+// Claim is the record of an entry's claim to leadership.
 type Claim struct {
-	// Term is one more than the offset of the claim; it is not part of the record.
+	// Term is the leadership term: one more than the offset of the record, and not part of it.
 	Term uint64 `cbor:"-"`
-	// Entry and Incarnation name the process that claimed.
+	// Entry and Incarnation identify the process that claimed.
 	Entry       string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Address is where peers reach it.
+	// Address is the address at which other processes reach it.
 	Address string `cbor:"3,keyasint"`
 }
 
-// Candidate decides at an entry whether it should claim. The zero value knows
-// of no dispatcher.
+// Candidate decides at an entry whether it should claim leadership. The zero value knows of no
+// dispatcher.
 type Candidate struct {
-	claim    Claim
-	heard    time.Time
-	started  bool
-	resigned bool
+	claim        Claim
+	lastContact  time.Time
+	clockStarted bool
+	resigned     bool
 }
 
 // Claim returns the newest claim known; its term is 0 if there is none.
 func (c *Candidate) Claim() Claim { return c.claim }
 
-// Heard returns when the dispatcher was heard of last.
-func (c *Candidate) Heard() time.Time { return c.heard }
+// Heard returns the time of the last contact with the dispatcher.
+func (c *Candidate) Heard() time.Time { return c.lastContact }
 
 // Learn takes in a claim and reports whether it is newer than the one known.
 func (c *Candidate) Learn(now time.Time, claim Claim) bool {
 	if claim.Term <= c.claim.Term {
 		return false
 	}
-	c.claim, c.heard, c.started, c.resigned = claim, now, true, false
+	c.claim, c.lastContact, c.clockStarted, c.resigned = claim, now, true, false
 	return true
 }
 
-// Hear notes that the dispatcher of a term answered.
+// Hear records an answer of the dispatcher of a term.
 func (c *Candidate) Hear(now time.Time, term uint64) {
 	if term == c.claim.Term {
-		c.heard = now
+		c.lastContact = now
 	}
 }
 
-// Resigned notes that the dispatcher of a term has given up or is known to be dead.
+// Resigned records that the dispatcher of a term has resigned or is known to be dead.
 func (c *Candidate) Resigned(term uint64) {
 	if term == c.claim.Term {
 		c.resigned = true
 	}
 }
 
-// Vacant reports whether no process is known to dispatch.
+// Vacant reports whether no dispatcher is known.
 func (c *Candidate) Vacant() bool { return c.claim.Term == 0 || c.resigned }
 
-// Decide reports whether to claim now. Rank orders the entries that may claim,
-// others is how many other entries heard the dispatcher lately.
+// Decide reports whether to claim leadership now, and why. Entries of lower rank claim first;
+// others is the number of other entries that had contact with the dispatcher lately.
 func (c *Candidate) Decide(now time.Time, rank, others int) (claim bool, reason string) {
-	if !c.started {
-		c.started, c.heard = true, now
+	if !c.clockStarted {
+		c.clockStarted, c.lastContact = true, now
 	}
-	wait := time.Duration(rank) * rankStep
+	wait := time.Duration(rank) * claimStagger
 	switch {
 	case c.Vacant():
-		if now.Sub(c.heard) < wait && c.claim.Term == 0 {
-			return false, "another entry claims first"
+		if now.Sub(c.lastContact) < wait && c.claim.Term == 0 {
+			return false, "an entry of lower rank claims first"
 		}
-		return true, "no entry dispatches"
-	case now.Sub(c.heard) < ClaimAfter+wait:
-		return false, "the dispatcher was heard"
+		return true, "there is no dispatcher"
+	case now.Sub(c.lastContact) < ClaimAfter+wait:
+		return false, "the dispatcher was in contact recently"
 	case others > 0:
-		return false, "other entries hear the dispatcher"
+		return false, "other entries are in contact with the dispatcher"
 	}
 	return true, "the dispatcher is silent"
 }
 
-// Holder decides at the dispatcher how long its term goes on.
+// Holder is the leadership lease of a dispatcher.
 type Holder struct {
-	proven time.Time
+	renewedAt time.Time
 }
 
-// Prove notes that the store accepted a write under the term that was sent at sent.
-func (h *Holder) Prove(sent time.Time) {
-	if sent.After(h.proven) {
-		h.proven = sent
+// Prove renews the lease with a write that was sent at the given time and that the store
+// accepted under the dispatcher's term.
+func (l *Holder) Prove(sent time.Time) {
+	if sent.After(l.renewedAt) {
+		l.renewedAt = sent
 	}
 }
 
-// Proven returns when the newest accepted write was sent.
-func (h *Holder) Proven() time.Time { return h.proven }
+// Proven returns when the newest such write was sent.
+func (l *Holder) Proven() time.Time { return l.renewedAt }
 
-// Ended reports whether what must have ended by a time, unless a later dispatcher
-// granted more, has ended: a write sent after it was accepted under the term. Ask
-// is set if only such a write is missing.
-func (h *Holder) Ended(now, by time.Time) (ended, ask bool) {
+// Ended reports whether the lease of a worker, which expires no later than by, has certainly
+// expired. A later dispatcher may have extended it; a write that was sent no earlier than by and
+// accepted under this dispatcher's term shows that there was none. The second result is set if
+// only such a write is missing.
+func (l *Holder) Ended(now, by time.Time) (expired, needsWrite bool) {
 	if now.Before(by) {
 		return false, false
 	}
-	ended = !h.proven.Before(by)
-	return ended, !ended
+	expired = !l.renewedAt.Before(by)
+	return expired, !expired
 }
 
-// Valid reports whether workers may still be granted time.
-func (h *Holder) Valid(now time.Time) bool { return now.Sub(h.proven) < ProofFor }
+// Valid reports whether the dispatcher may still extend the leases of workers.
+func (l *Holder) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < ProofFor }
 
-// Predecessor decides when nothing that an earlier dispatcher ordered can run
-// any more on a worker that has not reported to the present one.
+// Predecessor computes when nothing that an earlier dispatcher ordered can run any more on
+// workers that have not reported to the present one.
 type Predecessor struct {
-	claimed time.Time
-	dead    time.Time
+	termBeganAt time.Time
+	deadSince   time.Time
 }
 
-// Follow notes that a term began at now after that of another process.
-func (p *Predecessor) Follow(now time.Time) { p.claimed, p.dead = now, time.Time{} }
+// Follow records that a term that replaces that of another process began at now.
+func (p *Predecessor) Follow(now time.Time) { p.termBeganAt, p.deadSince = now, time.Time{} }
 
-// Dead notes that the earlier dispatcher is known not to act since now.
+// Dead records that the earlier dispatcher is known not to act since now.
 func (p *Predecessor) Dead(now time.Time) {
-	if p.dead.IsZero() {
-		p.dead = now
+	if p.deadSince.IsZero() {
+		p.deadSince = now
 	}
 }
 
-// EndsAt returns when silent workers have ended whatever they ran for an earlier
-// dispatcher; zero if there was none.
+// EndsAt returns when the leases that an earlier dispatcher extended have expired on silent
+// workers; zero if there was no earlier dispatcher.
 func (p *Predecessor) EndsAt() time.Time {
-	if p.claimed.IsZero() {
+	if p.termBeganAt.IsZero() {
 		return time.Time{}
 	}
-	at := p.claimed.Add(withDrift(ProofFor + GrantFor))
-	if dead := p.dead.Add(withDrift(GrantFor)); !p.dead.IsZero() && dead.Before(at) {
+	at := p.termBeganAt.Add(withDrift(ProofFor + GrantFor))
+	if dead := p.deadSince.Add(withDrift(GrantFor)); !p.deadSince.IsZero() && dead.Before(at) {
 		return dead
 	}
 	return at
 }
 
-// Grant holds at a worker how long it may go on. The zero value grants nothing.
+// Grant is the lease of a worker, kept at the worker. The zero value has expired.
 type Grant struct {
-	until time.Time
+	expiresAt time.Time
 }
 
-// Renew takes in the answer to a ping that was sent at sent.
-func (g *Grant) Renew(sent time.Time) {
-	if u := sent.Add(GrantFor); u.After(g.until) {
-		g.until = u
+// Renew extends the lease after a ping that was sent at the given time has been answered.
+func (l *Grant) Renew(sent time.Time) {
+	if expiry := sent.Add(GrantFor); expiry.After(l.expiresAt) {
+		l.expiresAt = expiry
 	}
 }
 
-// Left returns how long the worker may go on.
-func (g *Grant) Left(now time.Time) time.Duration { return max(0, g.until.Sub(now)) }
+// Left returns how long the lease still lasts.
+func (l *Grant) Left(now time.Time) time.Duration { return max(0, l.expiresAt.Sub(now)) }
--- a/pkg/tenure/tenure_test.go
+++ b/pkg/tenure/tenure_test.go
@@ -55,78 +55,79 @@
 	}
 }
 
-func TestHolder(t *testing.T) {
-	var h Holder
-	h.Prove(at(0))
-	h.Prove(at(-500)) // the answer to an earlier write arrives later
+func TestLeaderLease(t *testing.T) {
+	var leadership Holder
+	leadership.Prove(at(0))
+	leadership.Prove(at(-500)) // the reply to an earlier write arrives later
 	for _, tc := range []struct {
 		ms   int64
 		want bool
 	}{{9000, true}, {9999, true}, {10000, false}} {
-		if got := h.Valid(at(tc.ms)); got != tc.want {
-			t.Errorf("valid %d ms after the proof: got %v, want %v", tc.ms, got, tc.want)
+		if got := leadership.Valid(at(tc.ms)); got != tc.want {
+			t.Errorf("leadership lease valid %d ms after the newest write: got %v, want %v", tc.ms, got, tc.want)
 		}
 	}
 }
 
-// A worker's last lease has ended before the dispatcher takes it for lost, with
-// clocks that differ by a hundredth in rate.
-func TestGrantEndsBeforeLapse(t *testing.T) {
-	var g Grant
-	g.Renew(at(0))
-	if got, want := g.Left(at(1000)), 4*time.Second; got != want {
-		t.Errorf("left: got %v, want %v", got, want)
+// The lease of a worker must have expired on the worker's clock before the dispatcher regards
+// it as expired, with clocks whose rates differ by one percent (a hundredth).
+func TestWorkerLeaseExpiresAtWorkerFirst(t *testing.T) {
+	var lease Grant
+	lease.Renew(at(0))
+	if got, want := lease.Left(at(1000)), 4*time.Second; got != want {
+		t.Errorf("remaining lease: got %v, want %v", got, want)
 	}
-	if got := g.Left(at(5000)); got != 0 {
-		t.Errorf("left after the grant: got %v, want 0", got)
+	if got := lease.Left(at(5000)); got != 0 {
+		t.Errorf("remaining lease after its end: got %v, want 0", got)
 	}
-	end := at(5000).Add(50 * time.Millisecond) // the runner's clock is slow by a hundredth
-	var h Holder
-	h.Prove(at(9000))
-	if got, _ := h.Ended(end, LapsesAt(at(0))); got {
-		t.Error("lapsed while a slow clock may still count: got true, want false")
+	workerEnd := at(5000).Add(50 * time.Millisecond) // the worker's clock is slow by one percent
+	var leadership Holder
+	leadership.Prove(at(9000))
+	if got, _ := leadership.Ended(workerEnd, LapsesAt(at(0))); got {
+		t.Error("lease expired while it may still run on a slow clock: got true, want false")
 	}
-	if got, _ := h.Ended(at(5300), LapsesAt(at(0))); !got {
-		t.Error("lapsed 5.3 s after the last ping: got false, want true")
+	if got, _ := leadership.Ended(at(5300), LapsesAt(at(0))); !got {
+		t.Error("lease expired 5.3 s after the last ping: got false, want true")
 	}
 }
 
-// A later dispatcher may have granted more to a worker that this one does not
-// hear, until a write under its own term shows that there was none.
-func TestLapseNeedsProof(t *testing.T) {
-	var h Holder
+// A dispatcher that lost contact with a worker must not regard its lease as expired while a later
+// dispatcher may have extended it: a write accepted under its own term has to show that there
+// is none.
+func TestWorkerLeaseEndNeedsWrite(t *testing.T) {
+	var leadership Holder
 	for _, tc := range []struct {
-		now, proven int64
-		ended, ask  bool
+		now, renewed        int64
+		expired, needsWrite bool
 	}{{5000, 4900, false, false}, {5400, 5200, false, true}, {5400, 5350, true, false}, {9000, 5350, true, false}} {
-		h.Prove(at(tc.proven))
-		if ended, ask := h.Ended(at(tc.now), LapsesAt(at(0))); ended != tc.ended || ask != tc.ask {
-			t.Errorf("at %d ms, proven at %d ms: got ended %v and ask %v, want %v and %v", tc.now, tc.proven, ended, ask, tc.ended, tc.ask)
+		leadership.Prove(at(tc.renewed))
+		if expired, needsWrite := leadership.Ended(at(tc.now), LapsesAt(at(0))); expired != tc.expired || needsWrite != tc.needsWrite {
+			t.Errorf("at %d ms, newest write at %d ms: got expired %v and write needed %v, want %v and %v", tc.now, tc.renewed, expired, needsWrite, tc.expired, tc.needsWrite)
 		}
 	}
 }
 
 func TestPredecessor(t *testing.T) {
-	over := func(p *Predecessor, ms int64) bool { return !at(ms).Before(p.EndsAt()) }
+	expired := func(p *Predecessor, ms int64) bool { return !at(ms).Before(p.EndsAt()) }
 	var none Predecessor
-	if !over(&none, 0) {
-		t.Error("without a predecessor: got not over, want over")
+	if !expired(&none, 0) {
+		t.Error("without a predecessor: got leases not expired, want expired")
 	}
 	var silent Predecessor
 	silent.Follow(at(0))
-	if over(&silent, 15000) {
-		t.Error("a silent predecessor may have proven itself just before: got over, want not")
+	if expired(&silent, 15000) {
+		t.Error("a silent predecessor may have renewed its leadership just before the term: got leases expired, want not expired")
 	}
-	if !over(&silent, 15500) {
-		t.Error("after proof and grant: got not over, want over")
+	if !expired(&silent, 15500) {
+		t.Error("after leadership lease and worker lease: got leases not expired, want expired")
 	}
 	var dead Predecessor
 	dead.Follow(at(0))
 	dead.Dead(at(100))
-	if over(&dead, 5000) {
-		t.Error("a dead predecessor's grants still run: got over, want not")
+	if expired(&dead, 5000) {
+		t.Error("worker leases of a dead predecessor still run: got leases expired, want not expired")
 	}
-	if !over(&dead, 5500) {
-		t.Error("after a dead predecessor's grants: got not over, want over")
+	if !expired(&dead, 5500) {
+		t.Error("after the worker leases of a dead predecessor: got leases not expired, want expired")
 	}
 }
