--- a/pkg/workflow/book.go
+++ b/pkg/workflow/book.go
@@ -7,19 +7,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrRecord means that a record of the book cannot be read.
-var ErrRecord = errors.New("the record cannot be read")
+// ErrRecord means that a job record cannot be decoded.
+var ErrRecord = errors.New("the job record cannot be decoded")
 
-// Prefixes of the keys of a job's records. The submission and the cancellation
-// are written by any entry, the progress only by the dispatching one.
+// Prefixes of the keys of a job's records. Any entry writes submissions and cancellations; only
+// the dispatcher writes progress.
 const (
 	prefixSubmission   = "s/"
 	prefixProgress     = "p/"
 	prefixCancellation = "c/"
 )
 
-// Record is one keyed record of the book; the newest of each key counts. A
-// record without a value drops its key.
+// Record is a keyed record of the store; the newest of each key counts. A record without a
+// value deletes its key.
 type Record struct {
 	Key   string
 	Value []byte
@@ -27,7 +27,7 @@
 
 func encode(key string, v any) (Record, error) {
 	value, err := cbor.Marshal(v)
-	return Record{Key: key, Value: value}, errors.Wrapf(err, "encode record %s", key)
+	return Record{Key: key, Value: value}, errors.Wrapf(err, "encode job record %s", key)
 }
 
 // SubmissionRecord returns the record of an accepted job.
@@ -41,122 +41,122 @@
 	return Record{Key: prefixCancellation + id, Value: []byte{1}}
 }
 
-// ForgetRecords returns the records that drop a job: of its progress, and of
-// its submission and cancellation.
+// ForgetRecords returns the records that delete a job: that of its progress, and those of its
+// submission and cancellation.
 func ForgetRecords(id string) (progress, intake []Record) {
 	return []Record{{Key: prefixProgress + id}}, []Record{{Key: prefixCancellation + id}, {Key: prefixSubmission + id}}
 }
 
-// Entry is what the book holds of one job.
+// Entry is what the records of a job say.
 type Entry struct {
-	submission *Submission
-	progress   Progress
-	cancelled  bool
-	progressed bool
+	submission  *Submission
+	progress    Progress
+	cancelled   bool
+	hasProgress bool
 }
 
-// Submission returns the accepted job, or nil if only a cancellation is known.
-func (e *Entry) Submission() *Submission { return e.submission }
+// Submission returns the accepted job, or nil if the submission has not been read.
+func (j *Entry) Submission() *Submission { return j.submission }
 
 // Progress returns the newest progress.
-func (e *Entry) Progress() *Progress { return &e.progress }
+func (j *Entry) Progress() *Progress { return &j.progress }
 
 // Cancelled reports whether the job was cancelled.
-func (e *Entry) Cancelled() bool { return e.cancelled }
+func (j *Entry) Cancelled() bool { return j.cancelled }
 
-// Phase returns the phase as far as the book tells.
-func (e *Entry) Phase() Phase {
+// Phase returns the phase according to the records read. A stored end takes precedence over a
+// cancellation.
+func (j *Entry) Phase() Phase {
 	switch {
-	case e.progress.Phase.Ended():
-		return e.progress.Phase
-	case e.cancelled:
+	case j.progress.Phase.Ended():
+		return j.progress.Phase
+	case j.cancelled:
 		return PhaseCancelled
 	}
-	return e.progress.Phase
+	return j.progress.Phase
 }
 
-// Book holds every job that is known, from the records of the store. The zero
-// value is empty.
+// Book is the table of all jobs known from the records of the store. The zero value is empty.
 type Book struct {
-	entries map[string]*Entry
+	jobs map[string]*Entry
 }
 
 // Len returns the number of jobs.
-func (b *Book) Len() int { return len(b.entries) }
+func (t *Book) Len() int { return len(t.jobs) }
 
-// Entry returns what is known of a job.
-func (b *Book) Entry(id string) (*Entry, bool) {
-	e, ok := b.entries[id]
-	return e, ok
+// Entry returns a job, and whether it is known.
+func (t *Book) Entry(id string) (*Entry, bool) {
+	j, ok := t.jobs[id]
+	return j, ok
 }
 
 // Each calls fn for each job.
-func (b *Book) Each(fn func(id string, e *Entry)) {
-	for id, e := range b.entries {
-		fn(id, e)
+func (t *Book) Each(fn func(id string, j *Entry)) {
+	for id, j := range t.jobs {
+		fn(id, j)
 	}
 }
 
-// Clear drops everything, before the book is read anew.
-func (b *Book) Clear() { b.entries = nil }
+// Clear removes all jobs, so that the records can be read again from the start.
+func (t *Book) Clear() { t.jobs = nil }
 
-// Apply takes a record in and returns the job concerned. An unreadable record
-// changes nothing and returns an error marked ErrRecord.
-func (b *Book) Apply(r Record) (id string, err error) {
+// Apply applies a record and returns the ID of its job. A record that cannot be decoded changes
+// nothing; the error is marked with ErrRecord.
+func (t *Book) Apply(r Record) (id string, err error) {
 	prefix, id, ok := strings.Cut(r.Key, "/")
 	prefix += "/"
 	if !ok || id == "" || (prefix != prefixSubmission && prefix != prefixProgress && prefix != prefixCancellation) {
-		return "", errors.Mark(errors.Newf("unknown key %q", r.Key), ErrRecord)
+		return "", errors.Mark(errors.Newf("unknown key %q of a job record", r.Key), ErrRecord)
 	}
 	if len(r.Value) == 0 {
-		b.drop(prefix, id)
+		t.remove(prefix, id)
 		return id, nil
 	}
-	e := b.entries[id]
-	if e == nil {
-		e = &Entry{}
+	j := t.jobs[id]
+	if j == nil {
+		j = &Entry{}
 	}
-	if err := e.apply(prefix, id, r.Value); err != nil {
+	if err := j.apply(prefix, id, r.Value); err != nil {
 		return "", err
 	}
-	if b.entries == nil {
-		b.entries = make(map[string]*Entry)
+	if t.jobs == nil {
+		t.jobs = make(map[string]*Entry)
 	}
-	b.entries[id] = e
+	t.jobs[id] = j
 	return id, nil
 }
 
-func (e *Entry) apply(prefix, id string, value []byte) error {
+func (j *Entry) apply(prefix, id string, value []byte) error {
 	switch prefix {
 	case prefixSubmission:
 		s := new(Submission)
 		if err := cbor.Unmarshal(value, s); err != nil {
-			return errors.Mark(errors.Wrapf(err, "submission of %s", id), ErrRecord)
+			return errors.Mark(errors.Wrapf(err, "decode the submission of job %s", id), ErrRecord)
 		}
 		if s.ID != id {
-			return errors.Mark(errors.Newf("submission of %s names job %q", id, s.ID), ErrRecord)
+			return errors.Mark(errors.Newf("submission of job %s has the ID of job %q", id, s.ID), ErrRecord)
 		}
-		if e.submission == nil {
-			e.submission = s
+		if j.submission == nil {
+			j.submission = s
 		}
 	case prefixProgress:
 		var p Progress
 		if err := cbor.Unmarshal(value, &p); err != nil {
-			return errors.Mark(errors.Wrapf(err, "progress of %s", id), ErrRecord)
+			return errors.Mark(errors.Wrapf(err, "decode the progress of job %s", id), ErrRecord)
 		}
 		if p.Phase > PhaseCancelled {
-			return errors.Mark(errors.Newf("progress of %s: unknown phase %d", id, p.Phase), ErrRecord)
+			return errors.Mark(errors.Newf("progress of job %s: unknown phase %d", id, p.Phase), ErrRecord)
 		}
-		e.progress, e.progressed = p, true
+		j.progress, j.hasProgress = p, true
 	case prefixCancellation:
-		e.cancelled = true
+		j.cancelled = true
 	}
 	return nil
 }
 
-// drop forgets a job once its submission is dropped.
-func (b *Book) drop(prefix, id string) {
+// remove removes a job when the record of its submission is deleted.
+func (t *Book) remove(prefix, id string) {
 	if prefix == prefixSubmission {
-		delete(b.entries, id)
+		delete(t.jobs, id)
 	}
 }
--- a/pkg/workflow/progress.go
+++ b/pkg/workflow/progress.go
@@ -1,6 +1,6 @@
 package workflow
 
-// Phase says how far a job is.
+// Phase is the phase of a job's life cycle.
 type Phase uint8
 
 // The phases of a job.
@@ -14,37 +14,37 @@
 
 var phaseNames = [...]string{"queued", "running", "completed", "failed", "cancelled"}
 
-// String returns the phase's name in logs.
+// String returns the name used in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Ended reports whether nothing of the job runs again.
+// Ended reports whether the job has ended, so that none of its tasks starts again.
 func (p Phase) Ended() bool { return p >= PhaseCompleted }
 
 // Submission is an accepted job.
 type Submission struct {
 	ID string `cbor:"1,keyasint"`
-	// Queue is the name of the queue that took the job.
+	// Queue is the name of the queue that accepted the job.
 	Queue string `cbor:"2,keyasint"`
 	Spec  Spec   `cbor:"3,keyasint"`
-	// AcceptedMS is when an entry accepted it, in Unix milliseconds on that entry's clock.
+	// AcceptedMS is when an entry accepted the job, in Unix milliseconds on that entry's clock.
 	AcceptedMS int64 `cbor:"4,keyasint"`
-	// Term is the newest term of the dispatch that the entry knew. A dispatcher of a
-	// later one takes the job for one that an earlier dispatcher may have started.
+	// Term is the newest leadership term that the entry knew. A dispatcher of a later term has
+	// to assume that an earlier dispatcher may have started the job.
 	Term uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Progress is what lasts of a job besides its submission.
+// Progress is the stored state of a job, apart from its submission.
 type Progress struct {
 	Phase Phase `cbor:"1,keyasint,omitempty"`
 	// EndedMS is when the job ended, in Unix milliseconds on the writer's clock.
 	EndedMS int64 `cbor:"2,keyasint,omitempty"`
-	// Done has one bit for each task that ended as done, by occurrence and step.
+	// Done has one bit for each task that is done, by occurrence and step.
 	Done []DoneStep `cbor:"3,keyasint,omitempty"`
-	// Tasks holds what else is known of single tasks.
+	// Tasks holds the state of tasks that are not done.
 	Tasks []TaskProgress `cbor:"4,keyasint,omitempty"`
 }
 
-// DoneStep marks the done tasks of one step of one occurrence.
+// DoneStep is the set of done tasks of one step of one occurrence.
 type DoneStep struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
@@ -52,12 +52,12 @@
 	Bits       []byte
 }
 
-// Has reports whether the task with the index is marked.
+// Has reports whether the task with the index is done.
 func (d *DoneStep) Has(index int) bool {
 	return index/8 < len(d.Bits) && d.Bits[index/8]&(1<<(index%8)) != 0
 }
 
-// Mark marks the task with the index.
+// Mark marks the task with the index as done.
 func (d *DoneStep) Mark(index int) {
 	for index/8 >= len(d.Bits) {
 		d.Bits = append(d.Bits, 0)
@@ -65,7 +65,7 @@
 	d.Bits[index/8] |= 1 << (index % 8)
 }
 
-// TaskProgress is what lasts of a task that is not done.
+// TaskProgress is the stored state of a task that is not done.
 type TaskProgress struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
--- a/pkg/workflow/spec.go
+++ b/pkg/workflow/spec.go
@@ -1,6 +1,5 @@
-// Package workflow models jobs that consist of steps: what a caller asks for,
-// the names of their tasks, what lasts of their progress, and the book of all
-// jobs that a reader of the store keeps.
+// Package workflow defines jobs that consist of steps: their specifications, the IDs of their
+// tasks, their stored progress, and the table of all jobs that a reader of the store builds.
 package workflow
 
 import (
@@ -11,12 +10,13 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// ErrSpec means that a job's description is not valid.
-var ErrSpec = errors.New("the job is not valid")
+// ErrSpec means that the specification of a job is not valid.
+var ErrSpec = errors.New("the job specification is not valid")
 
-// Limits of a job's description.
+// Limits of a job's specification.
 const (
-	// MaxTextBytes is the longest text that a job's tasks are given, as the platform accepts it.
+	// MaxTextBytes is the largest size of the text that a job passes to its tasks; the platform
+	// accepts no more.
 	MaxTextBytes = 4000
 	// MaxSteps and MaxTasks bound the memory that one job takes at an entry.
 	MaxSteps = 256
@@ -25,39 +25,40 @@
 	MaxOccurrences = 100000
 )
 
-// Step is one step of a job: tasks that are alike.
+// Step is one step of a job: a number of identical tasks.
 type Step struct {
 	Count int              `cbor:"1,keyasint"`
 	Size  worker.Resources `cbor:"2,keyasint"`
-	// EstimateMS is the caller's rough estimate of a task's running time, in milliseconds.
+	// EstimateMS is the caller's rough estimate of a task's run time, in milliseconds.
 	EstimateMS int64 `cbor:"3,keyasint,omitempty"`
-	// After lists earlier steps that must be done first.
+	// After lists the indexes of earlier steps that have to be done first.
 	After []int `cbor:"4,keyasint,omitempty"`
-	// Gang tasks only work together, under one run number.
+	// Gang means that the tasks only run together; they share one run number.
 	Gang     bool `cbor:"5,keyasint,omitempty"`
 	SameRack bool `cbor:"6,keyasint,omitempty"`
-	// Label is one that the worker must have.
+	// Label is a label that the worker must have; empty for any worker.
 	Label string `cbor:"7,keyasint,omitempty"`
-	// Rack is where the step's data is; tasks run slower on other racks.
+	// Rack is the rack of the step's data; tasks run slower on other racks.
 	Rack string `cbor:"8,keyasint,omitempty"`
-	// MostPerWorker bounds the tasks of the step that run on one worker; 0 is no bound.
+	// MostPerWorker is how many tasks of the step may run on one worker; 0 means no limit.
 	MostPerWorker int `cbor:"9,keyasint,omitempty"`
-	// Saves means that the tasks keep checkpoints.
+	// Saves means that the tasks write checkpoints.
 	Saves bool `cbor:"10,keyasint,omitempty"`
-	// Copies means that several runs of one task may run in parallel.
+	// Copies means that several runs of one task may run at a time.
 	Copies bool `cbor:"11,keyasint,omitempty"`
 	// Lasts means that the tasks run until the job is cancelled.
 	Lasts bool   `cbor:"12,keyasint,omitempty"`
 	Image string `cbor:"13,keyasint,omitempty"`
-	// TargetMS bounds the tail latency of a task that serves its own users, in milliseconds.
+	// TargetMS is the limit of the tail latency of a serving task, one that serves its own
+	// users, in milliseconds; 0 for other tasks.
 	TargetMS float64 `cbor:"14,keyasint,omitempty"`
-	// Fills means that the tasks use what others leave and reserve no processor time.
+	// Fills means that the tasks use processor time that other tasks leave, and reserve none.
 	Fills bool `cbor:"15,keyasint,omitempty"`
-	// MayMiss is how many tasks of a lasting step the scheduler may take away at a time.
+	// MayMiss is how many tasks of a long-running step the scheduler may stop at a time.
 	MayMiss int `cbor:"16,keyasint,omitempty"`
 }
 
-// Reserved returns what a task of the step is counted with against a worker's capacity.
+// Reserved returns the resources that a task of the step reserves on a worker.
 func (s *Step) Reserved() worker.Resources {
 	r := s.Size
 	if s.Fills {
@@ -66,31 +67,31 @@
 	return r
 }
 
-// Spec describes a job.
+// Spec is the specification of a job.
 type Spec struct {
-	// Text is handed to each task as it is.
+	// Text is passed to each task unchanged.
 	Text  string `cbor:"1,keyasint"`
 	Steps []Step `cbor:"2,keyasint"`
-	// Times is how often a scheduled job runs; 0 means once, at once.
+	// Times is how often a repeated job runs; 0 means once, immediately.
 	Times int `cbor:"3,keyasint,omitempty"`
 	// FirstMS is when the first occurrence is due, in Unix milliseconds.
 	FirstMS int64 `cbor:"4,keyasint,omitempty"`
-	// EveryMS is the time between two occurrences, in milliseconds.
+	// EveryMS is the interval between two occurrences, in milliseconds.
 	EveryMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Occurrences returns how often the job runs.
 func (s *Spec) Occurrences() int { return max(1, s.Times) }
 
-// DueMS returns when occurrence k is due, in Unix milliseconds; 0 means at once.
-func (s *Spec) DueMS(k int) int64 {
+// DueMS returns when an occurrence is due, in Unix milliseconds; 0 means immediately.
+func (s *Spec) DueMS(occurrence int) int64 {
 	if s.Times == 0 {
 		return 0
 	}
-	return s.FirstMS + int64(k)*s.EveryMS
+	return s.FirstMS + int64(occurrence)*s.EveryMS
 }
 
-// Lasts reports whether a step of the job runs until the job is cancelled.
+// Lasts reports whether a step of the job is long-running.
 func (s *Spec) Lasts() bool {
 	for i := range s.Steps {
 		if s.Steps[i].Lasts {
@@ -104,7 +105,7 @@
 	return errors.Mark(errors.Newf(format, args...), ErrSpec)
 }
 
-// Validate returns an error marked ErrSpec that names the first wrong field.
+// Validate returns an error, marked with ErrSpec, that names the first invalid field.
 func (s *Spec) Validate() error {
 	if len(s.Text) > MaxTextBytes {
 		return invalid("text: want at most %d bytes, got %d", MaxTextBytes, len(s.Text))
@@ -135,11 +136,11 @@
 	case s.Count < 1 || s.Count > MaxTasks:
 		return errors.Newf("count: want 1 to %d, got %d", MaxTasks, s.Count)
 	case !s.Size.Valid():
-		return errors.New("size: no amount may be negative")
+		return errors.New("size: amounts must not be negative")
 	case s.EstimateMS < 0:
 		return errors.New("estimate: must not be negative")
 	case s.MostPerWorker < 0:
-		return errors.New("most per worker: must not be negative")
+		return errors.New("tasks per worker: must not be negative")
 	case s.MayMiss < 0:
 		return errors.New("may miss: must not be negative")
 	}
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// TaskID names one task.
+// TaskID identifies a task.
 type TaskID struct {
 	_          struct{} `cbor:",toarray"`
 	Job        string
@@ -160,12 +161,12 @@
 	Index      int
 }
 
-// String returns the task's name on a worker.
+// String returns the name of the task on a worker.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// StepID names one step of one occurrence of a job.
+// StepID identifies one step of one occurrence of a job.
 type StepID struct {
 	_          struct{} `cbor:",toarray"`
 	Job        string
@@ -173,5 +174,5 @@
 	Step       int
 }
 
-// String returns the step's name outside.
+// String returns the name of the step used outside this program.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Occurrence, s.Step) }
--- a/pkg/workflow/task.go
+++ b/pkg/workflow/task.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// taskParts is the number of parts of a task's name.
-const taskParts = 4
+// taskIDParts is the number of dot-separated parts of a task ID.
+const taskIDParts = 4
 
-// ParseTask reads what TaskID.String returned.
+// ParseTask parses what TaskID.String returned.
 func ParseTask(name string) (TaskID, bool) {
 	parts := strings.Split(name, ".")
-	if len(parts) != taskParts || parts[0] == "" {
+	if len(parts) != taskIDParts || parts[0] == "" {
 		return TaskID{}, false
 	}
-	var n [taskParts - 1]int
+	var n [taskIDParts - 1]int
 	for i, p := range parts[1:] {
 		v, err := strconv.Atoi(p)
 		if err != nil || v < 0 {
--- a/pkg/workflow/workflow_test.go
+++ b/pkg/workflow/workflow_test.go
@@ -70,45 +70,45 @@
 	}
 }
 
-func TestBook(t *testing.T) {
+func TestJobTable(t *testing.T) {
 	must := mustRecord(t)
 	sub := &Submission{ID: "a", Queue: "q", Spec: *validSpec()}
-	var b Book
+	var table Book
 	for _, r := range []Record{
 		must(ProgressRecord("a", &Progress{Phase: PhaseRunning})), // may be read before the submission
 		must(SubmissionRecord(sub)),
 		must(SubmissionRecord(&Submission{ID: "a", Queue: "other"})),
 	} {
-		if _, err := b.Apply(r); err != nil {
+		if _, err := table.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e, ok := b.Entry("a")
-	if !ok || e.Submission().Queue != "q" || e.Phase() != PhaseRunning {
-		t.Fatalf("got %+v, want the first submission, running", e)
+	job, ok := table.Entry("a")
+	if !ok || job.Submission().Queue != "q" || job.Phase() != PhaseRunning {
+		t.Fatalf("got %+v, want the first submission and phase running", job)
 	}
-	if _, err := b.Apply(CancellationRecord("a")); err != nil || e.Phase() != PhaseCancelled {
-		t.Errorf("after the cancellation: got %v %v, want %v", e.Phase(), err, PhaseCancelled)
+	if _, err := table.Apply(CancellationRecord("a")); err != nil || job.Phase() != PhaseCancelled {
+		t.Errorf("phase after the cancellation: got %v %v, want %v", job.Phase(), err, PhaseCancelled)
 	}
-	if _, err := b.Apply(must(ProgressRecord("a", &Progress{Phase: PhaseCompleted}))); err != nil || e.Phase() != PhaseCompleted {
-		t.Errorf("an end that was stored stands: got %v %v, want %v", e.Phase(), err, PhaseCompleted)
+	if _, err := table.Apply(must(ProgressRecord("a", &Progress{Phase: PhaseCompleted}))); err != nil || job.Phase() != PhaseCompleted {
+		t.Errorf("phase after a cancellation and a stored end: got %v %v, want %v", job.Phase(), err, PhaseCompleted)
 	}
 	progress, intake := ForgetRecords("a")
 	for _, r := range append(progress, intake...) {
-		if _, err := b.Apply(r); err != nil {
+		if _, err := table.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, ok := b.Entry("a"); ok {
-		t.Error("after it was dropped: got the job, want none")
+	if _, ok := table.Entry("a"); ok {
+		t.Error("after its records were deleted: got the job, want none")
 	}
 }
 
-// Records of another writer change nothing.
-func TestBookSkips(t *testing.T) {
+// Records that cannot be decoded, such as those of another writer, change nothing.
+func TestJobTableSkipsInvalidRecords(t *testing.T) {
 	must := mustRecord(t)
-	var b Book
-	if _, err := b.Apply(must(SubmissionRecord(&Submission{ID: "a", Queue: "q"}))); err != nil {
+	var table Book
+	if _, err := table.Apply(must(SubmissionRecord(&Submission{ID: "a", Queue: "q"}))); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range []Record{
@@ -120,23 +120,23 @@
 		must(ProgressRecord("a", &Progress{Phase: PhaseCancelled + 1})),
 		{Key: "s/c", Value: must(SubmissionRecord(&Submission{ID: "d"})).Value},
 	} {
-		if _, err := b.Apply(r); !errors.Is(err, ErrRecord) {
+		if _, err := table.Apply(r); !errors.Is(err, ErrRecord) {
 			t.Errorf("%q: got %v, want %v", r.Key, err, ErrRecord)
 		}
 	}
-	if got := b.Len(); got != 1 {
-		t.Errorf("jobs: got %d, want 1", got)
+	if got := table.Len(); got != 1 {
+		t.Errorf("number of jobs: got %d, want 1", got)
 	}
 }
 
-func TestDoneStep(t *testing.T) {
+func TestDoneTasks(t *testing.T) {
 	var d DoneStep
 	for _, i := range []int{0, 9, 30} {
 		d.Mark(i)
 	}
 	for i := range 40 {
 		if got, want := d.Has(i), i == 0 || i == 9 || i == 30; got != want {
-			t.Errorf("task %d: got %v, want %v", i, got, want)
+			t.Errorf("task %d done: got %v, want %v", i, got, want)
 		}
 	}
 }
