--- a/pkg/worker/fleet.go
+++ b/pkg/worker/fleet.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TaskKey names a task in a Fleet.
+// TaskKey identifies a task in a Fleet.
 type TaskKey struct {
 	// Job is the job's id.
 	Job string
@@ -10,208 +10,222 @@
 	Index uint32
 }
 
-// Report is what a worker's agent said last.
+// Report is the latest state that a worker's agent reported.
 type Report struct {
 	// Name is the worker's name.
 	Name string
-	// Rack is where the worker stands.
+	// Rack is the rack that the worker is in.
 	Rack string
-	// Service is the latency-critical service beside it.
+	// Service is the latency-critical service that shares the machine with the
+	// worker; empty if there is none.
 	Service string
-	// Total is the worker's size.
+	// Total is the worker's capacity.
 	Total Resources
-	// Free is what its ledger has left.
+	// Free is the capacity that the worker's Ledger has not granted.
 	Free Resources
-	// Ready is false while the ledger admits nothing.
+	// Ready is false while the worker's Ledger refuses all grants.
 	Ready bool
-	// Leaving workers take no new tasks.
+	// Leaving is set while the worker is being drained; it gets no new tasks.
 	Leaving bool
-	// Load is the part of the service's slots in use, from 0 to 1.
+	// Load is the fraction of the service's request slots in use, from 0 to 1.
 	Load float64
-	// Pressure is the service's tail latency divided by its objective.
+	// Pressure is the service's tail latency divided by its latency objective.
 	Pressure float64
 }
 
-// Hold is what one task holds of a worker.
+// Hold is the resources that one task occupies on a worker.
 type Hold struct {
 	// Worker is the worker's name.
 	Worker string
-	// Team pays for the task.
+	// Team is the team whose quota is charged.
 	Team string
-	// Size is what the task asked for.
+	// Size is the amount that the task declared.
 	Size Resources
 	// Class is the task's batch class.
 	Class string
-	// Urgent tasks are not preempted.
+	// Urgent is set for tasks that must not be preempted.
 	Urgent bool
-	// Epoch is the position of the record that began the hold.
+	// Epoch is the log position of the record that assigned the task.
 	Epoch uint64
-	// Since is when the hold began; zero if that is not known.
+	// Since is when the task was assigned; zero if unknown.
 	Since time.Time
-	// Tentative holds are decisions that the log does not show yet.
+	// Tentative is set while the assignment has been decided but has not yet
+	// been read back from the log.
 	Tentative bool
-	// Ending tasks have been told to stop.
+	// Ending is set once the task has been told to stop.
 	Ending bool
 }
 
-// view is what an entry knows about one worker.
-type view struct {
-	report Report
-	heard  time.Time
-	// used is the sum of the holds.
-	used Resources
-	// foreign is what the ledger has granted to tasks that no hold explains.
-	foreign Resources
-	tasks   map[TaskKey]struct{}
-	health  Health
-	// reserved is the task that room is kept for until reservedUntil.
-	reserved      TaskKey
+// workerState is what the scheduler knows about one worker.
+type workerState struct {
+	report      Report
+	lastContact time.Time
+	// allocated is the sum of the sizes of the worker's tasks.
+	allocated Resources
+	// unaccounted is what the worker's ledger has granted beyond allocated, to
+	// tasks that the scheduler knows no allocation for.
+	unaccounted Resources
+	tasks       map[TaskKey]struct{}
+	health      Health
+	// reservedFor is the only task that the worker accepts until reservedUntil.
+	reservedFor   TaskKey
 	reservedUntil time.Time
-	// known is false for workers that were never heard of or are lost.
-	known bool
-	// grown is set while the worker is in Fleet.grown.
-	grown bool
+	// hasReport is false for workers that have not reported yet or were marked
+	// lost.
+	hasReport bool
+	// freed is set while the worker is in Fleet.recentlyFreed.
+	freed bool
 }
 
-// Fleet is an entry's view of all workers of its data centre. Free room is
-// kept up with every hold and report, never counted anew. The zero value is an
-// empty fleet.
+// Fleet is the scheduler's view of all workers of its data centre. Free
+// capacity is updated incrementally with every allocation and report. The zero
+// value is an empty fleet.
 type Fleet struct {
-	index map[string]int
-	views []view
-	// free is what each worker has left; it is apart so that a scan is short.
+	index   map[string]int
+	workers []workerState
+	// free is each worker's free capacity. It is not part of workerState so
+	// that a scan for free capacity reads little memory.
 	free []Resources
-	// grown are the workers that got more room since ForgetGrown.
-	grown        []int
-	holds        map[TaskKey]Hold
-	interference Interference
-	// largest is the largest amount of each resource that one worker has.
-	largest Resources
-	// known is the number of workers that are not lost.
-	known int
-	// version counts changes of the workers known and their sizes.
+	// recentlyFreed holds the indexes of the workers whose free capacity has
+	// grown since the scheduler last tried all waiting work.
+	recentlyFreed []int
+	allocations   map[TaskKey]Hold
+	interference  Interference
+	// largestAmounts is, for each resource, the largest amount that any one
+	// reporting worker has. The amounts may come from different workers.
+	largestAmounts Resources
+	// reportingCount is the number of workers with hasReport set.
+	reportingCount int
+	// version is incremented when the set of reporting workers or a worker's
+	// capacity changes.
 	version uint64
 }
 
-// Len returns the number of workers known.
-func (f *Fleet) Len() int { return len(f.views) }
+// Len returns the number of known workers, including lost ones that still have
+// tasks.
+func (f *Fleet) Len() int { return len(f.workers) }
 
-// Knows reports whether anything is kept of a worker.
+// Knows reports whether the fleet has any state of the named worker.
 func (f *Fleet) Knows(name string) bool {
 	_, ok := f.index[name]
 	return ok
 }
 
-// Version changes when a worker comes in or changes its size.
+// Version returns a number that changes when a worker is added, is lost or
+// changes its capacity.
 func (f *Fleet) Version() uint64 { return f.version }
 
-// Interference returns the learned model of interference.
+// Interference returns the learned model of how batch classes slow down
+// services.
 func (f *Fleet) Interference() *Interference { return &f.interference }
 
-// Heard takes in a worker's report and returns what the worker has left now.
+// Heard updates a worker from its report and returns the worker's free
+// capacity.
 func (f *Fleet) Heard(now time.Time, r *Report) Resources {
-	i := f.at(r.Name)
-	v := &f.views[i]
-	changed := !v.known || v.report.Total != r.Total
-	v.known = true
-	v.report = *r
-	if changed {
+	i := f.ensureIndex(r.Name)
+	w := &f.workers[i]
+	capacityChanged := !w.hasReport || w.report.Total != r.Total
+	w.hasReport = true
+	w.report = *r
+	if capacityChanged {
 		f.version++
-		f.measure()
+		f.updateCapacity()
 	}
-	v.heard = now
-	v.foreign = Resources{}
+	w.lastContact = now
+	w.unaccounted = Resources{}
 	if r.Ready {
-		v.foreign = r.Total.Minus(r.Free).Minus(v.used).Max(Resources{})
+		w.unaccounted = r.Total.Minus(r.Free).Minus(w.allocated).Max(Resources{})
 	}
-	f.recount(i)
+	f.updateFree(i)
 	return f.free[i]
 }
 
-// Lost drops what a silent worker reported. Its holds stay until the log ends
-// them; once it has none, the worker is forgotten.
+// Lost discards the report of a worker that no longer reports. The worker's
+// allocations remain until the log ends them; a worker without allocations is
+// removed from the fleet.
 func (f *Fleet) Lost(name string) {
 	i, ok := f.index[name]
 	if !ok {
 		return
 	}
-	if f.views[i].known {
-		f.views[i].known = false
+	if f.workers[i].hasReport {
+		f.workers[i].hasReport = false
 		f.version++
-		f.measure()
+		f.updateCapacity()
 	}
-	if len(f.views[i].tasks) == 0 {
+	if len(f.workers[i].tasks) == 0 {
 		f.remove(i)
 	}
 }
 
-// measure finds the largest amounts of the workers known.
-func (f *Fleet) measure() {
-	f.largest = Resources{}
-	f.known = 0
-	for k := range f.views {
-		if f.views[k].known {
-			f.known++
-			f.largest = f.largest.Max(f.views[k].report.Total)
+// updateCapacity recomputes largestAmounts and reportingCount.
+func (f *Fleet) updateCapacity() {
+	f.largestAmounts = Resources{}
+	f.reportingCount = 0
+	for k := range f.workers {
+		if f.workers[k].hasReport {
+			f.reportingCount++
+			f.largestAmounts = f.largestAmounts.Max(f.workers[k].report.Total)
 		}
 	}
 }
 
-// remove forgets the worker at i; the last one takes its place.
+// remove deletes the worker at index i and moves the last worker to i.
 func (f *Fleet) remove(i int) {
 	f.ForgetGrown()
-	last := len(f.views) - 1
-	delete(f.index, f.views[i].report.Name)
+	last := len(f.workers) - 1
+	delete(f.index, f.workers[i].report.Name)
 	if i != last {
-		f.views[i], f.free[i] = f.views[last], f.free[last]
-		f.index[f.views[i].report.Name] = i
+		f.workers[i], f.free[i] = f.workers[last], f.free[last]
+		f.index[f.workers[i].report.Name] = i
 	}
-	f.views[last] = view{}
-	f.views, f.free = f.views[:last], f.free[:last]
+	f.workers[last] = workerState{}
+	f.workers, f.free = f.workers[:last], f.free[:last]
 }
 
-// Hold notes that a task holds part of a worker, in place of what it held before.
+// Hold records the allocation of a task and replaces the task's previous one,
+// if any.
 func (f *Fleet) Hold(key TaskKey, h Hold) {
 	f.Drop(key)
-	if f.holds == nil {
-		f.holds = make(map[TaskKey]Hold)
+	if f.allocations == nil {
+		f.allocations = make(map[TaskKey]Hold)
 	}
-	i := f.at(h.Worker)
-	v := &f.views[i]
-	f.holds[key] = h
-	v.tasks[key] = struct{}{}
-	v.used = v.used.Plus(h.Size)
-	if v.reserved == key {
-		v.reservedUntil = time.Time{}
+	i := f.ensureIndex(h.Worker)
+	w := &f.workers[i]
+	f.allocations[key] = h
+	w.tasks[key] = struct{}{}
+	w.allocated = w.allocated.Plus(h.Size)
+	if w.reservedFor == key {
+		w.reservedUntil = time.Time{}
 	}
-	f.recount(i)
+	f.updateFree(i)
 }
 
-// Drop ends a task's hold and returns it.
+// Drop removes and returns a task's allocation.
 func (f *Fleet) Drop(key TaskKey) (Hold, bool) {
-	h, ok := f.holds[key]
+	h, ok := f.allocations[key]
 	if !ok {
 		return Hold{}, false
 	}
-	delete(f.holds, key)
+	delete(f.allocations, key)
 	i := f.index[h.Worker]
-	v := &f.views[i]
-	delete(v.tasks, key)
-	v.used = v.used.Minus(h.Size)
-	f.recount(i)
+	w := &f.workers[i]
+	delete(w.tasks, key)
+	w.allocated = w.allocated.Minus(h.Size)
+	f.updateFree(i)
 	return h, true
 }
 
-// Held returns a task's hold.
+// Held returns a task's allocation.
 func (f *Fleet) Held(key TaskKey) (Hold, bool) {
-	h, ok := f.holds[key]
+	h, ok := f.allocations[key]
 	return h, ok
 }
 
-// Holds returns the number of holds.
-func (f *Fleet) Holds() int { return len(f.holds) }
+// Holds returns the number of allocations.
+func (f *Fleet) Holds() int { return len(f.allocations) }
 
-// Free returns what a worker has left.
+// Free returns a worker's free capacity, or zero for an unknown worker.
 func (f *Fleet) Free(name string) Resources {
 	i, ok := f.index[name]
 	if !ok {
@@ -220,71 +234,72 @@
 	return f.free[i]
 }
 
-// Health returns a worker's health, to be read or told of outcomes.
-func (f *Fleet) Health(name string) *Health { return &f.views[f.at(name)].health }
+// Health returns a worker's health record; the caller may update it. An unknown
+// worker is added to the fleet.
+func (f *Fleet) Health(name string) *Health { return &f.workers[f.ensureIndex(name)].health }
 
-// Rack returns a worker's rack.
+// Rack returns a worker's rack, or an empty string for an unknown worker.
 func (f *Fleet) Rack(name string) string {
 	i, ok := f.index[name]
 	if !ok {
 		return ""
 	}
-	return f.views[i].report.Rack
+	return f.workers[i].report.Rack
 }
 
-// FitsNone reports whether size is larger than every worker known. As long as
-// no worker is known, that cannot be said.
+// FitsNone reports whether size exceeds the total capacity of every reporting
+// worker. It returns false while no worker has reported.
 func (f *Fleet) FitsNone(size Resources) bool {
-	if f.known == 0 {
+	if f.reportingCount == 0 {
 		return false
 	}
-	if !size.Fits(f.largest) {
+	if !size.Fits(f.largestAmounts) {
 		return true
 	}
-	for i := range f.views {
-		if f.views[i].known && size.Fits(f.views[i].report.Total) {
+	for i := range f.workers {
+		if f.workers[i].hasReport && size.Fits(f.workers[i].report.Total) {
 			return false
 		}
 	}
 	return true
 }
 
-// Reserve keeps a worker's room for one task until a moment.
+// Reserve makes a worker accept only the given task until the given time.
 func (f *Fleet) Reserve(name string, key TaskKey, until time.Time) {
-	v := &f.views[f.at(name)]
-	v.reserved = key
-	v.reservedUntil = until
+	w := &f.workers[f.ensureIndex(name)]
+	w.reservedFor = key
+	w.reservedUntil = until
 }
 
-func (f *Fleet) at(name string) int {
+func (f *Fleet) ensureIndex(name string) int {
 	if i, ok := f.index[name]; ok {
 		return i
 	}
 	if f.index == nil {
 		f.index = make(map[string]int)
 	}
-	i := len(f.views)
+	i := len(f.workers)
 	f.index[name] = i
-	f.views = append(f.views, view{tasks: make(map[TaskKey]struct{})})
-	f.views[i].report.Name = name
+	f.workers = append(f.workers, workerState{tasks: make(map[TaskKey]struct{})})
+	f.workers[i].report.Name = name
 	f.free = append(f.free, Resources{})
 	return i
 }
 
-func (f *Fleet) recount(i int) {
-	v := &f.views[i]
+func (f *Fleet) updateFree(i int) {
+	w := &f.workers[i]
 	before := f.free[i]
-	f.free[i] = v.report.Total.Minus(v.used).Minus(v.foreign)
-	if !v.grown && !f.free[i].Fits(before) {
-		v.grown = true
-		f.grown = append(f.grown, i)
+	f.free[i] = w.report.Total.Minus(w.allocated).Minus(w.unaccounted)
+	if !w.freed && !f.free[i].Fits(before) {
+		w.freed = true
+		f.recentlyFreed = append(f.recentlyFreed, i)
 	}
 }
 
-// FitsGrown reports whether size fits a worker that got more room since the
-// last ForgetGrown.
+// FitsGrown reports whether size fits any worker whose free capacity has grown
+// since the scheduler last tried all waiting work.
 func (f *Fleet) FitsGrown(size Resources) bool {
-	for _, i := range f.grown {
+	for _, i := range f.recentlyFreed {
 		if size.Fits(f.free[i]) {
 			return true
 		}
@@ -292,10 +307,12 @@
 	return false
 }
 
-// ForgetGrown notes that all work has been looked at with the present room.
+// ForgetGrown clears the set of workers whose free capacity has grown. It is
+// called once all waiting work has been tried against the current free
+// capacity.
 func (f *Fleet) ForgetGrown() {
-	for _, i := range f.grown {
-		f.views[i].grown = false
+	for _, i := range f.recentlyFreed {
+		f.workers[i].freed = false
 	}
-	f.grown = f.grown[:0]
+	f.recentlyFreed = f.recentlyFreed[:0]
 }
--- a/pkg/worker/fleet_test.go
+++ b/pkg/worker/fleet_test.go
@@ -17,14 +17,15 @@
 	return &worker.Report{Name: name, Total: total, Free: total, Ready: true}
 }
 
-// TestFleetRoomFollowsHolds compares the room kept up with a sum over all holds.
-func TestFleetRoomFollowsHolds(t *testing.T) {
+// TestFleetFreeMatchesAllocations compares the incrementally updated free capacity with
+// a sum over all allocations, under random placements and releases.
+func TestFleetFreeMatchesAllocations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f worker.Fleet
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		total := worker.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 2}
-		sums := make(map[string]worker.Resources)
-		held := make(map[worker.TaskKey]worker.Hold)
+		allocated := make(map[string]worker.Resources)
+		allocations := make(map[worker.TaskKey]worker.Hold)
 		for i := range 4 {
 			f.Heard(epoch, report(fmt.Sprint("w", i), total))
 		}
@@ -34,17 +35,17 @@
 		}
 		end := func(key worker.TaskKey) {
 			h, ok := f.Drop(key)
-			if _, want := held[key]; ok != want {
-				t.Fatalf("got hold %v, want %v", ok, want)
+			if _, want := allocations[key]; ok != want {
+				t.Fatalf("got allocation found %v, want %v", ok, want)
 			}
 			if ok {
-				sums[h.Worker] = sums[h.Worker].Minus(h.Size)
-				delete(held, key)
+				allocated[h.Worker] = allocated[h.Worker].Minus(h.Size)
+				delete(allocations, key)
 			}
 		}
 		begin := func(key worker.TaskKey, h worker.Hold) {
-			sums[h.Worker] = sums[h.Worker].Plus(h.Size)
-			held[key] = h
+			allocated[h.Worker] = allocated[h.Worker].Plus(h.Size)
+			allocations[key] = h
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"place": func(t *rapid.T) {
@@ -77,15 +78,15 @@
 			"": func(t *rapid.T) {
 				for i := range 4 {
 					name := fmt.Sprint("w", i)
-					if got, want := f.Free(name), total.Minus(sums[name]); got != want {
+					if got, want := f.Free(name), total.Minus(allocated[name]); got != want {
 						t.Fatalf("got %+v free on %s, want %+v", got, name, want)
 					}
 					if got := f.Free(name); !got.Valid() {
-						t.Fatalf("got %+v free on %s, want nothing negative", got, name)
+						t.Fatalf("got %+v free on %s, want no negative amount", got, name)
 					}
 				}
-				if got, want := f.Holds(), len(held); got != want {
-					t.Fatalf("got %d holds, want %d", got, want)
+				if got, want := f.Holds(), len(allocations); got != want {
+					t.Fatalf("got %d allocations, want %d", got, want)
 				}
 			},
 		})
@@ -100,7 +101,7 @@
 		prepare func(f *worker.Fleet)
 		want    error
 	}{
-		{"a leaving worker", func(f *worker.Fleet) {
+		{"a worker being drained", func(f *worker.Fleet) {
 			r := report("w", cpu(1000))
 			r.Leaving = true
 			f.Heard(later, r)
@@ -110,19 +111,19 @@
 			r.Ready = false
 			f.Heard(later, r)
 		}, worker.ErrFleetFull},
-		{"a silent worker", func(f *worker.Fleet) { f.Heard(epoch, report("w", cpu(1000))) }, worker.ErrFleetFull},
+		{"a worker whose last report is too old", func(f *worker.Fleet) { f.Heard(epoch, report("w", cpu(1000))) }, worker.ErrFleetFull},
 		{"a lost worker", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(1000))); f.Lost("w") }, worker.ErrFleetFull},
 		{"a small worker", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(10))) }, worker.ErrTooLarge},
-		{"grants that no hold explains", func(f *worker.Fleet) {
+		{"grants without a known allocation", func(f *worker.Fleet) {
 			r := report("w", cpu(1000))
 			r.Free = cpu(10)
 			f.Heard(later, r)
 		}, worker.ErrFleetFull},
-		{"a worker with room kept for another task", func(f *worker.Fleet) {
+		{"a worker reserved for another task", func(f *worker.Fleet) {
 			f.Heard(later, report("w", cpu(1000)))
 			f.Reserve("w", worker.TaskKey{Job: "other"}, later.Add(1))
 		}, worker.ErrFleetFull},
-		{"a worker with room", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(1000))) }, nil},
+		{"a worker with enough free capacity", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(1000))) }, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestLostWorkersAreForgotten replaces every worker many times.
+// TestLostWorkersAreForgotten replaces every worker many times and expects no
+// state of lost workers to remain.
 func TestLostWorkersAreForgotten(t *testing.T) {
 	var f worker.Fleet
 	random := rand.New(rand.NewPCG(1, 1))
@@ -159,7 +161,7 @@
 		}
 	}
 	if c, err := f.Place(epoch, &worker.Task{Size: cpu(500)}, random); err == nil {
-		t.Errorf("got %s, want no worker with room", c.Worker())
+		t.Errorf("got %s, want no worker with enough free capacity", c.Worker())
 	}
 }
 
@@ -170,15 +172,15 @@
 		task    worker.Task
 		prepare func(f *worker.Fleet)
 	}{
-		{"no pressed service", func(r *worker.Report) { r.Service, r.Pressure = "planner", 1.5 }, worker.Task{}, nil},
-		{"keeping accelerators", func(r *worker.Report) { r.Total.Accelerators, r.Free.Accelerators = 2, 2 }, worker.Task{}, nil},
-		{"another rack", func(r *worker.Report) { r.Rack = "crowded" }, worker.Task{Racks: map[string]int{"crowded": 3}}, nil},
-		{"a service that bears the class", func(r *worker.Report) { r.Service, r.Load = "planner", 1 }, worker.Task{Class: "archive"}, func(f *worker.Fleet) {
+		{"a worker without a slow service", func(r *worker.Report) { r.Service, r.Pressure = "planner", 1.5 }, worker.Task{}, nil},
+		{"a worker without accelerators", func(r *worker.Report) { r.Total.Accelerators, r.Free.Accelerators = 2, 2 }, worker.Task{}, nil},
+		{"a rack without tasks of the job", func(r *worker.Report) { r.Rack = "crowded" }, worker.Task{Racks: map[string]int{"crowded": 3}}, nil},
+		{"a service that the class does not slow down", func(r *worker.Report) { r.Service, r.Load = "planner", 1 }, worker.Task{Class: "archive"}, func(f *worker.Fleet) {
 			for range 200 {
 				f.Interference().Observe("planner", 1, []worker.Part{{Class: "archive", Share: 1}}, 10)
 			}
 		}},
-		{"workers where the job has not failed", func(*worker.Report) {}, worker.Task{Failures: failedOn("worse")}, nil},
+		{"a worker on which the job has not failed", func(*worker.Report) {}, worker.Task{Failures: failedOn("worse")}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/worker/gang.go
+++ b/pkg/worker/gang.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// PlaceGang chooses a worker for every task, or for none: on an error no hold
-// remains. The holds that it leaves are tentative; the caller fills in what
-// else it knows with Hold.
+// PlaceGang chooses a worker for each of the tasks and allocates them
+// tentatively. If any task does not fit, it returns an error and leaves no
+// allocation. The caller replaces the allocations by complete ones, which also
+// name the team.
 func (f *Fleet) PlaceGang(now time.Time, tasks []Task, random *rand.Rand) ([]Choice, error) {
 	out := make([]Choice, 0, len(tasks))
 	racks := make(map[string]int)
--- a/pkg/worker/guard.go
+++ b/pkg/worker/guard.go
@@ -5,50 +5,61 @@
 	"time"
 )
 
-// Limits of the guard. Pressure is the tail latency divided by its objective.
+// Parameters of the guard. Pressure is the tail latency divided by its
+// objective.
 const (
-	// pressedAbove and calmBelow bound the band in which nothing changes.
-	pressedAbove = 0.95
-	calmBelow    = 0.8
-	// aimFor is the pressure that a step tries to reach.
-	aimFor = 0.95
-	// pressedFor is how long a service is pressed before the first step.
-	pressedFor = time.Second
-	// calmFor is how long a service is calm before the first release.
-	calmFor = 3 * time.Second
-	// settle is how long a step's effect takes to show in lagging readings.
-	settle = 3 * time.Second
-	// moveAfter is how long a service stays pressed at full throttle before a task is moved.
-	moveAfter = 20 * time.Second
-	// stuckAfter is how long a task stays at full throttle before it is moved.
-	stuckAfter = 15 * time.Minute
-	// movesPerMinute is the budget of moves of one worker, and its largest burst.
+	// Tasks are throttled above highPressure and unthrottled below lowPressure.
+	// Between the two nothing changes.
+	highPressure = 0.95
+	lowPressure  = 0.8
+	// targetPressure is the predicted pressure that each throttling or
+	// unthrottling step aims for.
+	targetPressure = 0.95
+	// throttleDelay is how long pressure must be high before the first
+	// throttling step.
+	throttleDelay = time.Second
+	// unthrottleDelay is how long pressure must be low before the first
+	// unthrottling step.
+	unthrottleDelay = 3 * time.Second
+	// settleTime is how long the effect of a step takes to show in the
+	// readings, which lag behind.
+	settleTime = 3 * time.Second
+	// moveDelay is how long pressure must stay high, with every task at the
+	// lowest CPU limit, before a task is moved.
+	moveDelay = 20 * time.Second
+	// maxTimeAtMinCPU is how long a task may stay at the lowest CPU limit
+	// before it is moved.
+	maxTimeAtMinCPU = 15 * time.Minute
+	// The moves of one worker are rate-limited by a token bucket that holds at most maxMoveBurst
+	// moves and is refilled at movesPerMinute.
 	movesPerMinute = 1.0
-	movesBurst     = 2.0
+	maxMoveBurst   = 2.0
 )
 
-// throttleSteps are the percentages of its processors that a task may have.
-var throttleSteps = [...]int{100, 70, 50, 35, 20, 10, 5}
+// throttlePercents are the CPU limits of tasks, in percent of the CPU that a
+// task asked for, from no throttling to the lowest limit.
+var throttlePercents = [...]int{100, 70, 50, 35, 20, 10, 5}
 
-// ActionKind says what the guard asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	// ActionThrottle limits a task to a percentage of its processors.
+	// ActionThrottle sets a task's CPU limit to a percentage of its CPU.
 	ActionThrottle ActionKind = iota + 1
 	// ActionCheckpoint saves a task's progress.
 	ActionCheckpoint
-	// ActionMove stops a task at its checkpoint, so that it goes on elsewhere.
+	// ActionMove checkpoints and stops a task, so that it continues on another
+	// worker.
 	ActionMove
 )
 
 var actionNames = [...]string{"", "throttle-task", "checkpoint-task", "move-task"}
 
-// String returns the action's name in logs.
+// String returns the decision name used in logs.
 func (k ActionKind) String() string { return actionNames[k] }
 
-// Action is one thing that the guard asks for.
+// Action is an action on one task that the guard requests.
 type Action struct {
 	kind    ActionKind
 	key     string
@@ -56,218 +67,231 @@
 	reason  string
 }
 
-// Kind says what is asked for.
+// Kind returns what to do with the task.
 func (a *Action) Kind() ActionKind { return a.kind }
 
-// Key returns the task concerned.
+// Key returns the worker's identifier of the task.
 func (a *Action) Key() string { return a.key }
 
-// Percent returns the throttle of an ActionThrottle.
+// Percent returns the CPU limit of an ActionThrottle.
 func (a *Action) Percent() int { return a.percent }
 
-// Reason returns why it is asked for.
+// Reason returns the reason in words, for logs.
 func (a *Action) Reason() string { return a.reason }
 
-// Reading is what is known of the service beside the worker.
+// Reading is a measurement of the latency-critical service beside the worker.
 type Reading struct {
-	// Pressure is the tail latency divided by its objective; 0 if there is too little traffic.
+	// Pressure is the tail latency divided by its objective; 0 if there are too
+	// few requests to measure it.
 	Pressure float64
-	// Load is the part of the service's slots in use, from 0 to 1.
+	// Load is the fraction of the service's request slots in use, from 0 to 1.
 	Load float64
-	// Service is the service's name.
+	// Service is the service's name; empty if there is none.
 	Service string
 }
 
 // GuardTask is one batch task that runs on the worker.
 type GuardTask struct {
-	// Key is the task's name on the worker.
+	// Key is the worker's identifier of the task.
 	Key string
 	// Class is the task's batch class.
 	Class string
-	// Share is the part of the worker's processors that the task asked for.
+	// Share is the fraction of the worker's CPU that the task asked for.
 	Share float64
 	// Urgent tasks are throttled last and never moved.
 	Urgent bool
 }
 
-// guarded is what the guard remembers of a task.
-type guarded struct {
-	// since is when the task became known; a listing may be older.
-	since time.Time
-	// step is an index into throttleSteps.
+// guardedTask is the guard's state of one task.
+type guardedTask struct {
+	// firstSeenAt is when the guard learned of the task. A task list may have
+	// been made before that and lack the task.
+	firstSeenAt time.Time
+	// step is an index into throttlePercents.
 	step int
-	// saved is when the task's progress was last known to be kept.
-	saved time.Time
-	// floorSince is when the task was throttled to the last step.
-	floorSince time.Time
-	// saving is set between the checkpoint and the move.
-	saving bool
+	// savedAt is when the task's progress was last known to be saved.
+	savedAt time.Time
+	// minCPUSince is when the task reached the lowest CPU limit.
+	minCPUSince time.Time
+	// checkpointRequested is set from the checkpoint that precedes a move until
+	// the task is unthrottled.
+	checkpointRequested bool
 }
 
-// Guard protects the latency-critical service beside one worker: it throttles
-// batch tasks first, then checkpoints and moves one, within a budget. The zero
-// value guards.
+// Guard protects the latency-critical service that shares a machine with a
+// worker. While the service's tail latency is too high, it throttles batch
+// tasks; if that is not enough, it checkpoints one and moves it to another
+// worker, at a limited rate. The zero value is ready to use.
 type Guard struct {
-	tasks        map[string]*guarded
-	model        Interference
-	pressedSince time.Time
-	calmSince    time.Time
-	stepped      time.Time
-	moves        float64
-	filled       time.Time
+	tasks             map[string]*guardedTask
+	model             Interference
+	highPressureSince time.Time
+	lowPressureSince  time.Time
+	lastStepAt        time.Time
+	moveTokens        float64
+	refilledAt        time.Time
 }
 
-// Started notes that the worker has just started key, unthrottled.
+// Started records that the worker has just started the task, without a CPU
+// limit.
 func (g *Guard) Started(now time.Time, key string) {
 	if g.tasks == nil {
-		g.tasks = make(map[string]*guarded)
+		g.tasks = make(map[string]*guardedTask)
 	}
-	g.tasks[key] = &guarded{since: now, saved: now}
+	g.tasks[key] = &guardedTask{firstSeenAt: now, savedAt: now}
 }
 
-// Saved notes that key's progress up to now is kept.
+// Saved records that the task's progress up to now has been saved.
 func (g *Guard) Saved(now time.Time, key string) {
 	if t, ok := g.tasks[key]; ok {
-		t.saved = now
+		t.savedAt = now
 	}
 }
 
-// Forget drops what is known of key, whose throttle is then set anew.
+// Forget discards the state of a task whose actual CPU limit is uncertain. If
+// the task still runs, the next Decide sets its limit anew.
 func (g *Guard) Forget(key string) { delete(g.tasks, key) }
 
-// Percent returns the throttle of key.
+// Percent returns the task's CPU limit, in percent.
 func (g *Guard) Percent(key string) int {
 	if t, ok := g.tasks[key]; ok {
-		return throttleSteps[t.step]
+		return throttlePercents[t.step]
 	}
-	return throttleSteps[0]
+	return throttlePercents[0]
 }
 
-// Decide takes in a reading and returns what to do about the tasks that run.
+// Decide takes a reading and the tasks that run, and returns the actions to
+// take.
 func (g *Guard) Decide(now time.Time, r *Reading, running []GuardTask) []Action {
-	out := g.follow(now, running)
-	g.learn(r, running)
-	g.refill(now)
-	g.mark(now, r)
-	if now.Sub(g.stepped) < settle {
+	out := g.syncTasks(now, running)
+	g.updateModel(r, running)
+	g.refillMoveTokens(now)
+	g.trackPressure(now, r)
+	if now.Sub(g.lastStepAt) < settleTime {
 		return out
 	}
 	switch {
-	case !g.pressedSince.IsZero() && now.Sub(g.pressedSince) >= pressedFor:
-		out = append(out, g.relieve(now, r, running)...)
-	case !g.calmSince.IsZero() && now.Sub(g.calmSince) >= calmFor:
-		out = append(out, g.release(now, r, running)...)
+	case !g.highPressureSince.IsZero() && now.Sub(g.highPressureSince) >= throttleDelay:
+		out = append(out, g.throttle(now, r, running)...)
+	case !g.lowPressureSince.IsZero() && now.Sub(g.lowPressureSince) >= unthrottleDelay:
+		out = append(out, g.unthrottle(now, r, running)...)
 	}
 	if len(out) > 0 {
-		g.stepped = now
+		g.lastStepAt = now
 	}
 	return out
 }
 
-// follow forgets tasks that ended and takes over those of a predecessor, whose
-// throttle is not known.
-func (g *Guard) follow(now time.Time, running []GuardTask) []Action {
+// syncTasks drops tasks that no longer run and adds unknown ones. Those were
+// started under a previous agent, so their CPU limits are unknown and are
+// removed.
+func (g *Guard) syncTasks(now time.Time, running []GuardTask) []Action {
 	var out []Action
-	seen := make(map[string]bool, len(running))
+	isRunning := make(map[string]bool, len(running))
 	for i := range running {
 		key := running[i].Key
-		seen[key] = true
+		isRunning[key] = true
 		if _, ok := g.tasks[key]; ok {
 			continue
 		}
 		g.Started(now, key)
-		out = append(out, Action{kind: ActionThrottle, key: key, percent: throttleSteps[0], reason: "its throttle is not known"})
+		out = append(out, Action{kind: ActionThrottle, key: key, percent: throttlePercents[0], reason: "CPU limit unknown; removing it"})
 	}
 	for key, t := range g.tasks {
-		if !seen[key] && now.Sub(t.since) > settle {
+		if !isRunning[key] && now.Sub(t.firstSeenAt) > settleTime {
 			delete(g.tasks, key)
 		}
 	}
 	return out
 }
 
-func (g *Guard) learn(r *Reading, running []GuardTask) {
+func (g *Guard) updateModel(r *Reading, running []GuardTask) {
 	if r.Service == "" || r.Pressure <= 0 {
 		return
 	}
 	parts := make([]Part, 0, len(running))
 	for i := range running {
 		t := &running[i]
-		parts = append(parts, Part{Class: t.Class, Share: t.Share * g.part(t.Key)})
+		parts = append(parts, Part{Class: t.Class, Share: t.Share * g.cpuFraction(t.Key)})
 	}
 	g.model.Observe(r.Service, r.Load, parts, r.Pressure)
 }
 
-func (g *Guard) part(key string) float64 { return float64(g.Percent(key)) / float64(throttleSteps[0]) }
+func (g *Guard) cpuFraction(key string) float64 {
+	return float64(g.Percent(key)) / float64(throttlePercents[0])
+}
 
-func (g *Guard) refill(now time.Time) {
-	if g.filled.IsZero() {
-		g.moves, g.filled = movesBurst, now
+func (g *Guard) refillMoveTokens(now time.Time) {
+	if g.refilledAt.IsZero() {
+		g.moveTokens, g.refilledAt = maxMoveBurst, now
 	}
-	g.moves = min(g.moves+now.Sub(g.filled).Minutes()*movesPerMinute, movesBurst)
-	g.filled = now
+	g.moveTokens = min(g.moveTokens+now.Sub(g.refilledAt).Minutes()*movesPerMinute, maxMoveBurst)
+	g.refilledAt = now
 }
 
-// mark keeps since when the service is pressed or calm.
-func (g *Guard) mark(now time.Time, r *Reading) {
-	if r.Pressure <= pressedAbove {
-		g.pressedSince = time.Time{}
-	} else if g.pressedSince.IsZero() {
-		g.pressedSince = now
+// trackPressure records since when pressure has been high or low.
+func (g *Guard) trackPressure(now time.Time, r *Reading) {
+	if r.Pressure <= highPressure {
+		g.highPressureSince = time.Time{}
+	} else if g.highPressureSince.IsZero() {
+		g.highPressureSince = now
 	}
-	if r.Pressure >= calmBelow {
-		g.calmSince = time.Time{}
-	} else if g.calmSince.IsZero() {
-		g.calmSince = now
+	if r.Pressure >= lowPressure {
+		g.lowPressureSince = time.Time{}
+	} else if g.lowPressureSince.IsZero() {
+		g.lowPressureSince = now
 	}
 }
 
-// relieve throttles the tasks that press most until the model expects relief;
-// if all are throttled, it moves one.
-func (g *Guard) relieve(now time.Time, r *Reading, running []GuardTask) []Action {
-	excess := r.Pressure - aimFor
+// throttle lowers the CPU limits, first of the tasks that contribute most,
+// until the model predicts targetPressure. If all tasks are at the lowest
+// limit, it moves one.
+func (g *Guard) throttle(now time.Time, r *Reading, running []GuardTask) []Action {
+	excess := r.Pressure - targetPressure
 	var out []Action
-	for _, t := range g.byEffect(r, running) {
-		own := g.tasks[t.Key]
-		for own.step < len(throttleSteps)-1 && excess > 0 {
-			before := g.effect(r, t)
-			own.step++
-			excess -= before - g.effect(r, t)
-			if own.step == len(throttleSteps)-1 {
-				own.floorSince = now
+	for _, t := range g.throttleOrder(r, running) {
+		state := g.tasks[t.Key]
+		for state.step < len(throttlePercents)-1 && excess > 0 {
+			before := g.predictedPressure(r, t)
+			state.step++
+			excess -= before - g.predictedPressure(r, t)
+			if state.step == len(throttlePercents)-1 {
+				state.minCPUSince = now
 			}
 		}
-		if percent := throttleSteps[own.step]; own.step > 0 && percent != t.percent {
-			out = append(out, Action{kind: ActionThrottle, key: t.Key, percent: percent, reason: "the service is past its objective"})
+		if percent := throttlePercents[state.step]; state.step > 0 && percent != t.percent {
+			out = append(out, Action{kind: ActionThrottle, key: t.Key, percent: percent, reason: "tail latency of the service is near or above its objective"})
 		}
 		if excess <= 0 {
 			break
 		}
 	}
-	if len(out) > 0 || now.Sub(g.pressedSince) < moveAfter {
+	if len(out) > 0 || now.Sub(g.highPressureSince) < moveDelay {
 		return out
 	}
-	return g.move(now, running, "the service is past its objective at full throttle")
+	return g.move(now, running, "tail latency of the service is near or above its objective with all tasks at the lowest CPU limit")
 }
 
-// weighed is a task with its present throttle.
-type weighed struct {
+// throttledTask is a running task with the CPU limit that it had before this
+// step.
+type throttledTask struct {
 	GuardTask
 	percent int
 }
 
-// byEffect returns the tasks in the order in which they are throttled: urgent
-// ones last, then by what the model blames them for.
-func (g *Guard) byEffect(r *Reading, running []GuardTask) []weighed {
-	out := make([]weighed, len(running))
+// throttleOrder returns the tasks in the order in which to throttle them:
+// non-urgent before urgent ones, then by their contribution to the pressure,
+// largest first.
+func (g *Guard) throttleOrder(r *Reading, running []GuardTask) []throttledTask {
+	out := make([]throttledTask, len(running))
 	for i := range running {
-		out[i] = weighed{GuardTask: running[i], percent: g.Percent(running[i].Key)}
+		out[i] = throttledTask{GuardTask: running[i], percent: g.Percent(running[i].Key)}
 	}
 	sort.SliceStable(out, func(i, k int) bool {
 		if out[i].Urgent != out[k].Urgent {
 			return !out[i].Urgent
 		}
-		x, y := g.effect(r, out[i]), g.effect(r, out[k])
+		x, y := g.predictedPressure(r, out[i]), g.predictedPressure(r, out[k])
 		if x != y {
 			return x > y
 		}
@@ -276,92 +300,97 @@
 	return out
 }
 
-// effect returns the pressure that a task is blamed for.
-func (g *Guard) effect(r *Reading, t weighed) float64 {
-	return r.Load * t.Share * g.part(t.Key) * g.model.Slope(r.Service, t.Class)
+// predictedPressure returns the task's contribution to the pressure, as the
+// model predicts it at the task's current CPU limit.
+func (g *Guard) predictedPressure(r *Reading, t throttledTask) float64 {
+	return r.Load * t.Share * g.cpuFraction(t.Key) * g.model.Slope(r.Service, t.Class)
 }
 
-// move checkpoints the task that loses the least, and at the next step stops it.
+// move first checkpoints the task that would lose the least work, and stops it
+// when called again after that.
 func (g *Guard) move(now time.Time, running []GuardTask, reason string) []Action {
-	if g.moves < 1 {
+	if g.moveTokens < 1 {
 		return nil
 	}
-	victim, ok := g.victim(running)
+	victim, ok := g.moveVictim(running)
 	if !ok {
 		return nil
 	}
-	own := g.tasks[victim]
-	if !own.saving {
-		own.saving = true
-		own.saved = now
+	state := g.tasks[victim]
+	if !state.checkpointRequested {
+		state.checkpointRequested = true
+		state.savedAt = now
 		return []Action{{kind: ActionCheckpoint, key: victim, reason: reason}}
 	}
-	g.moves--
+	g.moveTokens--
 	return []Action{{kind: ActionMove, key: victim, reason: reason}}
 }
 
-// victim returns the fully throttled task that would lose the least work; one
-// that was checkpointed for it goes first.
-func (g *Guard) victim(running []GuardTask) (string, bool) {
+// moveVictim returns the task at the lowest CPU limit that would lose the least
+// work. A task that has already been checkpointed for a move is preferred.
+func (g *Guard) moveVictim(running []GuardTask) (string, bool) {
 	best := ""
 	for i := range running {
 		t := &running[i]
-		own := g.tasks[t.Key]
-		if t.Urgent || own.step < len(throttleSteps)-1 {
+		state := g.tasks[t.Key]
+		if t.Urgent || state.step < len(throttlePercents)-1 {
 			continue
 		}
-		if best == "" || g.losesLess(t.Key, best) {
+		if best == "" || g.losesLessWork(t.Key, best) {
 			best = t.Key
 		}
 	}
 	return best, best != ""
 }
 
-func (g *Guard) losesLess(a, b string) bool {
+func (g *Guard) losesLessWork(a, b string) bool {
 	x, y := g.tasks[a], g.tasks[b]
-	if x.saving != y.saving {
-		return x.saving
+	if x.checkpointRequested != y.checkpointRequested {
+		return x.checkpointRequested
 	}
-	if !x.saved.Equal(y.saved) {
-		return x.saved.After(y.saved)
+	if !x.savedAt.Equal(y.savedAt) {
+		return x.savedAt.After(y.savedAt)
 	}
 	return a < b
 }
 
-// release gives back processors, one step at a time and only as far as the
-// model expects the service to stay within its objective.
-func (g *Guard) release(now time.Time, r *Reading, running []GuardTask) []Action {
+// unthrottle raises each task's CPU limit by at most one step, in reverse
+// throttling order, and only as far as the model predicts at most
+// targetPressure. If no limit can be raised, it moves a task that has been at
+// the lowest limit for too long.
+func (g *Guard) unthrottle(now time.Time, r *Reading, running []GuardTask) []Action {
 	var out []Action
-	room := aimFor - r.Pressure
-	order := g.byEffect(r, running)
+	headroom := targetPressure - r.Pressure
+	order := g.throttleOrder(r, running)
 	for i := len(order) - 1; i >= 0; i-- {
 		t := order[i]
-		own := g.tasks[t.Key]
-		if own.step == 0 {
+		state := g.tasks[t.Key]
+		if state.step == 0 {
 			continue
 		}
-		before := g.effect(r, t)
-		own.step--
-		more := g.effect(r, t) - before
-		if more > room {
-			own.step++
+		before := g.predictedPressure(r, t)
+		state.step--
+		added := g.predictedPressure(r, t) - before
+		if added > headroom {
+			state.step++
 			continue
 		}
-		room -= more
-		own.saving = false
-		out = append(out, Action{kind: ActionThrottle, key: t.Key, percent: throttleSteps[own.step], reason: "the service is calm"})
+		headroom -= added
+		state.checkpointRequested = false
+		out = append(out, Action{kind: ActionThrottle, key: t.Key, percent: throttlePercents[state.step], reason: "tail latency of the service is well below its objective"})
 	}
 	if len(out) > 0 {
 		return out
 	}
-	return g.unstick(now, running)
+	return g.moveStuckTask(now, running)
 }
 
-// unstick moves a task that has been at full throttle for too long.
-func (g *Guard) unstick(now time.Time, running []GuardTask) []Action {
-	victim, ok := g.victim(running)
-	if !ok || now.Sub(g.tasks[victim].floorSince) < stuckAfter {
+// moveStuckTask moves a task that has been at the lowest CPU limit for
+// maxTimeAtMinCPU.
+func (g *Guard) moveStuckTask(now time.Time, running []GuardTask) []Action {
+	victim, ok := g.moveVictim(running)
+	if !ok || now.Sub(g.tasks[victim].minCPUSince) < maxTimeAtMinCPU {
 		return nil
 	}
-	return g.move(now, running, "the task has been at full throttle for too long")
+	return g.move(now, running, "task has been at the lowest CPU limit for too long")
 }
--- a/pkg/worker/guard_test.go
+++ b/pkg/worker/guard_test.go
@@ -12,13 +12,18 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// TestGuardScripts runs the scripts under testdata/guard. Each line is one
-// command: "run KEY CLASS SHARE", "end KEY", "hold SECONDS PRESSURE LOAD",
-// "want ACTION..." for the actions since the last want, and "want-none".
+// TestGuardScripts runs the scripts under testdata/guard. Each line is one of
+// these commands:
+//
+//	run KEY CLASS SHARE           starts a task
+//	end KEY                       ends a task
+//	hold SECONDS PRESSURE LOAD    calls Decide with this reading once a second
+//	want ACTION...                expects these actions since the last want
+//	want-none                     expects no actions since the last want
 func TestGuardScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/guard/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("got %d scripts, %v, want some", len(files), err)
+		t.Fatalf("got %d scripts (error %v), want at least one", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -36,6 +41,7 @@
 	}
 }
 
+// guardScript is the state of a running script.
 type guardScript struct {
 	guard   worker.Guard
 	now     time.Time
@@ -95,16 +101,18 @@
 	return nil
 }
 
-func TestGuardTakesOverUnknownThrottle(t *testing.T) {
+func TestGuardRemovesUnknownCPULimit(t *testing.T) {
 	var g worker.Guard
 	got := g.Decide(epoch, &worker.Reading{}, []worker.GuardTask{{Key: "a"}})
 	if len(got) != 1 || got[0].Kind() != worker.ActionThrottle || got[0].Percent() != 100 {
-		t.Errorf("got %v, want a throttle of 100", got)
+		t.Errorf("got %v, want one throttle action with 100 percent", got)
 	}
 }
 
-// TestWavesOfLoadDoNotBecomeWavesOfMoves presses the service every other minute.
-func TestWavesOfLoadDoNotBecomeWavesOfMoves(t *testing.T) {
+// TestOscillatingLoadCausesFewMoves lets the pressure alternate between high
+// and low every minute for an hour. Moves must
+// stay within the rate limit: 2 at once and then 1 a minute.
+func TestOscillatingLoadCausesFewMoves(t *testing.T) {
 	var g worker.Guard
 	running := make([]worker.GuardTask, 8)
 	for i := range running {
@@ -138,11 +146,11 @@
 		want   time.Duration
 		wantOK bool
 	}{
-		{"too few", 10, 0, 0, 0, false},
-		{"one slow request does not decide", 99, 1, 0, time.Millisecond, true},
-		{"several do", 97, 3, 0, time.Second, true},
-		{"old ones do not count", 100, 50, time.Minute, 0, false},
-		{"more than are kept", 3000, 300, 0, time.Second, true},
+		{"too few samples", 10, 0, 0, 0, false},
+		{"one slow request is ignored", 99, 1, 0, time.Millisecond, true},
+		{"several slow requests set the tail", 97, 3, 0, time.Second, true},
+		{"old samples are ignored", 100, 50, time.Minute, 0, false},
+		{"more samples than are kept", 3000, 300, 0, time.Second, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/worker/health.go
+++ b/pkg/worker/health.go
@@ -5,83 +5,92 @@
 	"time"
 )
 
-// Limits of the health score.
+// Parameters of the health score.
 const (
-	// suspectAfter is the number of failures in a row, of as many distinct
-	// jobs, after which a worker is taken for bad.
-	suspectAfter = 3
-	// healthWeight is the weight of the newest outcome in the score.
-	healthWeight = 0.15
-	// firstProbe is how long a bad worker is left alone before it is tested with one task.
-	firstProbe = 5 * time.Second
-	// longestProbe bounds the delay between two tests.
-	longestProbe = 5 * time.Minute
-	// badJobWorkers is the number of good workers on which a job must have
-	// failed for its failures not to count against the next worker.
-	badJobWorkers = 2
+	// suspectAfterJobs is the number of distinct jobs that must fail on a
+	// worker, with no success in between, before the worker becomes suspect.
+	suspectAfterJobs = 3
+	// newestOutcomeWeight is the weight of the newest outcome in the moving
+	// average of failures.
+	newestOutcomeWeight = 0.15
+	// firstProbeDelay is how long a worker that has just become suspect gets no
+	// tasks before it is probed with one task.
+	firstProbeDelay = 5 * time.Second
+	// maxProbeDelay limits the delay between two probes.
+	maxProbeDelay = 5 * time.Minute
+	// minWorkersForBadJob is the number of workers on which a job must have
+	// failed before its further failures are blamed on the job and no longer on
+	// the worker.
+	minWorkersForBadJob = 2
 )
 
-// Health is what a worker's outcomes say about it. The zero value is healthy.
+// Health is a worker's record of task outcomes. The zero value is healthy.
 type Health struct {
-	// failing is the weighted part of runs that failed.
-	failing float64
-	// jobs are the distinct jobs of the present row of failures.
-	jobs [suspectAfter]string
-	row  int
-	// tests counts failed tests since the worker became suspect.
-	tests   int
-	probeAt time.Time
+	// failureRate is an exponentially weighted moving average: 1 if all runs
+	// failed, 0 if none did.
+	failureRate float64
+	// failedJobs[:failedJobCount] are the distinct jobs that have failed since
+	// the last success.
+	failedJobs     [suspectAfterJobs]string
+	failedJobCount int
+	// failedProbes counts failed probes since the worker became suspect.
+	failedProbes int
+	probeAt      time.Time
 }
 
-// Failing returns the weighted part of the latest runs that failed, from 0 to 1.
-func (h *Health) Failing() float64 { return h.failing }
+// Failing returns the failure rate of the latest runs, from 0 to 1, as an
+// exponentially weighted moving average.
+func (h *Health) Failing() float64 { return h.failureRate }
 
-// Suspect reports whether the worker is taken for bad.
-func (h *Health) Suspect() bool { return h.row >= suspectAfter }
+// Suspect reports whether so many jobs have failed in a row that the worker
+// gets no tasks other than probes.
+func (h *Health) Suspect() bool { return h.failedJobCount >= suspectAfterJobs }
 
-// MayProbe reports whether a suspect worker should be tested with one task.
+// MayProbe reports whether a suspect worker is due to be probed with one task.
 func (h *Health) MayProbe(now time.Time) bool { return !now.Before(h.probeAt) }
 
-// Succeeded notes a run that ended well. It clears a suspicion.
+// Succeeded records a successful run. A suspect worker becomes healthy again.
 func (h *Health) Succeeded() {
-	h.failing *= 1 - healthWeight
-	h.row = 0
-	h.tests = 0
+	h.failureRate *= 1 - newestOutcomeWeight
+	h.failedJobCount = 0
+	h.failedProbes = 0
 }
 
-// Failed notes a run that failed for a reason that may be the worker's.
+// Failed records a failed run whose cause may be the worker.
 func (h *Health) Failed(now time.Time, job string) {
-	h.failing += (1 - h.failing) * healthWeight
+	h.failureRate += (1 - h.failureRate) * newestOutcomeWeight
 	if h.Suspect() {
-		h.tests++
-		h.probeAt = now.Add(backoff(firstProbe, h.tests, longestProbe))
+		h.failedProbes++
+		h.probeAt = now.Add(backoff(firstProbeDelay, h.failedProbes, maxProbeDelay))
 		return
 	}
-	for _, known := range h.jobs[:h.row] {
+	for _, known := range h.failedJobs[:h.failedJobCount] {
 		if known == job {
-			return // one job that fails again says nothing new about the worker
+			return // repeated failures of one job count once
 		}
 	}
-	h.jobs[h.row] = job
-	h.row++
+	h.failedJobs[h.failedJobCount] = job
+	h.failedJobCount++
 	if h.Suspect() {
-		h.probeAt = now.Add(firstProbe)
+		h.probeAt = now.Add(firstProbeDelay)
 	}
 }
 
-// JobFailures tells a bad job from a bad worker. The zero value knows no failure.
+// JobFailures records on which workers a job has failed, to tell a faulty job
+// from a faulty worker. The zero value has no failures.
 type JobFailures struct {
 	workers []string
 }
 
-// Failed notes that the job failed on worker, and reports whether the failure
-// counts against the worker: it does not once the job has failed on several.
+// Failed records that the job failed on worker, and reports whether the failure
+// counts against the worker. It does not count once the job has already
+// failed on minWorkersForBadJob workers.
 func (f *JobFailures) Failed(worker string) bool {
-	blame := len(f.workers) < badJobWorkers
+	blameWorker := len(f.workers) < minWorkersForBadJob
 	if !f.On(worker) {
 		f.workers = append(f.workers, worker)
 	}
-	return blame
+	return blameWorker
 }
 
 // On reports whether the job has failed on worker.
@@ -94,17 +103,22 @@
 	return false
 }
 
-// Workers returns the workers on which the job has failed, first to last.
+// Workers returns the workers on which the job has failed, in order of the
+// first failure.
 func (f *JobFailures) Workers() []string { return f.workers }
 
-// Limits of the delay after a task's failure.
+// Limits of the delay before a failed task is retried.
 const (
-	firstRetry   = time.Second
-	longestRetry = 10 * time.Minute
+	firstRetryDelay = time.Second
+	maxRetryDelay   = 10 * time.Minute
 )
 
-// RetryDelay returns how long a task waits after its failures-th failure.
-func RetryDelay(failures int) time.Duration { return backoff(firstRetry, failures-1, longestRetry) }
+// RetryDelay returns how long a task that has failed the given number of times
+// waits before its next attempt: 1 s after the first failure, doubled with each
+// further one, at most 10 min.
+func RetryDelay(failures int) time.Duration {
+	return backoff(firstRetryDelay, failures-1, maxRetryDelay)
+}
 
 // backoff returns first doubled n times, at most limit.
 func backoff(first time.Duration, n int, limit time.Duration) time.Duration {
--- a/pkg/worker/ledger.go
+++ b/pkg/worker/ledger.go
@@ -8,65 +8,70 @@
 
 // Errors returned by Ledger.
 var (
-	// ErrNoRoom means that the worker has too little left for the grant.
-	ErrNoRoom = errors.New("the worker has too little room left")
-	// ErrNotReady means that the ledger has not yet been rebuilt from the worker's own list.
+	// ErrNoRoom means that the worker has less free capacity than requested.
+	ErrNoRoom = errors.New("the worker has too little free capacity")
+	// ErrNotReady means that the ledger has not yet been rebuilt from a task
+	// list of the worker.
 	ErrNotReady = errors.New("the ledger has not been rebuilt from the worker's task list")
-	// ErrBadSize means that a grant has a negative amount.
-	ErrBadSize = errors.New("a resource amount is negative")
+	// ErrBadSize means that the requested size has a negative amount.
+	ErrBadSize = errors.New("a requested resource amount is negative")
 )
 
-// StartSettles is how long after its admission an unconfirmed start may still
-// reach the worker. Until then a listing without the task proves nothing.
+// StartSettles is the longest time after its admission at which an
+// unacknowledged start request may still reach the worker. Until then, a task
+// list that lacks the task does not prove that the task will not run.
 const StartSettles = 10 * time.Second
 
-// Grant is what one task holds of a worker.
+// Grant is the amount of a worker's resources that one task may use.
 type Grant struct {
 	key  string
 	size Resources
 }
 
-// NewGrant returns the grant of size to the task called key.
+// NewGrant returns a grant of size to the task identified by key.
 func NewGrant(key string, size Resources) Grant { return Grant{key: key, size: size} }
 
-// Key returns the task's name on the worker.
+// Key returns the worker's identifier of the task.
 func (g Grant) Key() string { return g.key }
 
-// Size returns the resources granted.
+// Size returns the amount granted.
 func (g Grant) Size() Resources { return g.size }
 
-// entry is one grant and from when on a listing without the task ends it.
-type entry struct {
-	size    Resources
-	settled time.Time
+// grantState is a grant as the ledger keeps it. A task list requested after
+// startSettledAt that lacks the task ends the grant.
+type grantState struct {
+	size           Resources
+	startSettledAt time.Time
 }
 
-// Ledger is the only authority over what a worker has granted. It admits
-// nothing until Rebuild was called. The zero value is ready for Rebuild.
+// Ledger is the authority on which resources of a worker are granted. It admits
+// nothing before the first Rebuild. The zero value is ready for Rebuild.
 type Ledger struct {
 	total  Resources
 	used   Resources
-	grants map[string]entry
-	// from is the earliest listing that may make the ledger ready.
-	from  time.Time
-	ready bool
+	grants map[string]grantState
+	// earliestListing is the earliest request time of a task list that makes
+	// the ledger ready.
+	earliestListing time.Time
+	ready           bool
 }
 
-// AdmitFrom makes the ledger wait for a listing asked for at from or later, so
-// that starts ordered by an agent's predecessor have settled.
-func (l *Ledger) AdmitFrom(from time.Time) { l.from = from }
+// AdmitFrom makes Rebuild leave the ledger unready if its task list was requested
+// before from. At that time, start requests sent by a previous agent
+// of the worker have arrived or never will.
+func (l *Ledger) AdmitFrom(from time.Time) { l.earliestListing = from }
 
-// Rebuild replaces the grants by those that the worker itself lists. The
-// listing was asked for at asOf. A grant that is not listed is kept if its
-// start may have reached the worker after that.
+// Rebuild replaces the grants by the task list of the worker, which was
+// requested at asOf. A grant missing from the list is kept if its start request
+// may have reached the worker after asOf.
 func (l *Ledger) Rebuild(total Resources, listed []Grant, asOf time.Time) {
-	grants := make(map[string]entry, len(listed))
+	grants := make(map[string]grantState, len(listed))
 	for _, g := range listed {
 		size := g.size.Max(Resources{}).Max(grants[g.key].size)
-		grants[g.key] = entry{size: size, settled: l.grants[g.key].settled}
+		grants[g.key] = grantState{size: size, startSettledAt: l.grants[g.key].startSettledAt}
 	}
 	for key, e := range l.grants {
-		if _, ok := grants[key]; !ok && !asOf.After(e.settled) {
+		if _, ok := grants[key]; !ok && !asOf.After(e.startSettledAt) {
 			grants[key] = e
 		}
 	}
@@ -76,11 +81,12 @@
 	for _, e := range grants {
 		l.used = l.used.Plus(e.size)
 	}
-	l.ready = !asOf.Before(l.from)
+	l.ready = !asOf.Before(l.earliestListing)
 }
 
-// Admit grants size to key before its start is ordered at now. A repeated
-// Admit of the same key is idempotent.
+// Admit grants size to key. It must be called before the start request is sent
+// at now. Repeating it for the same key only extends the time for which the
+// start may still arrive.
 func (l *Ledger) Admit(now time.Time, key string, size Resources) error {
 	if !l.ready {
 		return ErrNotReady
@@ -89,28 +95,28 @@
 		return ErrBadSize
 	}
 	if e, ok := l.grants[key]; ok {
-		e.settled = now.Add(StartSettles)
+		e.startSettledAt = now.Add(StartSettles)
 		l.grants[key] = e
 		return nil
 	}
 	if !size.Fits(l.Free()) {
 		return ErrNoRoom
 	}
-	l.grants[key] = entry{size: size, settled: now.Add(StartSettles)}
+	l.grants[key] = grantState{size: size, startSettledAt: now.Add(StartSettles)}
 	l.used = l.used.Plus(size)
 	return nil
 }
 
-// Confirm notes that the worker acknowledged key's start at now: a listing
-// asked for later that lacks the task ends the grant.
+// Confirm records that the worker acknowledged the start of key at now. A task
+// list requested later that lacks the task ends the grant.
 func (l *Ledger) Confirm(now time.Time, key string) {
 	if e, ok := l.grants[key]; ok {
-		e.settled = now
+		e.startSettledAt = now
 		l.grants[key] = e
 	}
 }
 
-// Release returns what key holds. Releasing an unknown key does nothing.
+// Release ends the grant of key, if there is one.
 func (l *Ledger) Release(key string) {
 	e, ok := l.grants[key]
 	if !ok {
@@ -120,13 +126,14 @@
 	l.used = l.used.Minus(e.size)
 }
 
-// Free returns what is left to grant.
+// Free returns the capacity that is not granted.
 func (l *Ledger) Free() Resources { return l.total.Minus(l.used) }
 
-// Total returns the worker's size.
+// Total returns the worker's capacity.
 func (l *Ledger) Total() Resources { return l.total }
 
-// Ready reports whether the ledger has been rebuilt.
+// Ready reports whether the ledger has been rebuilt from a recent enough task
+// list.
 func (l *Ledger) Ready() bool { return l.ready }
 
 // Holds reports whether key has a grant.
--- a/pkg/worker/ledger_test.go
+++ b/pkg/worker/ledger_test.go
@@ -14,7 +14,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// fakeWorker runs what reaches it, also when the start's reply was lost.
+// fakeWorker runs every task whose start request reaches it, including those
+// whose reply was lost.
 type fakeWorker struct {
 	total   worker.Resources
 	tasks   map[string]worker.Resources
@@ -51,8 +52,9 @@
 	return out
 }
 
-// TestLedgerNeverOverfillsWorker lets listings, delayed starts, lost replies,
-// ends of tasks and restarts of the agent race.
+// TestLedgerNeverOverfillsWorker interleaves task lists, delayed start requests,
+// lost replies and ends of tasks at random. The running tasks must never exceed
+// the worker's capacity.
 func TestLedgerNeverOverfillsWorker(t *testing.T) {
 	sizes := rapid.Custom(func(t *rapid.T) worker.Resources {
 		return worker.Resources{
@@ -115,8 +117,8 @@
 		asOf    time.Duration
 		want    bool
 	}{
-		{"asked before the admission", true, -time.Second, true},
-		{"asked after the confirmation", true, time.Second, false},
+		{"list requested before the admission", true, -time.Second, true},
+		{"list requested after the confirmation", true, time.Second, false},
 		{"unconfirmed and may still arrive", false, worker.StartSettles, true},
 		{"unconfirmed and too late to arrive", false, worker.StartSettles + 1, false},
 	}
@@ -132,7 +134,7 @@
 			}
 			l.Rebuild(size, nil, epoch.Add(c.asOf))
 			if got := l.Holds("a"); got != c.want {
-				t.Errorf("got held %v, want %v", got, c.want)
+				t.Errorf("got grant %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -145,8 +147,8 @@
 		name   string
 		grants []worker.Grant
 	}{
-		{"sum wraps", []worker.Grant{worker.NewGrant("a", huge), worker.NewGrant("b", huge)}},
-		{"negative size beside a full one", []worker.Grant{worker.NewGrant("a", worker.Resources{MilliCPU: -5000}), worker.NewGrant("b", total)}},
+		{"sum overflows", []worker.Grant{worker.NewGrant("a", huge), worker.NewGrant("b", huge)}},
+		{"negative size and a grant of the whole worker", []worker.Grant{worker.NewGrant("a", worker.Resources{MilliCPU: -5000}), worker.NewGrant("b", total)}},
 		{"same task twice", []worker.Grant{worker.NewGrant("a", worker.Resources{}), worker.NewGrant("a", total)}},
 	}
 	for _, c := range cases {
@@ -160,7 +162,7 @@
 	}
 }
 
-func TestLedgerWaitsForPredecessorsStarts(t *testing.T) {
+func TestLedgerWaitsForStartsOfPreviousAgent(t *testing.T) {
 	var l worker.Ledger
 	l.AdmitFrom(epoch.Add(time.Second))
 	l.Rebuild(worker.Resources{MilliCPU: 1}, nil, epoch)
@@ -184,7 +186,7 @@
 	}
 }
 
-func TestTaskListedAsEndedGivesBackItsRoomAtOnce(t *testing.T) {
+func TestLedgerFreesTaskListedWithoutResources(t *testing.T) {
 	var l worker.Ledger
 	l.Rebuild(cpu(1000), nil, epoch)
 	if err := l.Admit(epoch, "short", cpu(1000)); err != nil {
--- a/pkg/worker/pacer.go
+++ b/pkg/worker/pacer.go
@@ -2,58 +2,63 @@
 
 import "time"
 
-// Limits of the pacer. Pressure is a tail latency divided by its target.
+// Parameters of the pacer. Pressure is a tail latency divided by its target.
 const (
-	// pacerOver is the pressure above which a target is missed.
-	pacerOver = 1.0
-	// pacerPatience is how long a target is missed before filling tasks are
-	// stopped: it must not be missed for four seconds on end, and a reading is up
-	// to 0.9 s old when it is acted on. Work that is slowed down earlier is late.
-	pacerPatience = 2200 * time.Millisecond
-	// pacerSettle is how long a change takes to show: readings cover half a second.
-	pacerSettle = 600 * time.Millisecond
-	// pacerFull is the percentage of tasks that are not slowed down.
-	pacerFull = 100
+	// pacerMaxPressure is the highest pressure at which a serving task meets
+	// its latency target.
+	pacerMaxPressure = 1.0
+	// pacerStopDelay is how long the target must be missed before best-effort tasks
+	// are stopped. It is short because the target must not be missed for 4 s
+	// without a break, and a reading is up to 0.9 s old when it is acted on. It
+	// is not shorter because stopping best-effort tasks earlier delays their work.
+	pacerStopDelay = 2200 * time.Millisecond
+	// pacerSettleTime is how long it takes until the effect of a change shows:
+	// each reading covers the last 0.5 s.
+	pacerSettleTime = 600 * time.Millisecond
+	// pacerFullPercent is the speed of tasks that are not slowed down.
+	pacerFullPercent = 100
 )
 
-// Pacer decides whether the filling tasks of one worker work, so that no
-// serving task beside them misses its target for long. The zero value lets them work.
+// Pacer decides whether the best-effort tasks of one worker run or are stopped.
+// Best-effort tasks use the capacity that the serving tasks beside them leave
+// idle. They are stopped when a serving task misses its latency target for too
+// long. The zero value lets them run.
 type Pacer struct {
-	stopped bool
-	changed time.Time
-	// over is since when the target is missed.
-	over time.Time
+	stopped   bool
+	changedAt time.Time
+	// missedSince is when the target began to be missed; zero while it is met.
+	missedSince time.Time
 }
 
-// Percent returns the present percentage.
+// Percent returns the current speed of best-effort tasks, as a percentage.
 func (p *Pacer) Percent() int {
 	if p.stopped {
 		return 0
 	}
-	return pacerFull
+	return pacerFullPercent
 }
 
-// OverFor returns how long the target has been missed on end.
+// OverFor returns for how long the target has been missed without a break.
 func (p *Pacer) OverFor(now time.Time) time.Duration {
-	if p.over.IsZero() {
+	if p.missedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(p.over)
+	return now.Sub(p.missedSince)
 }
 
-// Decide takes in the highest pressure among serving tasks and returns the
-// percentage for filling tasks.
+// Decide takes the highest pressure among the serving tasks and returns the
+// speed of best-effort tasks, as a percentage.
 func (p *Pacer) Decide(now time.Time, pressure float64) int {
-	if pressure <= pacerOver {
-		p.over = time.Time{}
-	} else if p.over.IsZero() {
-		p.over = now
+	if pressure <= pacerMaxPressure {
+		p.missedSince = time.Time{}
+	} else if p.missedSince.IsZero() {
+		p.missedSince = now
 	}
 	switch {
-	case now.Sub(p.changed) < pacerSettle:
-	case p.stopped && pressure <= pacerOver, !p.stopped && p.OverFor(now) >= pacerPatience:
+	case now.Sub(p.changedAt) < pacerSettleTime:
+	case p.stopped && pressure <= pacerMaxPressure, !p.stopped && p.OverFor(now) >= pacerStopDelay:
 		p.stopped = !p.stopped
-		p.changed = now
+		p.changedAt = now
 	}
 	return p.Percent()
 }
--- a/pkg/worker/pacer_test.go
+++ b/pkg/worker/pacer_test.go
@@ -14,7 +14,7 @@
 	}
 	var cases []struct {
 		Name string `json:"name"`
-		// Readings are a time in milliseconds, a pressure and the percentage wanted.
+		// Readings are triples: time in milliseconds, pressure, wanted percentage.
 		Readings [][3]float64 `json:"readings"`
 	}
 	if err := json.Unmarshal(data, &cases); err != nil {
--- a/pkg/worker/place.go
+++ b/pkg/worker/place.go
@@ -9,88 +9,93 @@
 
 // Errors returned by Place.
 var (
-	// ErrFleetFull means that no worker has room now.
+	// ErrFleetFull means that no worker has enough free capacity now.
 	ErrFleetFull = errors.New("no worker has enough room now")
-	// ErrTooLarge means that the task is larger than every worker known.
+	// ErrTooLarge means that the task exceeds the total capacity of every known
+	// worker.
 	ErrTooLarge = errors.New("the task asks for more than any known worker has")
 )
 
-// SilentAfter is how long a worker may be silent before it gets no new tasks.
+// SilentAfter is the age of a worker's last report above which it gets no new
+// tasks.
 const SilentAfter = 4 * time.Second
 
-// candidates is the number of workers with room that are scored.
-const candidates = 24
+// maxScored limits how many workers with enough free capacity are scored for
+// one task.
+const maxScored = 24
 
-// Weights of the parts of a score; the lowest score wins. The unit is the
-// pressure on a service: its tail latency divided by its objective.
+// Weights of the terms of a worker's score; the worker with the lowest score is
+// chosen. The unit is pressure: a service's tail latency divided by its
+// objective.
 const (
-	weightFull        = 0.4
-	weightAccelerator = 2.0
-	weightRack        = 0.3
-	weightAge         = 0.1 // per second
-	weightFailing     = 2.0
-	weightPressed     = 4.0
-	weightFailedHere  = 8.0
+	weightUtilisation   = 0.4
+	weightAccelerator   = 2.0
+	weightRack          = 0.3
+	weightReportAge     = 0.1 // per second
+	weightFailureRate   = 2.0
+	weightOverObjective = 4.0
+	weightJobFailedHere = 8.0
 )
 
-// Task is what a placement decision needs to know of a task.
+// Task is the input of a placement decision.
 type Task struct {
-	// Key names the task.
+	// Key identifies the task.
 	Key TaskKey
-	// Size is what the task declared; it decides where there is room.
+	// Size is the declared size; the worker must have this much free capacity.
 	Size Resources
-	// Expected is what the task is likely to use; zero means Size. It only
-	// changes the score.
+	// Expected is the predicted resource use, or zero to use Size. It affects
+	// only the score.
 	Expected Resources
 	// Class is the task's batch class.
 	Class string
-	// Racks counts the other tasks of the job by rack.
+	// Racks is the number of the job's other tasks in each rack.
 	Racks map[string]int
-	// Failures names the workers where the job has failed before.
+	// Failures are the workers on which the job has failed; may be nil.
 	Failures *JobFailures
 }
 
-// Choice is where a task should run and why.
+// Choice is the worker chosen for a task, and why.
 type Choice struct {
-	worker     string
-	reason     string
-	score      float64
-	considered int
+	worker        string
+	reason        string
+	score         float64
+	workersScored int
 }
 
-// Worker returns the worker chosen.
+// Worker returns the name of the chosen worker.
 func (c *Choice) Worker() string { return c.worker }
 
-// Reason says in words what spoke for the worker.
+// Reason returns the main reason for the choice, in words, for logs.
 func (c *Choice) Reason() string { return c.reason }
 
-// Score returns the worker's score; the lowest wins.
+// Score returns the score of the chosen worker; lower is better.
 func (c *Choice) Score() float64 { return c.score }
 
 // Considered returns the number of workers that were scored.
-func (c *Choice) Considered() int { return c.considered }
+func (c *Choice) Considered() int { return c.workersScored }
 
-// Place chooses a worker for a task. It looks at workers from a random one on,
-// and scores the first of them that have room.
+// Place chooses a worker for a task. Beginning at a random worker, it scores
+// the first maxScored workers that accept the task and have enough free
+// capacity.
 func (f *Fleet) Place(now time.Time, t *Task, random *rand.Rand) (Choice, error) {
 	best := -1
 	var c Choice
-	n := len(f.views)
+	n := len(f.workers)
 	start := 0
 	if n > 0 {
 		start = random.IntN(n)
 	}
-	for k := 0; k < n && c.considered < candidates; k++ {
+	for k := 0; k < n && c.workersScored < maxScored; k++ {
 		i := start + k
 		if i >= n {
 			i -= n
 		}
-		if !t.Size.Fits(f.free[i]) || !f.views[i].open(now, t.Key) {
+		if !t.Size.Fits(f.free[i]) || !f.workers[i].accepts(now, t.Key) {
 			continue
 		}
-		c.considered++
+		c.workersScored++
 		score := f.score(now, i, t)
-		if best < 0 || score < c.score || (score == c.score && f.views[i].report.Name < f.views[best].report.Name) {
+		if best < 0 || score < c.score || (score == c.score && f.workers[i].report.Name < f.workers[best].report.Name) {
 			best, c.score = i, score
 		}
 	}
@@ -100,72 +105,73 @@
 		}
 		return c, ErrFleetFull
 	}
-	c.worker = f.views[best].report.Name
-	c.reason = f.explain(best, t, c.considered)
+	c.worker = f.workers[best].report.Name
+	c.reason = f.choiceReason(best, t, c.workersScored)
 	return c, nil
 }
 
-// open reports whether the worker takes the task called key now.
-func (v *view) open(now time.Time, key TaskKey) bool {
-	if !v.known || !v.report.Ready || v.report.Leaving || now.Sub(v.heard) > SilentAfter {
+// accepts reports whether the worker takes new tasks now, and in particular the
+// task identified by key.
+func (w *workerState) accepts(now time.Time, key TaskKey) bool {
+	if !w.hasReport || !w.report.Ready || w.report.Leaving || now.Sub(w.lastContact) > SilentAfter {
 		return false
 	}
-	if v.reserved != key && now.Before(v.reservedUntil) {
+	if w.reservedFor != key && now.Before(w.reservedUntil) {
 		return false
 	}
-	if v.health.Suspect() {
-		return len(v.tasks) == 0 && v.health.MayProbe(now)
+	if w.health.Suspect() {
+		return len(w.tasks) == 0 && w.health.MayProbe(now)
 	}
 	return true
 }
 
 func (f *Fleet) score(now time.Time, i int, t *Task) float64 {
-	v := &f.views[i]
-	r := &v.report
+	w := &f.workers[i]
+	r := &w.report
 	expected := t.Expected
 	if expected == (Resources{}) {
 		expected = t.Size
 	}
-	part := share(expected.MilliCPU, r.Total.MilliCPU)
-	score := r.Load * part * f.interference.Slope(r.Service, t.Class)
-	score += weightFull * v.used.Plus(expected).Dominant(Resources{MilliCPU: r.Total.MilliCPU, MemoryMB: r.Total.MemoryMB})
+	cpuShare := share(expected.MilliCPU, r.Total.MilliCPU)
+	score := r.Load * cpuShare * f.interference.Slope(r.Service, t.Class)
+	score += weightUtilisation * w.allocated.Plus(expected).Dominant(Resources{MilliCPU: r.Total.MilliCPU, MemoryMB: r.Total.MemoryMB})
 	if t.Size.Accelerators == 0 && f.free[i].Accelerators > 0 {
 		score += weightAccelerator
 	}
 	if r.Pressure > 1 {
-		score += weightPressed * (r.Pressure - 1)
+		score += weightOverObjective * (r.Pressure - 1)
 	}
-	score += weightAge * now.Sub(v.heard).Seconds()
-	score += weightFailing * v.health.Failing()
+	score += weightReportAge * now.Sub(w.lastContact).Seconds()
+	score += weightFailureRate * w.health.Failing()
 	if len(t.Racks) > 0 {
 		score += weightRack * float64(t.Racks[r.Rack])
 	}
 	if t.Failures != nil && t.Failures.On(r.Name) {
-		score += weightFailedHere
+		score += weightJobFailedHere
 	}
 	return score
 }
 
-// The words for what spoke most for a choice.
+// Reasons for a choice, as written to the log.
 const (
-	reasonOnly    = "the only worker with room"
-	reasonProbe   = "tests a worker whose last tasks failed"
-	reasonQuiet   = "least interference with the service there"
-	reasonSpread  = "least full and least crowded by the job"
-	reasonAllPoor = "the least bad of pressed or doubtful workers"
+	reasonOnly         = "the only worker with enough free capacity"
+	reasonProbe        = "probe of a worker whose recent tasks failed"
+	reasonInterference = "least interference with the service on the worker"
+	reasonSpread       = "least utilised, and fewest tasks of the job in its rack"
+	reasonLeastBad     = "least bad of workers with high service latency or earlier failures of the job"
 )
 
-func (f *Fleet) explain(i int, t *Task, considered int) string {
-	v := &f.views[i]
+func (f *Fleet) choiceReason(i int, t *Task, considered int) string {
+	w := &f.workers[i]
 	switch {
-	case v.health.Suspect():
+	case w.health.Suspect():
 		return reasonProbe
 	case considered == 1:
 		return reasonOnly
-	case v.report.Pressure > 1 || (t.Failures != nil && t.Failures.On(v.report.Name)):
-		return reasonAllPoor
-	case v.report.Service != "" && v.report.Load > 0:
-		return reasonQuiet
+	case w.report.Pressure > 1 || (t.Failures != nil && t.Failures.On(w.report.Name)):
+		return reasonLeastBad
+	case w.report.Service != "" && w.report.Load > 0:
+		return reasonInterference
 	}
 	return reasonSpread
 }
--- a/pkg/worker/preempt.go
+++ b/pkg/worker/preempt.go
@@ -5,38 +5,42 @@
 	"time"
 )
 
-// preemptCandidates is the number of workers looked at for room to be made.
-const preemptCandidates = 64
+// maxPreemptionCandidates limits how many workers are searched for tasks to
+// preempt.
+const maxPreemptionCandidates = 64
 
-// Preempt chooses a worker on which urgent work can be given room by stopping
-// other tasks, and those tasks: the fewest, and of them the youngest, which
-// lose the least. It returns no worker if there is none.
+// Preempt chooses a worker on which stopping tasks makes enough room for an
+// urgent task of the given size, and the tasks to stop: as few as possible, and
+// the youngest, which lose the least work. It begins at the worker with index
+// start modulo the number of workers. It returns an empty name if there is no
+// such worker.
 func (f *Fleet) Preempt(now time.Time, key TaskKey, size Resources, start int) (string, []TaskKey) {
 	var worker string
 	var victims []TaskKey
-	looked := 0
-	for k := 0; k < len(f.views) && looked < preemptCandidates; k++ {
-		i := (start + k) % len(f.views)
-		v := &f.views[i]
-		if !v.open(now, key) || v.health.Suspect() || !size.Fits(v.report.Total) {
+	examined := 0
+	for k := 0; k < len(f.workers) && examined < maxPreemptionCandidates; k++ {
+		i := (start + k) % len(f.workers)
+		w := &f.workers[i]
+		if !w.accepts(now, key) || w.health.Suspect() || !size.Fits(w.report.Total) {
 			continue
 		}
-		looked++
-		own, ok := f.victims(i, size)
-		if ok && (worker == "" || len(own) < len(victims)) {
-			worker, victims = v.report.Name, own
+		examined++
+		candidates, ok := f.preemptionVictims(i, size)
+		if ok && (worker == "" || len(candidates) < len(victims)) {
+			worker, victims = w.report.Name, candidates
 		}
 	}
 	return worker, victims
 }
 
-// victims returns the youngest preemptible tasks of a worker whose end would
-// make room for size, beside those that are ending already.
-func (f *Fleet) victims(i int, size Resources) ([]TaskKey, bool) {
+// preemptionVictims returns the youngest preemptible tasks of worker i that
+// must stop to make room for size, in addition to those that are stopping
+// already.
+func (f *Fleet) preemptionVictims(i int, size Resources) ([]TaskKey, bool) {
 	var keys []TaskKey
 	free := f.free[i]
-	for key := range f.views[i].tasks {
-		h := f.holds[key]
+	for key := range f.workers[i].tasks {
+		h := f.allocations[key]
 		switch {
 		case h.Ending:
 			free = free.Plus(h.Size)
@@ -45,7 +49,7 @@
 		}
 	}
 	sort.Slice(keys, func(a, b int) bool {
-		x, y := f.holds[keys[a]], f.holds[keys[b]]
+		x, y := f.allocations[keys[a]], f.allocations[keys[b]]
 		if !x.Since.Equal(y.Since) {
 			return x.Since.After(y.Since)
 		}
@@ -55,19 +59,20 @@
 		if size.Fits(free) {
 			return keys[:n], true
 		}
-		free = free.Plus(f.holds[key].Size)
+		free = free.Plus(f.allocations[key].Size)
 	}
 	return keys, size.Fits(free)
 }
 
-// ReserveFor returns the worker that comes closest to having room for size, so
-// that room can be kept for a task that has waited for too long.
+// ReserveFor returns the worker whose free capacity comes closest to size. The
+// caller reserves it for a task that has waited too long. ReserveFor itself
+// reserves nothing.
 func (f *Fleet) ReserveFor(now time.Time, key TaskKey, size Resources) (string, bool) {
 	best := -1
 	var bestFree float64
-	for i := range f.views {
-		v := &f.views[i]
-		if !v.open(now, key) || v.health.Suspect() || !size.Fits(v.report.Total) {
+	for i := range f.workers {
+		w := &f.workers[i]
+		if !w.accepts(now, key) || w.health.Suspect() || !size.Fits(w.report.Total) {
 			continue
 		}
 		if free := f.free[i].Max(Resources{}).Dominant(size); best < 0 || free > bestFree {
@@ -77,5 +82,5 @@
 	if best < 0 {
 		return "", false
 	}
-	return f.views[best].report.Name, true
+	return f.workers[best].report.Name, true
 }
--- a/pkg/worker/resources.go
+++ b/pkg/worker/resources.go
@@ -1,13 +1,14 @@
-// Package worker models what workers can give: their resources, the ledger of
-// what has been granted from them, how healthy they are, which of them a task
-// should run on, and how a worker protects its latency-critical service.
+// Package worker models the machines that run batch tasks: their resources, the
+// ledger of resources granted on a worker, worker health, task placement, and
+// the throttling of batch tasks that protects the latency-critical service on
+// the same machine.
 package worker
 
 import "math"
 
-// Resources is an amount of processors, memory and accelerators.
+// Resources is an amount of CPU, memory and accelerators.
 type Resources struct {
-	// MilliCPU is in thousandths of a processor.
+	// MilliCPU is in thousandths of a CPU core.
 	MilliCPU int64 `cbor:"1,keyasint,omitempty" json:"milli-cpu"    yaml:"milli-cpu"`
 	// MemoryMB is in mebibytes.
 	MemoryMB int64 `cbor:"2,keyasint,omitempty" json:"memory-mb"    yaml:"memory-mb"`
@@ -18,24 +19,26 @@
 // Plus returns the sum of r and o. Amounts saturate instead of wrapping.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{
-		MilliCPU:     add(r.MilliCPU, o.MilliCPU),
-		MemoryMB:     add(r.MemoryMB, o.MemoryMB),
-		Accelerators: add(r.Accelerators, o.Accelerators),
+		MilliCPU:     saturatingAdd(r.MilliCPU, o.MilliCPU),
+		MemoryMB:     saturatingAdd(r.MemoryMB, o.MemoryMB),
+		Accelerators: saturatingAdd(r.Accelerators, o.Accelerators),
 	}
 }
 
 // Minus returns r less o. Amounts may become negative; they saturate instead of wrapping.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{
-		MilliCPU:     add(r.MilliCPU, -o.MilliCPU),
-		MemoryMB:     add(r.MemoryMB, -o.MemoryMB),
-		Accelerators: add(r.Accelerators, -o.Accelerators),
+		MilliCPU:     saturatingAdd(r.MilliCPU, -o.MilliCPU),
+		MemoryMB:     saturatingAdd(r.MemoryMB, -o.MemoryMB),
+		Accelerators: saturatingAdd(r.Accelerators, -o.Accelerators),
 	}
 }
 
-// Times returns r taken n times.
+// Times returns r multiplied by n. It is zero in every dimension whose amount
+// is not positive, and if n is not positive; amounts saturate instead of
+// wrapping.
 func (r Resources) Times(n int64) Resources {
-	return Resources{MilliCPU: times(r.MilliCPU, n), MemoryMB: times(r.MemoryMB, n), Accelerators: times(r.Accelerators, n)}
+	return Resources{MilliCPU: saturatingMul(r.MilliCPU, n), MemoryMB: saturatingMul(r.MemoryMB, n), Accelerators: saturatingMul(r.Accelerators, n)}
 }
 
 // Max returns the larger amount of r and o in every dimension.
@@ -57,8 +60,9 @@
 	return r.MilliCPU >= 0 && r.MemoryMB >= 0 && r.Accelerators >= 0
 }
 
-// Dominant returns the largest share that r takes of whole in any dimension
-// of which whole has something.
+// Dominant returns the largest fraction that r takes of whole over all
+// dimensions that whole has any of (the dominant share of dominant resource
+// fairness).
 func (r Resources) Dominant(whole Resources) float64 {
 	return max(share(r.MilliCPU, whole.MilliCPU), share(r.MemoryMB, whole.MemoryMB), share(r.Accelerators, whole.Accelerators))
 }
@@ -70,7 +74,7 @@
 	return float64(part) / float64(whole)
 }
 
-func add(a, b int64) int64 {
+func saturatingAdd(a, b int64) int64 {
 	sum := a + b
 	if a > 0 && b > 0 && sum < 0 {
 		return math.MaxInt64
@@ -81,7 +85,7 @@
 	return sum
 }
 
-func times(a, n int64) int64 {
+func saturatingMul(a, n int64) int64 {
 	if n <= 0 || a <= 0 {
 		return 0
 	}
--- a/pkg/worker/tail.go
+++ b/pkg/worker/tail.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// Limits of a Tail.
+// Parameters of a Tail.
 const (
-	// tailWindow is how old a latency may be to count.
-	tailWindow = 5 * time.Second
-	// tailSamples is the most latencies that are kept.
-	tailSamples = 1024
-	// leastSamples is the number of latencies below which nothing is said.
-	leastSamples = 20
-	// tailPart is the part of latencies that may be above the tail.
-	tailPart = 0.01
-	// leastAbove is the number of latencies above the tail below which one slow
-	// request would decide.
-	leastAbove = 2
+	// latencyWindow is the largest age of a sample that is counted.
+	latencyWindow = 5 * time.Second
+	// maxLatencySamples is the capacity of the ring buffer.
+	maxLatencySamples = 1024
+	// minLatencySamples is the number of samples below which no tail latency is
+	// reported.
+	minLatencySamples = 20
+	// tailFraction is the fraction of samples at or above the tail latency: the
+	// tail is the 99th percentile.
+	tailFraction = 0.01
+	// minSamplesInTail is the least number of samples at or above the tail
+	// latency. With only one, a single slow request would set the result.
+	minSamplesInTail = 2
 )
 
-type latency struct {
+type latencySample struct {
 	at   time.Time
 	took time.Duration
 }
 
-// Tail keeps the latest latencies of a service beside a worker. The zero value
-// has none.
+// Tail keeps the latest request latencies of the service beside a worker in a
+// ring buffer. The zero value is empty.
 type Tail struct {
-	ring []latency
+	ring []latencySample
 	next int
 }
 
-// Add takes in one latency, seen at now.
+// Add records the latency of a request that ended at now.
 func (t *Tail) Add(now time.Time, took time.Duration) {
-	l := latency{at: now, took: took}
-	if len(t.ring) < tailSamples {
+	l := latencySample{at: now, took: took}
+	if len(t.ring) < maxLatencySamples {
 		t.ring = append(t.ring, l)
 		return
 	}
 	t.ring[t.next] = l
-	t.next = (t.next + 1) % tailSamples
+	t.next = (t.next + 1) % maxLatencySamples
 }
 
-// Read returns the tail latency, or false if there are too few samples.
+// Read returns the 99th percentile of the samples of the last 5 s, or false if
+// there are too few. With fewer than 200 samples it returns the second largest.
 func (t *Tail) Read(now time.Time) (time.Duration, bool) {
 	took := make([]time.Duration, 0, len(t.ring))
 	for _, l := range t.ring {
-		if now.Sub(l.at) <= tailWindow {
+		if now.Sub(l.at) <= latencyWindow {
 			took = append(took, l.took)
 		}
 	}
-	if len(took) < leastSamples {
+	if len(took) < minLatencySamples {
 		return 0, false
 	}
 	slices.Sort(took)
-	above := max(leastAbove, int(float64(len(took))*tailPart))
+	above := max(minSamplesInTail, int(float64(len(took))*tailFraction))
 	return took[len(took)-above], true
 }
