--- a/pkg/queue/change.go
+++ b/pkg/queue/change.go
@@ -8,69 +8,73 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// gang is the state of a job whose tasks start together.
-type gang struct {
+// gangState is the scheduling state of a gang: a job whose tasks start
+// together.
+type gangState struct {
 	pending map[uint32]struct{}
-	// leaving tasks are revoked and not yet released.
-	leaving map[uint32]struct{}
+	// revoked holds the tasks that have been revoked but not yet released by
+	// their worker.
+	revoked map[uint32]struct{}
 }
 
-// TaskChanged takes in a task's new phase; a nil t means that the job was forgotten.
+// TaskChanged updates the scheduler after a change of a task. A nil t means that
+// the job's state has been deleted.
 func (s *Scheduler) TaskChanged(now time.Time, id record.TaskID, j *job.Job, t *job.Task) {
 	if t == nil {
-		s.forget(now, id, j)
+		s.removeTask(now, id, j)
 		return
 	}
-	s.noteOutcome(now, id, t)
+	s.recordOutcome(now, id, t)
 	switch {
 	case t.Phase() == job.Pending:
-		s.unhold(id)
+		s.release(id)
 		s.enqueue(now, id, j, t)
 	case t.Phase().Held():
 		s.dequeue(now, id, j, t.Phase() == job.Revoked)
-		s.hold(now, id, j, t)
+		s.allocate(now, id, j, t)
 	default:
 		s.dequeue(now, id, j, false)
-		s.unhold(id)
-		delete(s.failed, id)
+		s.release(id)
+		delete(s.failuresSeen, id)
 		if j.Ended() {
-			delete(s.failures, id.Job)
+			delete(s.jobFailures, id.Job)
 			delete(s.gangs, id.Job)
 		}
 	}
 }
 
-func (s *Scheduler) forget(now time.Time, id record.TaskID, j *job.Job) {
+func (s *Scheduler) removeTask(now time.Time, id record.TaskID, j *job.Job) {
 	s.dequeue(now, id, j, false)
-	s.unhold(id)
-	delete(s.failed, id)
-	delete(s.failures, id.Job)
+	s.release(id)
+	delete(s.failuresSeen, id)
+	delete(s.jobFailures, id.Job)
 	delete(s.gangs, id.Job)
 }
 
-// noteOutcome learns from a run that ended about its worker and its class.
-func (s *Scheduler) noteOutcome(now time.Time, id record.TaskID, t *job.Task) {
+// recordOutcome updates the health of the worker from a run that has ended, and
+// after a success also the run-time estimate of the team and class.
+func (s *Scheduler) recordOutcome(now time.Time, id record.TaskID, t *job.Task) {
 	if t.Phase() == job.Succeeded {
 		if h, ok := s.fleet.Held(taskKey(id)); ok && !h.Tentative {
 			s.fleet.Health(t.Worker()).Succeeded()
 			if !h.Since.IsZero() {
-				s.learned.run(h.Team, h.Class, now.Sub(h.Since))
+				s.stats.addRun(h.Team, h.Class, now.Sub(h.Since))
 			}
 		}
 		return
 	}
-	if t.Failures() <= s.failed[id] {
+	if t.Failures() <= s.failuresSeen[id] {
 		return
 	}
-	if s.failed == nil {
-		s.failed = make(map[record.TaskID]uint32)
-		s.failures = make(map[string]*worker.JobFailures)
+	if s.failuresSeen == nil {
+		s.failuresSeen = make(map[record.TaskID]uint32)
+		s.jobFailures = make(map[string]*worker.JobFailures)
 	}
-	s.failed[id] = t.Failures()
-	f := s.failures[id.Job]
+	s.failuresSeen[id] = t.Failures()
+	f := s.jobFailures[id.Job]
 	if f == nil {
 		f = new(worker.JobFailures)
-		s.failures[id.Job] = f
+		s.jobFailures[id.Job] = f
 	}
 	if f.Failed(t.Worker()) {
 		s.fleet.Health(t.Worker()).Failed(now, id.Job)
@@ -98,47 +102,49 @@
 	}
 	if spec.NeededBy != 0 {
 		expected := time.Duration(spec.ExpectedMS) * time.Millisecond
-		d.NeededBy = time.UnixMilli(spec.NeededBy).Add(-s.learned.runTime(spec.Team, spec.Class, expected))
+		d.NeededBy = time.UnixMilli(spec.NeededBy).Add(-s.stats.runTime(spec.Team, spec.Class, expected))
 	}
 	return d
 }
 
-// gangPoll is how often a gang is looked at that waits for a task to be released.
-const gangPoll = time.Hour
+// gangRecheckInterval is when a gang that waits for revoked tasks is looked at
+// again. It is long because the release of the tasks requeues the gang.
+const gangRecheckInterval = time.Hour
 
 func (s *Scheduler) enqueueGang(now time.Time, id record.TaskID, j *job.Job, until time.Time, reason Reason) {
-	g := s.gang(id.Job)
-	delete(g.leaving, id.Index)
+	g := s.gangOf(id.Job)
+	delete(g.revoked, id.Index)
 	g.pending[id.Index] = struct{}{}
-	if len(g.leaving) > 0 {
-		until, reason = now.Add(gangPoll), ReasonGang
+	if len(g.revoked) > 0 {
+		until, reason = now.Add(gangRecheckInterval), ReasonGang
 	}
 	s.queue.Add(now, Key{Job: id.Job, Task: WholeGang}, s.demand(j, len(g.pending)), until, reason)
 }
 
-func (s *Scheduler) gang(id string) *gang {
+func (s *Scheduler) gangOf(id string) *gangState {
 	if s.gangs == nil {
-		s.gangs = make(map[string]*gang)
+		s.gangs = make(map[string]*gangState)
 	}
 	g := s.gangs[id]
 	if g == nil {
-		g = &gang{pending: make(map[uint32]struct{}), leaving: make(map[uint32]struct{})}
+		g = &gangState{pending: make(map[uint32]struct{}), revoked: make(map[uint32]struct{})}
 		s.gangs[id] = g
 	}
 	return g
 }
 
-// dequeue takes a task out of the queue, and notes whether it is leaving its worker.
-func (s *Scheduler) dequeue(now time.Time, id record.TaskID, j *job.Job, leaving bool) {
+// dequeue removes a task from the queue. If revoked is set, the rest of its
+// gang waits until the task is released.
+func (s *Scheduler) dequeue(now time.Time, id record.TaskID, j *job.Job, revoked bool) {
 	if !j.Spec().Gang {
 		s.queue.Remove(Key{Job: id.Job, Task: id.Index})
 		return
 	}
-	g := s.gang(id.Job)
+	g := s.gangOf(id.Job)
 	delete(g.pending, id.Index)
-	delete(g.leaving, id.Index)
-	if leaving {
-		g.leaving[id.Index] = struct{}{}
+	delete(g.revoked, id.Index)
+	if revoked {
+		g.revoked[id.Index] = struct{}{}
 	}
 	key := Key{Job: id.Job, Task: WholeGang}
 	if len(g.pending) == 0 {
@@ -146,22 +152,22 @@
 		return
 	}
 	until, reason := now, ReasonQueued
-	if len(g.leaving) > 0 {
-		until, reason = now.Add(gangPoll), ReasonGang
+	if len(g.revoked) > 0 {
+		until, reason = now.Add(gangRecheckInterval), ReasonGang
 	}
 	s.queue.Add(now, key, s.demand(j, len(g.pending)), until, reason)
 }
 
-func (s *Scheduler) hold(now time.Time, id record.TaskID, j *job.Job, t *job.Task) {
+func (s *Scheduler) allocate(now time.Time, id record.TaskID, j *job.Job, t *job.Task) {
 	key := taskKey(id)
 	since := now
-	if s.kept.IsZero() {
-		since = time.Time{} // read from the past of the log: the true moment is not known
+	if s.lastHousekeeping.IsZero() {
+		since = time.Time{} // replayed from the log before the first decision: the actual start time is unknown
 	}
 	if h, ok := s.fleet.Held(key); ok && !h.Tentative {
 		since = h.Since
 	}
-	s.unhold(id)
+	s.release(id)
 	spec := j.Spec()
 	s.fleet.Hold(key, worker.Hold{
 		Worker: t.Worker(), Team: spec.Team, Size: spec.Size, Class: spec.Class, Urgent: s.class(spec.Class).Urgent,
@@ -170,8 +176,9 @@
 	s.queue.Charge(spec.Team, spec.Size)
 }
 
-// unhold ends a task's hold, and has work looked at that may fit now.
-func (s *Scheduler) unhold(id record.TaskID) {
+// release ends a task's allocation and unblocks queued work that may fit the
+// capacity that it frees.
+func (s *Scheduler) release(id record.TaskID) {
 	h, ok := s.fleet.Drop(taskKey(id))
 	if !ok {
 		return
--- a/pkg/queue/decision.go
+++ b/pkg/queue/decision.go
@@ -9,63 +9,66 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Kind says what was decided.
+// Kind is the kind of a Decision.
 type Kind uint8
 
 // The kinds of decisions.
 const (
-	// KindPlace gives tasks to workers.
+	// KindPlace assigns tasks to workers.
 	KindPlace Kind = iota + 1
-	// KindPreempt stops tasks to make room for urgent work.
+	// KindPreempt stops tasks to make room for an urgent one.
 	KindPreempt
-	// KindPark puts work aside that fits no worker known.
+	// KindPark sets aside a job whose tasks exceed every known worker.
 	KindPark
 )
 
 var kindNames = [...]string{"", "place-task", "preempt-task", "park-job"}
 
-// String returns the decision's name in logs.
+// String returns the decision name used in logs.
 func (k Kind) String() string { return kindNames[k] }
 
-// Decision is one decision of a Scheduler.
+// Decision is one scheduling decision.
 type Decision struct {
-	kind    Kind
-	job     *job.Job
-	message record.Message
-	places  []record.Placement
-	holds   []record.Hold
-	reason  string
+	kind       Kind
+	job        *job.Job
+	message    record.Message
+	placements []record.Placement
+	revoked    []record.Hold
+	reason     string
 }
 
-// Kind says what was decided.
+// Kind returns the kind of the decision.
 func (d *Decision) Kind() Kind { return d.kind }
 
-// Job returns the job concerned; for a preemption, the one that needs the room.
+// Job returns the job concerned; for a preemption, the one that needs the
+// capacity.
 func (d *Decision) Job() *job.Job { return d.job }
 
-// Message returns the record that puts the decision in force, or nil.
+// Message returns the log record that makes the decision effective, or nil if
+// it needs none.
 func (d *Decision) Message() record.Message { return d.message }
 
-// Placements returns the tasks placed.
-func (d *Decision) Placements() []record.Placement { return d.places }
+// Placements returns the tasks placed and their workers.
+func (d *Decision) Placements() []record.Placement { return d.placements }
 
-// Holds returns the tasks that are stopped.
-func (d *Decision) Holds() []record.Hold { return d.holds }
+// Holds returns the assignments that are revoked by a preemption.
+func (d *Decision) Holds() []record.Hold { return d.revoked }
 
-// Reason returns why it was decided so.
+// Reason returns the reason in words, for logs.
 func (d *Decision) Reason() string { return d.reason }
 
-// place decides about the queue's next item. It reports whether it was placed.
+// place tries to place the given item, and reports whether it did. If it did
+// not, the decision may be a preemption or a parked job, or be of no kind.
 func (s *Scheduler) place(now time.Time, item *Item, owner *job.Job, random *rand.Rand) (Decision, bool) {
-	tasks := s.tasks(item, owner)
+	tasks := s.placementTasks(item, owner)
 	for i := range tasks {
-		s.unhold(taskID(tasks[i].Key)) // an earlier decision that never showed in the log
+		s.release(taskID(tasks[i].Key)) // a tentative allocation by an earlier placement that never appeared in the log
 	}
-	choices, err := s.choose(now, tasks, random)
+	choices, err := s.chooseWorkers(now, tasks, random)
 	if err != nil {
-		return s.misplaced(now, item, owner, err, random), false
+		return s.handleNoPlacement(now, item, owner, err, random), false
 	}
-	places := make([]record.Placement, len(tasks))
+	placements := make([]record.Placement, len(tasks))
 	for i := range tasks {
 		id := taskID(tasks[i].Key)
 		s.fleet.Hold(tasks[i].Key, worker.Hold{
@@ -73,15 +76,15 @@
 			Urgent: item.demand.Urgent, Since: now, Tentative: true,
 		})
 		s.queue.Charge(item.demand.Team, item.demand.Size)
-		places[i] = record.Placement{Task: id, Worker: choices[i].Worker(), Attempt: owner.Task(int(id.Index)).Attempt()}
+		placements[i] = record.Placement{Task: id, Worker: choices[i].Worker(), Attempt: owner.Task(int(id.Index)).Attempt()}
 	}
 	s.queue.Delay(item.key, now.Add(PlacementPending), ReasonPlacing)
 	return Decision{
-		kind: KindPlace, job: owner, message: &record.Assign{Placements: places}, places: places, reason: choices[0].Reason(),
+		kind: KindPlace, job: owner, message: &record.Assign{Placements: placements}, placements: placements, reason: choices[0].Reason(),
 	}, true
 }
 
-func (s *Scheduler) choose(now time.Time, tasks []worker.Task, random *rand.Rand) ([]worker.Choice, error) {
+func (s *Scheduler) chooseWorkers(now time.Time, tasks []worker.Task, random *rand.Rand) ([]worker.Choice, error) {
 	if len(tasks) > 1 {
 		return s.fleet.PlaceGang(now, tasks, random)
 	}
@@ -89,15 +92,15 @@
 	return []worker.Choice{c}, err
 }
 
-// tasks returns what the fleet needs to know of an item's tasks.
-func (s *Scheduler) tasks(item *Item, owner *job.Job) []worker.Task {
+// placementTasks returns the tasks of an item as the input of a placement.
+func (s *Scheduler) placementTasks(item *Item, owner *job.Job) []worker.Task {
 	spec := owner.Spec()
 	base := worker.Task{
 		Key: worker.TaskKey{Job: item.key.Job, Index: item.key.Task}, Size: spec.Size,
-		Expected: s.learned.use(spec.Class, spec.Size), Class: spec.Class, Failures: s.failures[item.key.Job],
+		Expected: s.stats.expectedUse(spec.Class, spec.Size), Class: spec.Class, Failures: s.jobFailures[item.key.Job],
 	}
 	if item.key.Task != WholeGang {
-		base.Racks = s.racks(owner)
+		base.Racks = s.tasksPerRack(owner)
 		return []worker.Task{base}
 	}
 	out := make([]worker.Task, 0, item.demand.Count)
@@ -111,12 +114,14 @@
 	return out
 }
 
-// spreadTasks is the most tasks of a job that are spread over racks.
-const spreadTasks = 64
+// maxSpreadTasks is the number of tasks up to which a job's tasks are spread
+// over racks.
+const maxSpreadTasks = 64
 
-// racks counts by rack the tasks of a job that run.
-func (s *Scheduler) racks(owner *job.Job) map[string]int {
-	if owner.Tasks() < 2 || owner.Tasks() > spreadTasks {
+// tasksPerRack counts the job's placed tasks in each rack. It returns nil for
+// jobs that are not spread.
+func (s *Scheduler) tasksPerRack(owner *job.Job) map[string]int {
+	if owner.Tasks() < 2 || owner.Tasks() > maxSpreadTasks {
 		return nil
 	}
 	out := make(map[string]int)
@@ -128,8 +133,10 @@
 	return out
 }
 
-// misplaced puts an item aside for which there is no room, or makes room for it.
-func (s *Scheduler) misplaced(now time.Time, item *Item, owner *job.Job, err error, random *rand.Rand) Decision {
+// handleNoPlacement handles an item that could not be placed: it parks an item
+// that exceeds every known worker, preempts other tasks for an urgent one, and
+// blocks any other.
+func (s *Scheduler) handleNoPlacement(now time.Time, item *Item, owner *job.Job, err error, random *rand.Rand) Decision {
 	if s.fleet.FitsNone(item.demand.Size) {
 		s.queue.Park(item.key)
 		return Decision{kind: KindPark, job: owner, reason: err.Error()}
@@ -143,19 +150,23 @@
 
 // Times of preemption.
 const (
-	// preemptAgain is how long one preemption is given to make room.
-	preemptAgain = 5 * time.Second
-	// preemptPoll is how often work is looked at that waits for its room.
-	preemptPoll = 100 * time.Millisecond
+	// preemptionTimeout is how long the tasks stopped by one preemption have to
+	// free their capacity before the next preemption for the same item.
+	preemptionTimeout = 5 * time.Second
+	// preemptionRecheckInterval is how often an item that waits for its
+	// preemption is tried again.
+	preemptionRecheckInterval = 100 * time.Millisecond
 )
 
-// preempt makes room for an urgent task of a team within its quota.
+// preempt stops tasks to make room for an urgent task of a team within its
+// quota. It reports whether room is being made; the decision is of no kind if
+// no task needs to be stopped for it now.
 func (s *Scheduler) preempt(now time.Time, item *Item, owner *job.Job, random *rand.Rand) (Decision, bool) {
 	if !item.demand.Urgent || item.demand.Count != 1 || s.fleet.Len() == 0 || s.queue.Share(item.demand.Team) > 1 {
 		return Decision{}, false
 	}
-	if now.Before(s.preempting[item.key]) {
-		s.queue.Delay(item.key, now.Add(preemptPoll), ReasonNoRoom)
+	if now.Before(s.preemptingUntil[item.key]) {
+		s.queue.Delay(item.key, now.Add(preemptionRecheckInterval), ReasonNoRoom)
 		return Decision{}, true
 	}
 	key := worker.TaskKey{Job: item.key.Job, Index: item.key.Task}
@@ -163,27 +174,27 @@
 	if name == "" {
 		return Decision{}, false
 	}
-	if s.preempting == nil {
-		s.preempting = make(map[Key]time.Time)
+	if s.preemptingUntil == nil {
+		s.preemptingUntil = make(map[Key]time.Time)
 	}
-	s.preempting[item.key] = now.Add(preemptAgain)
-	s.fleet.Reserve(name, key, now.Add(preemptAgain))
-	s.queue.Delay(item.key, now.Add(preemptPoll), ReasonNoRoom)
+	s.preemptingUntil[item.key] = now.Add(preemptionTimeout)
+	s.fleet.Reserve(name, key, now.Add(preemptionTimeout))
+	s.queue.Delay(item.key, now.Add(preemptionRecheckInterval), ReasonNoRoom)
 	if len(victims) == 0 {
 		return Decision{}, true
 	}
 	return s.revocation(owner, victims), true
 }
 
-// preemptReason is what the log says of a task that gave way.
+// preemptReason is the reason given to the log for a preempted task.
 const preemptReason = "urgent work needs the room"
 
 func (s *Scheduler) revocation(owner *job.Job, victims []worker.TaskKey) Decision {
 	d := Decision{kind: KindPreempt, job: owner, reason: preemptReason}
 	for _, v := range victims {
 		h, _ := s.fleet.Held(v)
-		d.holds = append(d.holds, record.Hold{Task: taskID(v), Epoch: record.Position(h.Epoch)})
+		d.revoked = append(d.revoked, record.Hold{Task: taskID(v), Epoch: record.Position(h.Epoch)})
 	}
-	d.message = &record.Revoke{Holds: d.holds, Reason: preemptReason}
+	d.message = &record.Revoke{Holds: d.revoked, Reason: preemptReason}
 	return d
 }
--- a/pkg/queue/heap.go
+++ b/pkg/queue/heap.go
@@ -1,31 +1,32 @@
 package queue
 
-// itemHeap orders items by a moment; it keeps each item's index.
+// itemHeap implements heap.Interface for items ordered by a time. It keeps
+// Item.heapIndex up to date.
 type itemHeap struct {
 	items []*Item
-	// byUntil orders by when a delay ends, otherwise by when the work is due.
-	byUntil bool
+	// byDelay orders items by delayedUntilMS instead of by dueMS.
+	byDelay bool
 }
 
 func (h *itemHeap) Len() int { return len(h.items) }
 
 func (h *itemHeap) Less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if h.byUntil {
-		return a.until < b.until
+	if h.byDelay {
+		return a.delayedUntilMS < b.delayedUntilMS
 	}
-	return before(a, b)
+	return dueBefore(a, b)
 }
 
 func (h *itemHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].index, h.items[j].index = i, j
+	h.items[i].heapIndex, h.items[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *itemHeap) Push(x any) {
 	item := x.(*Item)
-	item.index = len(h.items)
+	item.heapIndex = len(h.items)
 	h.items = append(h.items, item)
 }
 
@@ -38,11 +39,11 @@
 	return item
 }
 
-// before reports whether a is due before b; ties go to the lower key, so that
-// every entry has the same order.
-func before(a, b *Item) bool {
-	if a.due != b.due {
-		return a.due < b.due
+// dueBefore reports whether a is due before b. Ties are broken by key, so that
+// every entry uses the same order.
+func dueBefore(a, b *Item) bool {
+	if a.dueMS != b.dueMS {
+		return a.dueMS < b.dueMS
 	}
 	if a.key.Job != b.key.Job {
 		return a.key.Job < b.key.Job
--- a/pkg/queue/item.go
+++ b/pkg/queue/item.go
@@ -7,10 +7,11 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// WholeGang stands in a Key for all tasks of a job that start together.
+// WholeGang is the Key.Task of the item for all tasks of a gang, which start
+// together.
 const WholeGang = math.MaxUint32
 
-// Key names what waits: one task, or all waiting tasks of a gang.
+// Key identifies an item: one task, or all waiting tasks of a gang.
 type Key struct {
 	// Job is the job's id.
 	Job string
@@ -18,96 +19,101 @@
 	Task uint32
 }
 
-// Demand describes what waits.
+// Demand is what an item asks for.
 type Demand struct {
-	// Team pays for the resources.
+	// Team is the team whose quota is charged.
 	Team string
-	// Size is what each task asks for.
+	// Size is the declared size of each task.
 	Size worker.Resources
-	// Count is the number of tasks to start at once.
+	// Count is the number of tasks to start together.
 	Count int
-	// Urgent work goes before all other work.
+	// Urgent items go before all others.
 	Urgent bool
-	// Priority is the class's priority, from 0 to MaxPriority.
+	// Priority is the priority of the batch class, from 0 to MaxPriority.
 	Priority int
-	// Submitted is when the work was accepted.
+	// Submitted is when the job was accepted.
 	Submitted time.Time
-	// NeededBy is when the work should be done; zero means no moment.
+	// NeededBy is the latest start time that meets the job's deadline; zero if
+	// it has no deadline.
 	NeededBy time.Time
 }
 
-// MaxPriority is the highest priority of a class.
+// MaxPriority is the highest priority of a batch class.
 const MaxPriority = 9
 
-// patiencePerPriority is how much longer a class of the next lower priority
-// may wait.
-const patiencePerPriority = 30 * time.Minute
+// waitPerPriority is by how much each step down in priority postpones the due
+// time.
+const waitPerPriority = 30 * time.Minute
 
-// due returns when the work counts as overdue. Waiting work is ordered by it;
-// since it never lies further than a fixed time after the submission, newer
-// work cannot go before older work for ever.
-func (d *Demand) due() int64 {
+// dueMS returns when the item becomes overdue, in Unix milliseconds. Items are
+// ordered by this time. It is at most a fixed time after the submission, so
+// newer items cannot overtake an older one for ever.
+func (d *Demand) dueMS() int64 {
 	priority := min(max(d.Priority, 0), MaxPriority)
-	due := d.Submitted.Add(time.Duration(MaxPriority+1-priority) * patiencePerPriority)
+	due := d.Submitted.Add(time.Duration(MaxPriority+1-priority) * waitPerPriority)
 	if !d.NeededBy.IsZero() && d.NeededBy.Before(due) {
 		due = d.NeededBy
 	}
 	return due.UnixMilli()
 }
 
-// state is where an item is in the queue.
+// state is which list of the queue an item is in.
 type state uint8
 
 const (
-	// ready items wait in their bucket.
+	// ready items are in their bucket.
 	ready state = iota
-	// delayed items are left alone until a moment.
+	// delayed items must not be placed before delayedUntilMS.
 	delayed
-	// parked items fit no worker known.
+	// parked items exceed every known worker.
 	parked
 )
 
-// Item is one entry of the queue.
+// Item is one item of the queue: a task or a gang that waits.
 type Item struct {
 	key    Key
 	demand Demand
-	due    int64
-	// since is from when the item could be placed first, in Unix milliseconds.
-	since int64
-	// until is when a delayed item is ready again, in Unix milliseconds.
-	until  int64
-	reason Reason
-	state  state
-	bucket *bucket
-	// index is the place in the heap of the bucket or of the delayed items.
-	index int
+	dueMS  int64
+	// eligibleMS is when the item could first be placed, in Unix milliseconds.
+	eligibleMS int64
+	// delayedUntilMS is when a delayed item becomes ready, in Unix
+	// milliseconds.
+	delayedUntilMS int64
+	reason         Reason
+	state          state
+	bucket         *bucket
+	// heapIndex is the item's index in the heap of its bucket or of the delayed
+	// items.
+	heapIndex int
 }
 
-// Key returns what waits.
+// Key returns the item's key.
 func (i *Item) Key() Key { return i.key }
 
 // Demand returns what the item asks for.
 func (i *Item) Demand() *Demand { return &i.demand }
 
-// Since returns from when on the item could be placed first.
-func (i *Item) Since() time.Time { return time.UnixMilli(i.since) }
+// Since returns when the item could first be placed.
+func (i *Item) Since() time.Time { return time.UnixMilli(i.eligibleMS) }
 
-// Reason says why an item waits.
+// Reason is the reason for which an item waits.
 type Reason uint8
 
-// The reasons.
+// The reasons for which items wait.
 const (
 	// ReasonQueued items wait for their turn.
 	ReasonQueued Reason = iota
-	// ReasonNoRoom items are next but no worker has room for them now.
+	// ReasonNoRoom items wait until a worker has enough free capacity.
 	ReasonNoRoom
-	// ReasonTooLarge items are larger than every worker known.
+	// ReasonTooLarge items exceed every known worker.
 	ReasonTooLarge
-	// ReasonFailed items are delayed after a failure.
+	// ReasonFailed items wait for the retry delay after a failure.
 	ReasonFailed
-	// ReasonPlacing items have a placement on its way to the log.
+	// ReasonPlacing items have been placed; the log does not show the placement
+	// yet.
 	ReasonPlacing
-	// ReasonOtherEntry items are left to an entry that ranks before.
+	// ReasonOtherEntry items are left for now to an entry that ranks higher for
+	// the job.
 	ReasonOtherEntry
 	// ReasonGang items wait until all tasks of the gang can start.
 	ReasonGang
@@ -119,5 +125,5 @@
 	"waits for the other tasks of its gang",
 }
 
-// String returns the reason in words.
+// String returns the reason in words, as shown to users.
 func (r Reason) String() string { return reasonTexts[r] }
--- a/pkg/queue/learned.go
+++ b/pkg/queue/learned.go
@@ -6,70 +6,74 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// ClassUse is what the tasks of one class use on one worker, some time ago.
+// ClassUse is the resource use of the tasks of one batch class on one worker,
+// as of its last report.
 type ClassUse struct {
 	// Class is the name of the batch class.
 	Class string
-	// Granted is the sum of what its tasks asked for.
+	// Granted is the sum of the declared sizes of the tasks.
 	Granted worker.Resources
-	// Used is the sum of what they used.
+	// Used is the sum of the resources that the tasks actually use.
 	Used worker.Resources
 }
 
-type kind struct{ team, class string }
+type teamClass struct{ team, class string }
 
-// learned is what past runs say about run times and sizes. It changes how work
-// is ordered and scored, never what is granted.
-type learned struct {
-	runs map[kind]*worker.Estimate
-	cpu  map[string]*worker.Estimate
+// usageStats estimates run times and CPU use from past runs. The estimates
+// affect the order of the queue and placement scores, never the amounts
+// granted.
+type usageStats struct {
+	runSeconds map[teamClass]*worker.Estimate
+	cpuRatio   map[string]*worker.Estimate
 }
 
-func (l *learned) run(team, class string, took time.Duration) {
-	if l.runs == nil {
-		l.runs = make(map[kind]*worker.Estimate)
+func (s *usageStats) addRun(team, class string, took time.Duration) {
+	if s.runSeconds == nil {
+		s.runSeconds = make(map[teamClass]*worker.Estimate)
 	}
-	k := kind{team: team, class: class}
-	if l.runs[k] == nil {
-		l.runs[k] = new(worker.Estimate)
+	k := teamClass{team: team, class: class}
+	if s.runSeconds[k] == nil {
+		s.runSeconds[k] = new(worker.Estimate)
 	}
-	l.runs[k].Add(took.Seconds())
+	s.runSeconds[k].Add(took.Seconds())
 }
 
-func (l *learned) runTime(team, class string, declared time.Duration) time.Duration {
-	e, ok := l.runs[kind{team: team, class: class}]
+func (s *usageStats) runTime(team, class string, declared time.Duration) time.Duration {
+	e, ok := s.runSeconds[teamClass{team: team, class: class}]
 	if !ok {
 		return declared
 	}
 	return time.Duration(e.Mean(declared.Seconds()) * float64(time.Second))
 }
 
-func (l *learned) sized(u *ClassUse) {
+func (s *usageStats) addUsage(u *ClassUse) {
 	if u.Granted.MilliCPU <= 0 {
 		return
 	}
-	if l.cpu == nil {
-		l.cpu = make(map[string]*worker.Estimate)
+	if s.cpuRatio == nil {
+		s.cpuRatio = make(map[string]*worker.Estimate)
 	}
-	if l.cpu[u.Class] == nil {
-		l.cpu[u.Class] = new(worker.Estimate)
+	if s.cpuRatio[u.Class] == nil {
+		s.cpuRatio[u.Class] = new(worker.Estimate)
 	}
-	l.cpu[u.Class].Add(float64(u.Used.MilliCPU) / float64(u.Granted.MilliCPU))
+	s.cpuRatio[u.Class].Add(float64(u.Used.MilliCPU) / float64(u.Granted.MilliCPU))
 }
 
-// use returns what a task of class that asked for size is likely to use.
-func (l *learned) use(class string, size worker.Resources) worker.Resources {
-	if e, ok := l.cpu[class]; ok {
+// expectedUse returns the predicted resource use of a task of class that
+// declared size.
+func (s *usageStats) expectedUse(class string, size worker.Resources) worker.Resources {
+	if e, ok := s.cpuRatio[class]; ok {
 		size.MilliCPU = int64(float64(size.MilliCPU) * e.Mean(1))
 	}
 	return size
 }
 
-// observe learns from what a worker's classes use beside its service.
-func (s *Scheduler) observe(r *worker.Report, uses []ClassUse) {
+// learnFromReport updates the estimates of CPU use and the interference model
+// from a worker's report.
+func (s *Scheduler) learnFromReport(r *worker.Report, uses []ClassUse) {
 	parts := make([]worker.Part, 0, len(uses))
 	for i := range uses {
-		s.learned.sized(&uses[i])
+		s.stats.addUsage(&uses[i])
 		if r.Total.MilliCPU > 0 {
 			parts = append(parts, worker.Part{
 				Class: uses[i].Class, Share: float64(uses[i].Used.MilliCPU) / float64(r.Total.MilliCPU),
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue orders the batch work that waits for a worker: urgent work
-// first, then the team with the smallest share of its quota, and within a team
-// the work that is needed earliest. Work that finds no room or can never run
-// steps aside and blocks nobody.
+// Package queue orders waiting batch work and schedules it onto workers. Urgent
+// work goes first, then the work of the team with the smallest share of its
+// quota, and within a team the work that is due first. Work that fits no worker
+// now, or is too large for every worker, does not block other work.
 package queue
 
 import (
@@ -12,45 +12,46 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Queue is the work waiting at one entry. The zero value is an empty queue.
+// Queue holds the waiting work of one entry. The zero value is an empty queue.
 type Queue struct {
-	items   map[Key]*Item
-	teams   map[string]*team
-	order   []*team
-	shapes  map[shape]*shapeState
-	blocked []*shapeState
-	woken   []*shapeState
-	delayed itemHeap
-	parked  map[Key]*Item
+	items             map[Key]*Item
+	teams             map[string]*teamQueue
+	teamList          []*teamQueue
+	shapes            map[shape]*shapeState
+	blocked           []*shapeState
+	recentlyUnblocked []*shapeState
+	delayed           itemHeap
+	parked            map[Key]*Item
 }
 
-// Len returns the number of items that wait.
+// Len returns the number of items in the queue.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Parked returns the number of items that fit no worker known.
+// Parked returns the number of items that exceed every known worker.
 func (q *Queue) Parked() int { return len(q.parked) }
 
-// Add puts key in the queue from the moment until on, or replaces its entry.
+// Add adds an item to the queue or replaces the item with the same key. If
+// until is after now, the item is delayed until then for the given reason.
 func (q *Queue) Add(now time.Time, key Key, d Demand, until time.Time, reason Reason) {
 	q.Remove(key)
 	if q.items == nil {
 		q.items = make(map[Key]*Item)
 		q.shapes = make(map[shape]*shapeState)
 		q.parked = make(map[Key]*Item)
-		q.delayed.byUntil = true
+		q.delayed.byDelay = true
 	}
-	item := &Item{key: key, demand: d, due: d.due(), since: now.UnixMilli(), bucket: q.bucket(&d)}
+	item := &Item{key: key, demand: d, dueMS: d.dueMS(), eligibleMS: now.UnixMilli(), bucket: q.bucket(&d)}
 	item.bucket.shape.items++
 	q.items[key] = item
 	if until.After(now) {
-		item.since = until.UnixMilli()
-		q.delay(item, until, reason)
+		item.eligibleMS = until.UnixMilli()
+		q.pushDelayed(item, until, reason)
 		return
 	}
 	item.bucket.push(item)
 }
 
-// Remove drops key from the queue.
+// Remove removes the item identified by key, if there is one.
 func (q *Queue) Remove(key Key) {
 	item, ok := q.items[key]
 	if !ok {
@@ -65,19 +66,20 @@
 	}
 	delete(q.shapes, s.shape)
 	q.blocked = slices.DeleteFunc(q.blocked, func(o *shapeState) bool { return o == s })
-	q.woken = slices.DeleteFunc(q.woken, func(o *shapeState) bool { return o == s })
+	q.recentlyUnblocked = slices.DeleteFunc(q.recentlyUnblocked, func(o *shapeState) bool { return o == s })
 	for _, b := range s.buckets {
-		b.team.drop(b)
+		b.team.removeBucket(b)
 	}
 }
 
-// Item returns the item called key.
+// Item returns the item identified by key.
 func (q *Queue) Item(key Key) (*Item, bool) {
 	item, ok := q.items[key]
 	return item, ok
 }
 
-// Reason returns why key waits.
+// Reason returns why the item identified by key waits, and whether it is in the
+// queue.
 func (q *Queue) Reason(key Key) (Reason, bool) {
 	item, ok := q.items[key]
 	if !ok {
@@ -89,69 +91,70 @@
 	return item.reason, true
 }
 
-// Next returns the item that should be placed now. The caller then calls
-// Delay, Block, Park or Remove for it, or gets it again.
+// Next returns the item to place next. The caller must then call Delay, Block,
+// Park or Remove for it; otherwise Next returns the same item again.
 func (q *Queue) Next(now time.Time) (*Item, bool) {
 	nowMS := now.UnixMilli()
-	q.wake(nowMS)
+	q.endDelays(nowMS)
 	for i := range tiers {
-		if item := q.next(nowMS, i); item != nil {
+		if item := q.nextOfTier(nowMS, i); item != nil {
 			return item, true
 		}
 	}
 	return nil, false
 }
 
-func (q *Queue) next(nowMS int64, tierIndex int) *Item {
+func (q *Queue) nextOfTier(nowMS int64, tierIndex int) *Item {
 	var best *Item
-	var standing float64
-	for _, t := range q.order {
+	var bestShare float64
+	for _, t := range q.teamList {
 		head := t.head(tierIndex)
 		if head == nil {
 			continue
 		}
-		own := t.standing(nowMS, head)
-		if best == nil || own < standing || (own == standing && before(head, best)) {
-			best, standing = head, own
+		share := t.effectiveShare(nowMS, head)
+		if best == nil || share < bestShare || (share == bestShare && dueBefore(head, best)) {
+			best, bestShare = head, share
 		}
 	}
 	return best
 }
 
-// Delay leaves key alone until the moment until.
+// Delay keeps the item from being placed before until.
 func (q *Queue) Delay(key Key, until time.Time, reason Reason) {
 	if item, ok := q.items[key]; ok {
 		q.detach(item)
-		q.delay(item, until, reason)
+		q.pushDelayed(item, until, reason)
 	}
 }
 
-// Block notes that no worker has room for key now. All work of about its size
-// or larger waits until RoomFor or UnblockAll.
+// Block records that no worker has enough free capacity for the item now. It
+// blocks its shape and all shapes that ask for at least as much, until a worker
+// gains enough free capacity or UnblockAll is called.
 func (q *Queue) Block(key Key) {
 	item, ok := q.items[key]
 	if !ok {
 		return
 	}
-	own := item.bucket.shape
-	q.block(own, item.demand.Size)
+	itemShape := item.bucket.shape
+	q.blockShape(itemShape, item.demand.Size)
 	for _, s := range q.shapes {
-		if !s.blocked && s.shape.urgent == own.shape.urgent && s.shape.count >= own.shape.count && item.demand.Size.Fits(s.shape.size) {
-			q.block(s, s.shape.size)
+		if !s.blocked && s.shape.urgent == itemShape.shape.urgent && s.shape.count >= itemShape.shape.count && item.demand.Size.Fits(s.shape.size) {
+			q.blockShape(s, s.shape.size)
 		}
 	}
 }
 
-func (q *Queue) block(s *shapeState, need worker.Resources) {
-	s.need = need
+func (q *Queue) blockShape(s *shapeState, size worker.Resources) {
+	s.blockedSize = size
 	if !s.blocked {
 		s.blocked = true
 		q.blocked = append(q.blocked, s)
 	}
 }
 
-// Starving returns the blocked item that is overdue the longest, if any is
-// overdue by at least after. Room should be kept free for it.
+// Starving returns the blocked item that is overdue the longest, if it is
+// overdue by at least after. The caller should reserve a worker for it.
 func (q *Queue) Starving(now time.Time, after time.Duration) (*Item, bool) {
 	limit := now.Add(-after).UnixMilli()
 	var worst *Item
@@ -161,7 +164,7 @@
 				continue
 			}
 			head := b.ready.items[0]
-			if head.due <= limit && (worst == nil || before(head, worst)) {
+			if head.dueMS <= limit && (worst == nil || dueBefore(head, worst)) {
 				worst = head
 			}
 		}
@@ -169,7 +172,8 @@
 	return worst, worst != nil
 }
 
-// Park notes that key fits no worker known. It waits for Reexamine.
+// Park records that the item exceeds every known worker. It waits until
+// Reexamine.
 func (q *Queue) Park(key Key) {
 	item, ok := q.items[key]
 	if !ok {
@@ -181,55 +185,55 @@
 	q.parked[key] = item
 }
 
-// RoomFor notes that some worker now has free left: blocked work that may fit
-// there is looked at again.
+// RoomFor records that a worker now has the given free capacity, and unblocks
+// the shapes that may fit there.
 func (q *Queue) RoomFor(free worker.Resources) {
-	still := q.blocked[:0]
+	remaining := q.blocked[:0]
 	for _, s := range q.blocked {
-		if s.need.Fits(free) {
+		if s.blockedSize.Fits(free) {
 			s.unblock()
-			q.wakeShape(s)
+			q.markUnblocked(s)
 			continue
 		}
-		still = append(still, s)
+		remaining = append(remaining, s)
 	}
-	clear(q.blocked[len(still):])
-	q.blocked = still
+	clear(q.blocked[len(remaining):])
+	q.blocked = remaining
 }
 
-func (q *Queue) wakeShape(s *shapeState) {
-	if !s.woken {
-		s.woken = true
-		q.woken = append(q.woken, s)
+func (q *Queue) markUnblocked(s *shapeState) {
+	if !s.recentlyUnblocked {
+		s.recentlyUnblocked = true
+		q.recentlyUnblocked = append(q.recentlyUnblocked, s)
 	}
 }
 
-// Reblock has work step aside again that was woken by RoomFor, if fits says
-// that the room has been taken since.
+// Reblock blocks those recently unblocked shapes again that, according to fits,
+// no longer find room because the freed capacity has been taken.
 func (q *Queue) Reblock(fits func(size worker.Resources) bool) {
-	still := q.woken[:0]
-	for _, s := range q.woken {
+	remaining := q.recentlyUnblocked[:0]
+	for _, s := range q.recentlyUnblocked {
 		switch {
 		case s.blocked:
-			s.woken = false
-		case fits(s.need):
-			still = append(still, s)
+			s.recentlyUnblocked = false
+		case fits(s.blockedSize):
+			remaining = append(remaining, s)
 		default:
-			s.woken = false
-			q.block(s, s.need)
+			s.recentlyUnblocked = false
+			q.blockShape(s, s.blockedSize)
 		}
 	}
-	clear(q.woken[len(still):])
-	q.woken = still
+	clear(q.recentlyUnblocked[len(remaining):])
+	q.recentlyUnblocked = remaining
 }
 
-// UnblockAll has all blocked work looked at again.
+// UnblockAll unblocks all blocked items.
 func (q *Queue) UnblockAll() {
-	for _, s := range q.woken {
-		s.woken = false
+	for _, s := range q.recentlyUnblocked {
+		s.recentlyUnblocked = false
 	}
-	clear(q.woken)
-	q.woken = q.woken[:0]
+	clear(q.recentlyUnblocked)
+	q.recentlyUnblocked = q.recentlyUnblocked[:0]
 	for _, s := range q.blocked {
 		s.unblock()
 	}
@@ -237,8 +241,8 @@
 	q.blocked = q.blocked[:0]
 }
 
-// Reexamine has all parked and blocked work looked at again, as after a change
-// of the workers or of the bundle.
+// Reexamine makes all parked and blocked items ready, after a change of the
+// workers or of the configuration bundle.
 func (q *Queue) Reexamine() {
 	for key, item := range q.parked {
 		delete(q.parked, key)
@@ -252,26 +256,27 @@
 func (q *Queue) SetQuota(name string, quota worker.Resources) {
 	t := q.team(name)
 	t.quota = quota
-	t.weigh()
+	t.updateShare()
 }
 
-// Charge counts size as used by a team.
+// Charge adds size to the resources that a team uses.
 func (q *Queue) Charge(name string, size worker.Resources) { q.team(name).charge(size) }
 
-// Refund ends a charge.
+// Refund subtracts size from the resources that a team uses.
 func (q *Queue) Refund(name string, size worker.Resources) { q.team(name).refund(size) }
 
-// Share returns a team's dominant share of its quota.
+// Share returns a team's dominant share of its quota: the largest ratio of use
+// to quota over all resources.
 func (q *Queue) Share(name string) float64 { return q.team(name).share }
 
-func (q *Queue) team(name string) *team {
+func (q *Queue) team(name string) *teamQueue {
 	t, ok := q.teams[name]
 	if !ok {
 		if q.teams == nil {
-			q.teams = make(map[string]*team)
+			q.teams = make(map[string]*teamQueue)
 		}
-		t = new(team)
-		q.order = append(q.order, t)
+		t = new(teamQueue)
+		q.teamList = append(q.teamList, t)
 		q.teams[name] = t
 	}
 	return t
@@ -287,29 +292,29 @@
 	return q.team(d.Team).bucket(s)
 }
 
-func (q *Queue) delay(item *Item, until time.Time, reason Reason) {
+func (q *Queue) pushDelayed(item *Item, until time.Time, reason Reason) {
 	item.state = delayed
-	item.until = until.UnixMilli()
+	item.delayedUntilMS = until.UnixMilli()
 	item.reason = reason
 	heap.Push(&q.delayed, item)
 }
 
-// wake makes the items ready whose delay has ended.
-func (q *Queue) wake(nowMS int64) {
-	for len(q.delayed.items) > 0 && q.delayed.items[0].until <= nowMS {
+// endDelays makes the items ready whose delay has ended.
+func (q *Queue) endDelays(nowMS int64) {
+	for len(q.delayed.items) > 0 && q.delayed.items[0].delayedUntilMS <= nowMS {
 		item := heap.Pop(&q.delayed).(*Item)
 		item.reason = ReasonQueued
 		item.bucket.push(item)
 	}
 }
 
-// detach takes an item out of the list that its state names.
+// detach removes an item from the list that it is in according to its state.
 func (q *Queue) detach(item *Item) {
 	switch item.state {
 	case ready:
 		item.bucket.remove(item)
 	case delayed:
-		heap.Remove(&q.delayed, item.index)
+		heap.Remove(&q.delayed, item.heapIndex)
 	case parked:
 		delete(q.parked, item.key)
 	}
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -21,7 +21,7 @@
 	return queue.Demand{Team: team, Size: size, Count: 1, Priority: 5, Submitted: epoch}
 }
 
-// drain takes items in order until none is ready.
+// drain removes the ready items in the order of Next and returns their job IDs.
 func drain(q *queue.Queue, now time.Time) []string {
 	var out []string
 	for {
@@ -45,9 +45,9 @@
 		want    string
 	}{
 		{"oldest first", []queue.Demand{late(a), a}, "[1 0]"},
-		{"earliest needed first", []queue.Demand{a, needed(late(a))}, "[1 0]"},
-		{"urgent before a smaller share", []queue.Demand{b, urgent(a)}, "[1 0]"},
-		{"smaller share first", []queue.Demand{a, b}, "[1 0]"},
+		{"earliest needed-by time first", []queue.Demand{a, needed(late(a))}, "[1 0]"},
+		{"urgent before a team with a smaller share", []queue.Demand{b, urgent(a)}, "[1 0]"},
+		{"team with the smaller share first", []queue.Demand{a, b}, "[1 0]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestNothingStarves keeps a team with a large share behind newer work of
-// another team, and expects its work to come up all the same.
-func TestNothingStarves(t *testing.T) {
+// TestTeamWithoutQuotaDoesNotStarve adds newer work of a team within its quota
+// for ever. An old item of a team without a quota must still get its turn.
+func TestTeamWithoutQuotaDoesNotStarve(t *testing.T) {
 	var q queue.Queue
 	q.SetQuota("other", cpu(1000))
 	q.Charge("none", cpu(1000))
@@ -105,10 +105,10 @@
 		}
 		q.Remove(item.Key())
 	}
-	t.Errorf("got no turn for a team without quota in %v, want one", now.Sub(epoch))
+	t.Errorf("got no turn for the team without a quota in %v, want one", now.Sub(epoch))
 }
 
-func TestLargeWorkWithoutRoomBlocksNobody(t *testing.T) {
+func TestBlockedLargeTasksDoNotBlockSmallOnes(t *testing.T) {
 	var q queue.Queue
 	for i := range 1000 {
 		q.Add(epoch, key(fmt.Sprint("large", i)), demand("a", cpu(16000)), epoch, queue.ReasonQueued)
@@ -125,28 +125,28 @@
 	}
 	q.RoomFor(cpu(15000))
 	if _, ok := q.Next(epoch); ok {
-		t.Error("got large work after too little room, want none")
+		t.Error("got a large item while no worker has room for it, want none")
 	}
 	q.RoomFor(cpu(16000))
 	if _, ok := q.Next(epoch); !ok {
-		t.Error("got none after enough room, want large work")
+		t.Error("got no item after a worker had room, want a large one")
 	}
 }
 
-func TestParkedWorkComesBack(t *testing.T) {
+func TestParkedTaskIsReexamined(t *testing.T) {
 	var q queue.Queue
 	q.Add(epoch, key("huge"), demand("a", cpu(1<<40)), epoch, queue.ReasonQueued)
 	q.Park(key("huge"))
 	q.RoomFor(cpu(1 << 50))
 	if _, ok := q.Next(epoch); ok {
-		t.Error("got parked work, want none")
+		t.Error("got the parked item, want none")
 	}
 	if got, _ := q.Reason(key("huge")); got != queue.ReasonTooLarge {
 		t.Errorf("got reason %q, want %q", got, queue.ReasonTooLarge)
 	}
 	q.Reexamine()
 	if _, ok := q.Next(epoch); !ok {
-		t.Error("got none after a change, want the parked work")
+		t.Error("got no item after Reexamine, want the parked one")
 	}
 }
 
@@ -187,7 +187,7 @@
 					}
 					if !u.After(now) {
 						if _, ok := q.Next(now); !ok {
-							t.Fatalf("got none ready, want %v", k)
+							t.Fatalf("got no ready item, want %v", k)
 						}
 					}
 				}
--- a/pkg/queue/scheduler.go
+++ b/pkg/queue/scheduler.go
@@ -13,45 +13,51 @@
 
 // Times of scheduling.
 const (
-	// PlacementPending is how long a decision may take to show in the log.
+	// PlacementPending is how long a placement may take to show in the log
+	// before it is taken for lost and repeated.
 	PlacementPending = 2 * time.Second
-	// BackupDelay is how long an entry leaves a job to the one ranked before it.
+	// BackupDelay is how long an entry waits for the entry that ranks just
+	// above it for a job before it schedules the job itself.
 	BackupDelay = 1200 * time.Millisecond
-	// housekeepingEvery is how often blocked work is looked at in any case.
-	housekeepingEvery = time.Second
+	// housekeepingInterval is how often all blocked items are unblocked and
+	// room is reserved for starving ones.
+	housekeepingInterval = time.Second
 )
 
 // Limits of one call of Decide.
 const (
-	maxPlacements = 500
-	maxMisses     = 64
+	maxPlacements       = 500
+	maxFailedPlacements = 64
 )
 
-// Scheduler decides which waiting task runs where. It is told of every change
-// of a task and of every heartbeat, so that a decision costs nothing for the
-// tasks and workers that it does not concern. The zero value knows nothing.
+// Scheduler decides which waiting task runs on which worker. It is notified of
+// every change of a task and of every worker report, so that the cost of a
+// decision does not depend on the tasks and workers that it does not concern.
+// The zero value is ready for Configure.
 type Scheduler struct {
-	queue    Queue
-	fleet    worker.Fleet
-	gangs    map[string]*gang
-	failures map[string]*worker.JobFailures
-	// failed is the number of failures seen of each task that has failed.
-	failed     map[record.TaskID]uint32
-	preempting map[Key]time.Time
-	learned    learned
-	classes    []bundle.BatchClass
-	teams      []bundle.Team
-	workers    uint64
-	kept       time.Time
+	queue       Queue
+	fleet       worker.Fleet
+	gangs       map[string]*gangState
+	jobFailures map[string]*worker.JobFailures
+	// failuresSeen is the number of failures of each task that recordOutcome has
+	// already handled.
+	failuresSeen     map[record.TaskID]uint32
+	preemptingUntil  map[Key]time.Time
+	stats            usageStats
+	classes          []bundle.BatchClass
+	teams            []bundle.Team
+	fleetVersion     uint64
+	lastHousekeeping time.Time
 }
 
-// Queue returns the waiting work.
+// Queue returns the queue of waiting work.
 func (s *Scheduler) Queue() *Queue { return &s.queue }
 
-// Fleet returns the view of the workers.
+// Fleet returns the scheduler's view of the workers.
 func (s *Scheduler) Fleet() *worker.Fleet { return &s.fleet }
 
-// Waiting says in words why a task of j waits, if it does.
+// Waiting returns in words why a task of j waits, and whether it waits in the
+// queue.
 func (s *Scheduler) Waiting(j *job.Job, index uint32) (string, bool) {
 	if j.Task(int(index)).Phase() != job.Pending {
 		return "", false
@@ -64,8 +70,9 @@
 	return reason.String(), ok
 }
 
-// Configure takes over the classes and quotas of a bundle.
-func (s *Scheduler) Configure(now time.Time, d *bundle.Document, fold *job.Fold) {
+// Configure applies the batch classes and team quotas of a configuration
+// bundle.
+func (s *Scheduler) Configure(now time.Time, d *bundle.Document, jobs *job.Fold) {
 	if !slices.EqualFunc(s.teams, d.Teams, sameQuota) {
 		for i := range s.teams {
 			s.queue.SetQuota(s.teams[i].Name, worker.Resources{})
@@ -77,7 +84,7 @@
 	}
 	if !slices.Equal(s.classes, d.BatchClasses) {
 		s.classes = d.BatchClasses
-		s.requeue(now, fold)
+		s.requeueAll(now, jobs)
 	}
 	s.queue.Reexamine()
 }
@@ -93,9 +100,10 @@
 	return bundle.BatchClass{}
 }
 
-// requeue adds all waiting work anew under the present classes.
-func (s *Scheduler) requeue(now time.Time, fold *job.Fold) {
-	fold.Each(func(j *job.Job) bool {
+// requeueAll adds all pending tasks to the queue again, under the current batch
+// classes.
+func (s *Scheduler) requeueAll(now time.Time, jobs *job.Fold) {
+	jobs.Each(func(j *job.Job) bool {
 		if j.Ended() {
 			return true
 		}
@@ -108,28 +116,30 @@
 	})
 }
 
-// Heard takes in a worker's report.
+// Heard applies a worker's report. The use by class lets the scheduler learn how
+// much the classes use and how they slow down the service on the worker.
 func (s *Scheduler) Heard(now time.Time, r *worker.Report, uses []ClassUse) {
 	before := s.fleet.Free(r.Name)
 	free := s.fleet.Heard(now, r)
-	s.observe(r, uses)
+	s.learnFromReport(r, uses)
 	if !free.Fits(before) {
 		s.queue.RoomFor(free)
 	}
-	if s.workers != s.fleet.Version() {
-		s.workers = s.fleet.Version()
+	if s.fleetVersion != s.fleet.Version() {
+		s.fleetVersion = s.fleet.Version()
 		s.queue.Reexamine()
 	}
 }
 
-// Backup returns how long an entry leaves a job to those that rank before it.
+// Backup returns how long this entry leaves a job to the entries that rank
+// higher for it.
 type Backup func(jobID string) time.Duration
 
-// Decide returns the placements and preemptions that are due now.
-func (s *Scheduler) Decide(now time.Time, fold *job.Fold, backup Backup, random *rand.Rand) []Decision {
+// Decide returns the placements, preemptions and parked jobs that are due now.
+func (s *Scheduler) Decide(now time.Time, jobs *job.Fold, backup Backup, random *rand.Rand) []Decision {
 	s.housekeep(now)
 	var out []Decision
-	for misses := 0; misses < maxMisses && len(out) < maxPlacements; {
+	for failedPlacements := 0; failedPlacements < maxFailedPlacements && len(out) < maxPlacements; {
 		item, ok := s.queue.Next(now)
 		if !ok {
 			s.fleet.ForgetGrown()
@@ -139,12 +149,12 @@
 			s.queue.Delay(item.key, ready, ReasonOtherEntry)
 			continue
 		}
-		owner, ok := fold.Job(item.key.Job)
+		owner, ok := jobs.Job(item.key.Job)
 		if !ok {
 			s.queue.Remove(item.key)
 			continue
 		}
-		if item.bucket.shape.woken && !s.fleet.FitsGrown(item.demand.Size) {
+		if item.bucket.shape.recentlyUnblocked && !s.fleet.FitsGrown(item.demand.Size) {
 			s.queue.Block(item.key)
 			continue
 		}
@@ -152,7 +162,7 @@
 		if placed {
 			s.queue.Reblock(s.fleet.FitsGrown)
 		} else {
-			misses++
+			failedPlacements++
 		}
 		if d.kind != 0 {
 			out = append(out, d)
@@ -161,24 +171,26 @@
 	return out
 }
 
-// starvingAfter is how long work is overdue before room is kept for it.
-const starvingAfter = 5 * time.Minute
+// starvingThreshold is how long an item must be overdue before a worker is
+// reserved for it.
+const starvingThreshold = 5 * time.Minute
 
-// housekeep looks at blocked work again and keeps room for what starves.
+// housekeep unblocks all blocked items and reserves a worker for the item that
+// has starved the longest. It runs every housekeepingInterval.
 func (s *Scheduler) housekeep(now time.Time) {
-	if now.Sub(s.kept) < housekeepingEvery {
+	if now.Sub(s.lastHousekeeping) < housekeepingInterval {
 		return
 	}
-	s.kept = now
-	if item, ok := s.queue.Starving(now, starvingAfter); ok && item.demand.Count == 1 {
+	s.lastHousekeeping = now
+	if item, ok := s.queue.Starving(now, starvingThreshold); ok && item.demand.Count == 1 {
 		key := worker.TaskKey{Job: item.key.Job, Index: item.key.Task}
 		if name, ok := s.fleet.ReserveFor(now, key, item.demand.Size); ok {
-			s.fleet.Reserve(name, key, now.Add(2*housekeepingEvery))
+			s.fleet.Reserve(name, key, now.Add(2*housekeepingInterval))
 		}
 	}
-	for key, until := range s.preempting {
+	for key, until := range s.preemptingUntil {
 		if now.After(until) {
-			delete(s.preempting, key)
+			delete(s.preemptingUntil, key)
 		}
 	}
 	s.queue.UnblockAll()
--- a/pkg/queue/scheduler_test.go
+++ b/pkg/queue/scheduler_test.go
@@ -14,20 +14,21 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// site is a scheduler over a fold, with a log that takes every record.
-type site struct {
+// testScheduler is a scheduler, the job state that it works on, and a log that
+// accepts every record.
+type testScheduler struct {
 	scheduler queue.Scheduler
-	fold      job.Fold
+	jobs      job.Fold
 	now       time.Time
-	offset    uint64
+	logOffset uint64
 	random    *rand.Rand
 	total     worker.Resources
 	names     []string
 }
 
-func newSite(workers int, total worker.Resources) *site {
-	s := &site{now: epoch, random: rand.New(rand.NewPCG(1, 2)), total: total}
-	s.fold.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
+func newTestScheduler(workers int, total worker.Resources) *testScheduler {
+	s := &testScheduler{now: epoch, random: rand.New(rand.NewPCG(1, 2)), total: total}
+	s.jobs.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
 	for i := range workers {
 		s.names = append(s.names, fmt.Sprintf("worker-%d", i))
 	}
@@ -35,35 +36,35 @@
 	s.scheduler.Configure(s.now, &bundle.Document{
 		BatchClasses: []bundle.BatchClass{{Name: "urgent", Priority: 9, Urgent: true}, {Name: "shaping", Priority: 5}},
 		Teams:        []bundle.Team{{Name: "clinics", Quota: total.Times(int64(workers))}},
-	}, &s.fold)
+	}, &s.jobs)
 	return s
 }
 
-func (s *site) heartbeats() {
+func (s *testScheduler) heartbeats() {
 	for i, name := range s.names {
 		free := s.total
-		s.fold.Held(name, func(_ record.Hold, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
+		s.jobs.Held(name, func(_ record.Hold, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
 		s.scheduler.Heard(s.now, &worker.Report{
 			Name: name, Rack: fmt.Sprint("rack-", i/3), Total: s.total, Free: free, Ready: true,
 		}, nil)
 	}
 }
 
-func (s *site) apply(m record.Message) {
-	s.offset++
-	_ = s.fold.Apply(record.New(record.At(s.offset, 0), "test", s.offset, m))
+func (s *testScheduler) apply(m record.Message) {
+	s.logOffset++
+	_ = s.jobs.Apply(record.New(record.At(s.logOffset, 0), "test", s.logOffset, m))
 }
 
-func (s *site) submit(id, class string, tasks uint32, gang bool, size worker.Resources) {
+func (s *testScheduler) submit(id, class string, tasks uint32, gang bool, size worker.Resources) {
 	s.apply(&record.Submit{Spec: record.Spec{
 		ID: id, Team: "clinics", Class: class, Tasks: tasks, Gang: gang, Size: size, MaxFailures: 100, SubmittedAt: s.now.UnixMilli(),
 	}})
 }
 
-func (s *site) tick() []queue.Decision {
+func (s *testScheduler) tick() []queue.Decision {
 	s.now = s.now.Add(100 * time.Millisecond)
 	s.heartbeats()
-	out := s.scheduler.Decide(s.now, &s.fold, func(string) time.Duration { return 0 }, s.random)
+	out := s.scheduler.Decide(s.now, &s.jobs, func(string) time.Duration { return 0 }, s.random)
 	for i := range out {
 		if m := out[i].Message(); m != nil {
 			s.apply(m)
@@ -72,24 +73,24 @@
 	return out
 }
 
-func (s *site) task(id string, index int) *job.Task {
-	j, _ := s.fold.Job(id)
+func (s *testScheduler) task(id string, index int) *job.Task {
+	j, _ := s.jobs.Job(id)
 	return j.Task(index)
 }
 
-func (s *site) hold(id string, index int) record.Hold {
+func (s *testScheduler) hold(id string, index int) record.Hold {
 	return record.Hold{Task: record.TaskID{Job: id, Index: uint32(index)}, Epoch: s.task(id, index).Epoch()}
 }
 
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
-	s := newSite(3, cpu(4000))
+	s := newTestScheduler(3, cpu(4000))
 	s.submit("small", "shaping", 1, false, cpu(1000))
 	s.tick()
 	s.submit("gang", "shaping", 3, true, cpu(4000))
 	s.tick()
 	for i := range 3 {
 		if got := s.task("gang", i).Phase(); got != job.Pending {
-			t.Fatalf("got task %d %s without room for all, want pending", i, got)
+			t.Fatalf("got task %d in phase %s while the gang does not fit, want pending", i, got)
 		}
 	}
 	s.apply(&record.Finished{Hold: s.hold("small", 0), Outcome: record.OutcomeSucceeded})
@@ -99,13 +100,13 @@
 	}
 	for i := range 3 {
 		if got := s.task("gang", i).Phase(); got != job.Assigned {
-			t.Errorf("got task %d %s, want assigned", i, got)
+			t.Errorf("got task %d in phase %s, want assigned", i, got)
 		}
 	}
 }
 
 func TestGangWaitsForRevokedTasks(t *testing.T) {
-	s := newSite(4, cpu(4000))
+	s := newTestScheduler(4, cpu(4000))
 	s.submit("gang", "shaping", 2, true, cpu(4000))
 	s.tick()
 	s.apply(&record.Revoke{Holds: []record.Hold{s.hold("gang", 0), s.hold("gang", 1)}})
@@ -120,26 +121,26 @@
 }
 
 func TestJobThatFitsNoWorkerIsParkedWithReason(t *testing.T) {
-	s := newSite(2, cpu(4000))
+	s := newTestScheduler(2, cpu(4000))
 	s.submit("huge", "shaping", 1, false, cpu(5000))
 	s.submit("small", "shaping", 1, false, cpu(1000))
 	s.tick()
 	if got := s.task("small", 0).Phase(); got != job.Assigned {
-		t.Errorf("got the job behind it %s, want assigned", got)
+		t.Errorf("got the small job in phase %s behind the parked one, want assigned", got)
 	}
-	j, _ := s.fold.Job("huge")
+	j, _ := s.jobs.Job("huge")
 	if got, _ := s.scheduler.Waiting(j, 0); !strings.Contains(got, "more than any known worker") {
 		t.Errorf("got reason %q, want that no worker is large enough", got)
 	}
 	s.scheduler.Heard(s.now, &worker.Report{Name: "large", Total: cpu(8000), Free: cpu(8000), Ready: true}, nil)
 	s.tick()
 	if got := s.task("huge", 0).Worker(); got != "large" {
-		t.Errorf("got worker %q after a large one came, want large", got)
+		t.Errorf("got worker %q after a large worker was added, want large", got)
 	}
 }
 
-func TestUrgentWorkMakesRoomOnAFullSite(t *testing.T) {
-	s := newSite(2, cpu(4000))
+func TestUrgentTaskPreemptsOnFullWorkers(t *testing.T) {
+	s := newTestScheduler(2, cpu(4000))
 	s.submit("old", "shaping", 1, false, cpu(4000))
 	s.tick()
 	s.submit("young", "shaping", 1, false, cpu(4000))
@@ -151,7 +152,7 @@
 	}
 	for range 3 {
 		if got := s.tick(); len(got) != 0 {
-			t.Fatalf("got %v while the room is being made, want nothing", got)
+			t.Fatalf("got %v while the preempted task stops, want no decision", got)
 		}
 	}
 	victim := decisions[0].Holds()[0]
@@ -160,14 +161,15 @@
 		s.tick()
 	}
 	if got, want := s.task("quick", 0).Phase(), job.Assigned; got != want {
-		t.Errorf("got urgent task %s, want %s", got, want)
+		t.Errorf("got urgent task in phase %s, want %s", got, want)
 	}
 }
 
-// TestWorkerThatFailsEverythingIsProbed lets one worker fail all it starts,
-// on a site where there is always work for every worker.
+// TestWorkerThatFailsEverythingIsProbed lets one worker fail every task while
+// there is enough work for every worker. The worker must become suspect and get
+// few tasks.
 func TestWorkerThatFailsEverythingIsProbed(t *testing.T) {
-	s := newSite(4, cpu(16000))
+	s := newTestScheduler(4, cpu(16000))
 	const bad = "worker-2"
 	failures := 0
 	for i := range 200 {
@@ -193,9 +195,10 @@
 	}
 }
 
-// TestBadJobsDoNotCondemnWorkers lets one job fail everywhere among good ones.
-func TestBadJobsDoNotCondemnWorkers(t *testing.T) {
-	s := newSite(4, cpu(16000))
+// TestFailingJobDoesNotMakeWorkersSuspect lets all tasks of one job fail on
+// every worker. The workers must stay healthy.
+func TestFailingJobDoesNotMakeWorkersSuspect(t *testing.T) {
+	s := newTestScheduler(4, cpu(16000))
 	s.submit("bad", "shaping", 20, false, cpu(100))
 	for range 300 {
 		for _, d := range s.tick() {
@@ -207,15 +210,16 @@
 	}
 	for _, name := range s.names {
 		if s.scheduler.Fleet().Health(name).Suspect() {
-			t.Errorf("got %s suspect, want it trusted", name)
+			t.Errorf("got worker %s suspect, want it healthy", name)
 		}
 	}
 }
 
-// TestPastOfTheLogTeachesNoRunTimes replays runs at the start of an entry, and
-// expects work to be ordered by its declared run time.
-func TestPastOfTheLogTeachesNoRunTimes(t *testing.T) {
-	s := newSite(1, cpu(1000))
+// TestReplayedRunsDoNotAffectRunTimeEstimates replays runs from the log before
+// the first decision, when the true start times are not known. Later work must
+// still be ordered by its declared run time.
+func TestReplayedRunsDoNotAffectRunTimeEstimates(t *testing.T) {
+	s := newTestScheduler(1, cpu(1000))
 	for i := range 10 {
 		id := fmt.Sprint("past-", i)
 		s.submit(id, "shaping", 1, false, cpu(1000))
@@ -234,12 +238,12 @@
 	add("long", 70_000, 50_000)
 	s.tick()
 	if got, want := s.task("long", 0).Phase(), job.Assigned; got != want {
-		t.Errorf("got the task that must start first %s, want %s", got, want)
+		t.Errorf("got the task that must start first in phase %s, want %s", got, want)
 	}
 }
 
 func TestTasksOfAJobSpreadOverRacks(t *testing.T) {
-	s := newSite(9, cpu(16000))
+	s := newTestScheduler(9, cpu(16000))
 	s.submit("job", "shaping", 3, false, cpu(1000))
 	s.tick()
 	racks := make(map[string]bool)
@@ -251,17 +255,18 @@
 	}
 }
 
-// TestLargeTaskGetsRoomInTheEnd keeps every worker busy with small tasks that
-// would leave no room for a large one for ever.
-func TestLargeTaskGetsRoomInTheEnd(t *testing.T) {
-	s := newSite(3, cpu(4000))
+// TestLargeTaskIsEventuallyPlaced keeps every worker busy with small tasks.
+// Without a reservation, a large task would never find a worker with enough
+// free capacity.
+func TestLargeTaskIsEventuallyPlaced(t *testing.T) {
+	s := newTestScheduler(3, cpu(4000))
 	var running []record.Hold
 	for i := range 20_000 {
 		if i == 100 {
 			s.submit("large", "shaping", 1, false, cpu(4000))
 		}
 		for s.scheduler.Queue().Len() < 10 {
-			s.submit(fmt.Sprint("small", i, "-", s.offset), "shaping", 1, false, cpu(1000))
+			s.submit(fmt.Sprint("small", i, "-", s.logOffset), "shaping", 1, false, cpu(1000))
 		}
 		s.now = s.now.Add(3 * time.Second)
 		for _, d := range s.tick() {
@@ -270,7 +275,7 @@
 			}
 		}
 		if i > 100 && s.task("large", 0).Phase() == job.Assigned {
-			t.Logf("room after %v", s.now.Sub(epoch))
+			t.Logf("placed after %v", s.now.Sub(epoch))
 			return
 		}
 		if len(running) > 8 {
@@ -278,26 +283,27 @@
 			running = running[1:]
 		}
 	}
-	t.Errorf("got no room for the large task in %v, want some", s.now.Sub(epoch))
+	t.Errorf("got the large task not placed in %v, want it placed", s.now.Sub(epoch))
 }
 
-// TestLostDecisionIsRepeated drops the record of a placement.
-func TestLostDecisionIsRepeated(t *testing.T) {
-	s := newSite(1, cpu(1000))
+// TestLostPlacementIsRepeated drops the record of a placement. The placement must
+// be repeated once the time for it to appear in the log has passed.
+func TestLostPlacementIsRepeated(t *testing.T) {
+	s := newTestScheduler(1, cpu(1000))
 	s.submit("one", "shaping", 1, false, cpu(1000))
 	s.now = s.now.Add(time.Second)
 	backup := func(string) time.Duration { return 0 }
-	if got := s.scheduler.Decide(s.now, &s.fold, backup, s.random); len(got) != 1 {
+	if got := s.scheduler.Decide(s.now, &s.jobs, backup, s.random); len(got) != 1 {
 		t.Fatalf("got %d decisions, want 1", len(got))
 	}
 	if got := s.tick(); len(got) != 0 {
-		t.Fatalf("got %d decisions while the first may show, want 0", len(got))
+		t.Fatalf("got %d decisions while the first may still appear in the log, want 0", len(got))
 	}
 	s.now = s.now.Add(queue.PlacementPending)
 	if got := s.tick(); len(got) != 1 {
 		t.Errorf("got %d decisions after the first was lost, want 1", len(got))
 	}
 	if got := s.scheduler.Queue().Share("clinics"); got != 1 {
-		t.Errorf("got share %v, want 1: the lost decision is refunded", got)
+		t.Errorf("got share %v, want 1: the lost placement must be refunded", got)
 	}
 }
--- a/pkg/queue/shape.go
+++ b/pkg/queue/shape.go
@@ -7,36 +7,42 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// shape is a range of sizes that find room or not together: every amount is
-// rounded down to a quarter of a power of two.
+// shape identifies items of nearly the same demand: the same count and urgency,
+// and the same size after CPU and memory are rounded down to a multiple of a
+// quarter of a power of two. If one item finds no room, all items of its shape
+// are blocked together.
 type shape struct {
 	size   worker.Resources
 	count  int
 	urgent bool
 }
 
-// shapeState is shared by the buckets of all teams with the same shape.
+// shapeState is the state of one shape, shared by the buckets of all teams.
 type shapeState struct {
 	shape shape
-	// blocked shapes found no room and wait for some worker to get more.
+	// blocked is set after an item found no room, until a worker has more free
+	// capacity.
 	blocked bool
-	// woken shapes were blocked: only workers that got more room since may have enough.
-	woken bool
-	// need is the size that found no room.
-	need    worker.Resources
-	buckets []*bucket
-	// items counts the items of the shape, so that unused shapes are dropped.
+	// recentlyUnblocked is set after the shape was unblocked because a worker
+	// gained free capacity: only workers that did so recently may have enough.
+	recentlyUnblocked bool
+	// blockedSize is the size that found no room.
+	blockedSize worker.Resources
+	buckets     []*bucket
+	// items is the number of items of the shape in the queue; at zero the shape
+	// is dropped.
 	items int
 }
 
 // bucket holds the ready items of one team and shape, earliest due first.
 type bucket struct {
-	team  *team
+	team  *teamQueue
 	shape *shapeState
 	ready itemHeap
 }
 
-// roundingBits is the number of leading binary digits kept, after the first.
+// roundingBits is the number of leading binary digits that rounding keeps after
+// the first one.
 const roundingBits = 2
 
 func roundDown(n int64) int64 {
@@ -60,15 +66,16 @@
 func (b *bucket) push(item *Item) {
 	item.state = ready
 	heap.Push(&b.ready, item)
-	b.team.offer(b.head())
+	b.team.headChanged(b.head())
 }
 
 func (b *bucket) remove(item *Item) {
-	heap.Remove(&b.ready, item.index)
-	b.team.dropped(item)
+	heap.Remove(&b.ready, item.heapIndex)
+	b.team.itemRemoved(item)
 }
 
-// head returns the bucket's first item, or nil if the shape is blocked or the bucket empty.
+// head returns the bucket's first item, or nil if the shape is blocked or the
+// bucket is empty.
 func (b *bucket) head() *Item {
 	if b.shape.blocked || len(b.ready.items) == 0 {
 		return nil
@@ -79,6 +86,6 @@
 func (s *shapeState) unblock() {
 	s.blocked = false
 	for _, b := range s.buckets {
-		b.team.offer(b.head())
+		b.team.headChanged(b.head())
 	}
 }
--- a/pkg/queue/team.go
+++ b/pkg/queue/team.go
@@ -7,36 +7,37 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// largestShare bounds what a team's use counts against it, and stands for a
-// team that the bundle gives no quota: its work runs when the others leave
-// room, and by age.
-const largestShare = 24
+// maxShare limits a team's share. It is also the share of a team with running
+// work but no quota in the configuration bundle. Such a team gets its turn when
+// the other teams leave room, or when its work is overdue for long enough.
+const maxShare = 24
 
-// overduePerShare is how long a team's work must be overdue to weigh as much
-// as one whole quota.
-const overduePerShare = 10 * time.Minute
+// overduePerQuota is how long a team's next item must be overdue to lower the
+// team's effective share by 1, that is, by its whole quota.
+const overduePerQuota = 10 * time.Minute
 
-// team is one team's part of the queue.
-type team struct {
+// teamQueue is one team's part of the queue.
+type teamQueue struct {
 	quota worker.Resources
 	used  worker.Resources
-	// share is the dominant share of used in quota.
+	// share is the dominant share of used in quota: the largest ratio over all
+	// resources.
 	share float64
 	tiers [tiers]tier
 }
 
-// The tiers of a team's work; the first goes first.
+// The tiers of a team's work; lower tiers go first.
 const (
 	tierUrgent = iota
 	tierOther
 	tiers
 )
 
-// tier holds a team's buckets of one tier and the first item of them all.
+// tier holds a team's buckets of one tier and the first of all their items.
 type tier struct {
 	buckets []*bucket
 	first   *Item
-	// stale is set while first has to be looked for.
+	// stale is set while first is out of date and must be searched for again.
 	stale bool
 }
 
@@ -48,7 +49,7 @@
 }
 
 // bucket returns the team's bucket of a shape.
-func (t *team) bucket(s *shapeState) *bucket {
+func (t *teamQueue) bucket(s *shapeState) *bucket {
 	for _, b := range s.buckets {
 		if b.team == t {
 			return b
@@ -56,82 +57,84 @@
 	}
 	b := &bucket{team: t, shape: s}
 	s.buckets = append(s.buckets, b)
-	own := &t.tiers[tierOf(s.shape.urgent)]
-	own.buckets = append(own.buckets, b)
+	queueTier := &t.tiers[tierOf(s.shape.urgent)]
+	queueTier.buckets = append(queueTier.buckets, b)
 	return b
 }
 
-// drop forgets an empty bucket.
-func (t *team) drop(b *bucket) {
-	own := &t.tiers[tierOf(b.shape.shape.urgent)]
-	own.buckets = slices.DeleteFunc(own.buckets, func(o *bucket) bool { return o == b })
+// removeBucket removes an empty bucket.
+func (t *teamQueue) removeBucket(b *bucket) {
+	queueTier := &t.tiers[tierOf(b.shape.shape.urgent)]
+	queueTier.buckets = slices.DeleteFunc(queueTier.buckets, func(o *bucket) bool { return o == b })
 }
 
-// offer takes the head of a bucket that has changed into account.
-func (t *team) offer(head *Item) {
+// headChanged updates the first item of the tier after a bucket got a new head.
+func (t *teamQueue) headChanged(head *Item) {
 	if head == nil {
 		return
 	}
-	own := &t.tiers[tierOf(head.demand.Urgent)]
-	if !own.stale && (own.first == nil || before(head, own.first)) {
-		own.first = head
+	queueTier := &t.tiers[tierOf(head.demand.Urgent)]
+	if !queueTier.stale && (queueTier.first == nil || dueBefore(head, queueTier.first)) {
+		queueTier.first = head
 	}
 }
 
-// dropped notes that an item is ready no more.
-func (t *team) dropped(item *Item) {
-	own := &t.tiers[tierOf(item.demand.Urgent)]
-	if own.first == item {
-		own.stale = true
+// itemRemoved marks the tier as stale if item, which is no longer ready, was its
+// first.
+func (t *teamQueue) itemRemoved(item *Item) {
+	queueTier := &t.tiers[tierOf(item.demand.Urgent)]
+	if queueTier.first == item {
+		queueTier.stale = true
 	}
 }
 
-func (t *team) charge(size worker.Resources) {
+func (t *teamQueue) charge(size worker.Resources) {
 	t.used = t.used.Plus(size)
-	t.weigh()
+	t.updateShare()
 }
 
-func (t *team) refund(size worker.Resources) {
+func (t *teamQueue) refund(size worker.Resources) {
 	t.used = t.used.Minus(size)
-	t.weigh()
+	t.updateShare()
 }
 
-func (t *team) weigh() {
+func (t *teamQueue) updateShare() {
 	t.share = max(
-		ratio(t.used.MilliCPU, t.quota.MilliCPU),
-		ratio(t.used.MemoryMB, t.quota.MemoryMB),
-		ratio(t.used.Accelerators, t.quota.Accelerators),
+		quotaRatio(t.used.MilliCPU, t.quota.MilliCPU),
+		quotaRatio(t.used.MemoryMB, t.quota.MemoryMB),
+		quotaRatio(t.used.Accelerators, t.quota.Accelerators),
 	)
 }
 
-func ratio(used, quota int64) float64 {
+func quotaRatio(used, quota int64) float64 {
 	if used <= 0 {
 		return 0
 	}
 	if quota <= 0 {
-		return largestShare
+		return maxShare
 	}
-	return min(float64(used)/float64(quota), largestShare)
+	return min(float64(used)/float64(quota), maxShare)
 }
 
-// head returns the team's next item of a tier.
-func (t *team) head(tierIndex int) *Item {
-	own := &t.tiers[tierIndex]
-	if !own.stale && (own.first == nil || !own.first.bucket.shape.blocked) {
-		return own.first
+// head returns the team's first ready item of a tier, or nil.
+func (t *teamQueue) head(tierIndex int) *Item {
+	queueTier := &t.tiers[tierIndex]
+	if !queueTier.stale && (queueTier.first == nil || !queueTier.first.bucket.shape.blocked) {
+		return queueTier.first
 	}
-	own.first, own.stale = nil, false
-	for _, b := range own.buckets {
-		if h := b.head(); h != nil && (own.first == nil || before(h, own.first)) {
-			own.first = h
+	queueTier.first, queueTier.stale = nil, false
+	for _, b := range queueTier.buckets {
+		if h := b.head(); h != nil && (queueTier.first == nil || dueBefore(h, queueTier.first)) {
+			queueTier.first = h
 		}
 	}
-	return own.first
+	return queueTier.first
 }
 
-// standing orders teams: the lowest goes first. A team's share of its quota
-// counts for it less the longer its next item is overdue.
-func (t *team) standing(nowMS int64, head *Item) float64 {
-	overdue := max(nowMS-head.due, 0)
-	return t.share - float64(overdue)/float64(overduePerShare.Milliseconds())
+// effectiveShare is the value by which teams are ordered; the lowest goes
+// first. It is the team's share of its quota, reduced in proportion to how long
+// its next item is overdue.
+func (t *teamQueue) effectiveShare(nowMS int64, head *Item) float64 {
+	overdue := max(nowMS-head.dueMS, 0)
+	return t.share - float64(overdue)/float64(overduePerQuota.Milliseconds())
 }
