--- /dev/null
+++ b/pkg/lease/apply.go
@@ -0,0 +1,129 @@
+package lease
+
+import (
+	"time"
+
+	"savoryhoist.example/savoryhoist/pkg/record"
+)
+
+// Decision says what the holder did about one start order and why, for a log line.
+type Decision struct {
+	assignment record.Hold
+	name       string
+	reason     string
+}
+
+// Hold returns the assignment that the decision is about.
+func (d Decision) Hold() record.Hold { return d.assignment }
+
+// Name returns the name of the decision in the log line.
+func (d Decision) Name() string { return d.name }
+
+// Reason returns the reason for the decision.
+func (d Decision) Reason() string { return d.reason }
+
+// Follow applies one entry's response to this round's heartbeat. A draining
+// worker starts no tasks.
+func (h *Holder) Follow(now time.Time, r *Reading, draining bool) []Decision {
+	_, ownRound := h.uptimes[r.Heard]
+	if ownRound && h.initialPosition == 0 {
+		h.initialPosition = r.Next
+	}
+	stopped := make(map[record.Hold]bool, len(r.Stop))
+	for _, s := range r.Stop {
+		stopped[s.Hold] = true
+		h.applyStop(s)
+	}
+	if !ownRound {
+		return nil
+	}
+	for id, t := range h.tasks {
+		if h.rules.implicitlyConfirmed(t.reported) && !stopped[id] && id.Epoch < r.Next {
+			t.confirmedRound = max(t.confirmedRound, r.Heard)
+		}
+	}
+	var out []Decision
+	if h.reserveForPredecessor(r.Start) {
+		h.rebuildLedger(now, h.ledger.Total())
+	}
+	for i := range r.Start {
+		out = append(out, h.applyOrder(now, &r.Start[i], r.Heard, draining)...)
+	}
+	return out
+}
+
+func (h *Holder) applyStop(s Stop) {
+	if t := h.tasks[s.Hold]; t != nil {
+		t.revoked = true
+		t.settled = t.settled || s.Settled
+		return
+	}
+	if s.Settled {
+		if _, ok := h.pendingReports[s.Hold]; ok {
+			delete(h.pendingReports, s.Hold)
+			h.settledRounds[s.Hold] = h.round
+		}
+		return
+	}
+	if h.initialPosition > 0 && s.Hold.Epoch >= h.initialPosition && !h.known(s.Hold) {
+		h.reportStopped(s.Hold, "revoked before the start")
+	}
+}
+
+// reserveForPredecessor reserves resources for starts that the agent's
+// predecessor may have sent to the worker, and reports whether there are any.
+func (h *Holder) reserveForPredecessor(orders []Order) bool {
+	found := false
+	for i := range orders {
+		o := &orders[i]
+		if !h.rules.predates(o.Hold.Epoch, h.initialPosition) || o.Started || h.known(o.Hold) {
+			continue
+		}
+		terms := FromMS(o.Spec.TakeoverMS)
+		h.tasks[o.Hold] = &heldTask{size: o.Spec.Size, terms: terms, maxLeaseEnd: terms.HoldAt(h.initialUptime)}
+		found = true
+	}
+	return found
+}
+
+func (h *Holder) known(id record.Hold) bool {
+	_, pending := h.pendingReports[id]
+	return pending || h.tasks[id] != nil
+}
+
+func (h *Holder) applyOrder(now time.Time, o *Order, round uint64, draining bool) []Decision {
+	terms := FromMS(o.Spec.TakeoverMS)
+	leaseEnd := h.rules.leaseEnd(terms, h.uptimes[round], h.uptime)
+	if t := h.tasks[o.Hold]; t != nil {
+		if !t.listed && !t.revoked && t.confirmedRound > 0 && leaseEnd > h.uptime {
+			t.startOrder, t.confirmedRound, t.maxLeaseEnd = o, max(t.confirmedRound, round), max(t.maxLeaseEnd, leaseEnd)
+		}
+		return nil
+	}
+	if _, ok := h.pendingReports[o.Hold]; ok || !h.ledger.Ready() || leaseEnd <= h.uptime {
+		return nil
+	}
+	if settledRound, ok := h.settledRounds[o.Hold]; ok && h.rules.outdated(round, settledRound) {
+		return nil
+	}
+	if reason := h.refusalReason(now, o, draining); reason != "" {
+		h.reportStopped(o.Hold, reason)
+		return []Decision{{assignment: o.Hold, name: "refuse-task", reason: reason}}
+	}
+	h.tasks[o.Hold] = &heldTask{size: o.Spec.Size, terms: terms, maxLeaseEnd: leaseEnd, confirmedRound: round, startOrder: o}
+	return []Decision{{assignment: o.Hold, name: "start-task", reason: "the task is assigned to this worker and its resources are free"}}
+}
+
+// refusalReason returns why a start order is refused, or "".
+func (h *Holder) refusalReason(now time.Time, o *Order, draining bool) string {
+	if o.Started {
+		return "the worker has lost the task"
+	}
+	if draining {
+		return "the worker is leaving"
+	}
+	if err := h.ledger.Admit(now, ledgerKey(o.Hold), o.Spec.Size); err != nil {
+		return err.Error()
+	}
+	return ""
+}
--- a/pkg/lease/pace_test.go
+++ b/pkg/lease/heartbeat_interval_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPace(t *testing.T) {
+func TestHeartbeatInterval(t *testing.T) {
 	for _, test := range []struct {
 		agents int
 		want   time.Duration
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -8,119 +8,123 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// maxUptimes is the most rounds whose uptime is remembered.
-const maxUptimes = 64
-
-// Holder decides for an agent which tasks its worker runs, and until when. In
-// each round the agent passes the worker's listing to Observe, sends the
-// reports with its heartbeat, passes the answers to Follow, and does what
-// Actions returns. Lost or late replies of the worker need no report: the next
-// listing shows what has happened. The zero value knows nothing and is ready.
+// uptimeRounds is the number of rounds whose uptime is remembered.
+const uptimeRounds = 64
+
+// Holder decides for an agent which tasks its worker runs, and until when. Each
+// round has four steps: the agent passes the worker's task listing to Observe,
+// sends Reports with its heartbeat to the entries, has the log readings in their
+// responses applied, and makes the calls that Actions returns. Lost or late
+// replies of the worker to these calls need no handling, as the next listing
+// shows their effect. The zero value is ready for use.
 type Holder struct {
 	ledger      worker.Ledger
 	incarnation string
 	round       uint64
 	uptime      time.Duration
-	// uptimes tells what the worker's clock showed before a round's heartbeat.
+	// uptimes maps a round to the worker's clock before that round's heartbeat.
 	uptimes map[uint64]time.Duration
-	tasks   map[record.Hold]*held
-	// unlisted tasks are never started, again or at all; the reports on them
-	// are repeated until settled.
-	unlisted map[record.Hold]Report
-	// gone tells in which round a settled task was last known. A reading that is not
-	// newer may not show the task's end, so it cannot start it again. Readings
-	// older than maxUptimes rounds start nothing, which bounds the map.
-	gone map[record.Hold]uint64
-	// born is the worker's clock at the first listing, and bornNext the log's
-	// end soon after: older orders may have been refused by a predecessor.
-	born     time.Duration
-	bornNext record.Position
-	rules    Rules
+	tasks   map[record.Hold]*heldTask
+	// pendingReports holds reports on tasks that the worker does not list. Such
+	// a task is not started, and its report is repeated until it is settled.
+	pendingReports map[record.Hold]Report
+	// settledRounds maps a settled task to the round in which it was last known.
+	// A log reading that is not newer may not show the task's end, so it cannot
+	// start the task again. Readings older than uptimeRounds rounds start
+	// nothing, which bounds the map.
+	settledRounds map[record.Hold]uint64
+	// initialUptime is the worker's clock at the first listing, and
+	// initialPosition the log's end soon after. Orders from before that
+	// position may have been refused by the agent's predecessor.
+	initialUptime   time.Duration
+	initialPosition record.Position
+	rules           Rules
 }
 
-// held is a task that the worker runs, has run, or may still begin to run.
-type held struct {
+// heldTask is a task that the worker runs, has run, or may still start.
+type heldTask struct {
 	size   worker.Resources
 	terms  Terms
 	listed bool
 	state  State
-	// reported tasks were named in this round's heartbeat.
-	reported    bool
-	ref, detail string
-	// lease is the end of the lease that the worker lists, and until that of
-	// the longest one that a start may still bring.
-	lease, until time.Duration
-	// saved is when a checkpoint was asked for last.
-	saved time.Duration
-	// fresh is the newest round whose reading left the task in place.
-	fresh uint64
-	// order is followed in this round.
-	order   *Order
-	revoked bool
-	settled bool
+	// reported says that this round's heartbeat named the task.
+	reported           bool
+	checkpoint, detail string
+	// leaseEnd is the end of the lease that the worker lists, and maxLeaseEnd
+	// that of the longest lease that a start on its way may carry.
+	leaseEnd, maxLeaseEnd time.Duration
+	// checkpointRequestedAt is the worker's clock at the last checkpoint request.
+	checkpointRequestedAt time.Duration
+	// confirmedRound is the newest round whose log reading left the task in place.
+	confirmedRound uint64
+	// startOrder is the start order to carry out in this round, or nil.
+	startOrder *Order
+	revoked    bool
+	settled    bool
 }
 
-// SetRules replaces rules of the protocol, for a check of it.
+// SetRules replaces rules of the protocol in tests.
 func (h *Holder) SetRules(r Rules) { h.rules = r }
 
-// Ledger returns what the worker has granted.
+// Ledger returns the ledger of the worker's granted resources.
 func (h *Holder) Ledger() *worker.Ledger { return &h.ledger }
 
-// Round returns the number of the present round.
+// Round returns the number of the current round.
 func (h *Holder) Round() uint64 { return h.round }
 
-// Observe begins a round with what the worker lists; now is the agent's clock
-// when the listing was asked for.
+// Observe begins a round with the worker's task listing; now is the agent's
+// clock when it requested the listing.
 func (h *Holder) Observe(now time.Time, l *Listing) {
 	h.round++
 	if h.tasks == nil {
-		h.tasks = make(map[record.Hold]*held)
-		h.unlisted = make(map[record.Hold]Report)
-		h.gone = make(map[record.Hold]uint64)
+		h.tasks = make(map[record.Hold]*heldTask)
+		h.pendingReports = make(map[record.Hold]Report)
+		h.settledRounds = make(map[record.Hold]uint64)
 		h.uptimes = make(map[uint64]time.Duration)
-		h.born = l.Uptime
+		h.initialUptime = l.Uptime
 	}
 	if h.incarnation != l.Incarnation {
-		h.loseWorker(l)
+		h.replaceWorker(l)
 	}
 	h.uptime = l.Uptime
 	h.uptimes[h.round] = l.Uptime
-	delete(h.uptimes, h.round-maxUptimes)
-	h.merge(l)
-	h.prune()
-	h.rebuild(now, l.Total)
+	delete(h.uptimes, h.round-uptimeRounds)
+	h.mergeListing(l)
+	h.pruneSettledRounds()
+	h.rebuildLedger(now, l.Total)
 }
 
-func (h *Holder) prune() {
-	for hold, round := range h.gone {
-		if round+maxUptimes < h.round {
-			delete(h.gone, hold)
+func (h *Holder) pruneSettledRounds() {
+	for id, round := range h.settledRounds {
+		if round+uptimeRounds < h.round {
+			delete(h.settledRounds, id)
 		}
 	}
 }
 
-// loseWorker forgets what belonged to the worker before it was replaced.
-func (h *Holder) loseWorker(l *Listing) {
+// replaceWorker drops the tasks that the worker has lost, and what was counted
+// on its former clock.
+func (h *Holder) replaceWorker(l *Listing) {
 	h.incarnation = l.Incarnation
-	h.born = l.Uptime
+	h.initialUptime = l.Uptime
 	clear(h.uptimes)
-	for hold, t := range h.tasks {
-		h.lose(hold, t)
+	for id, t := range h.tasks {
+		h.dropLostTask(id, t)
 	}
 }
 
-// merge takes the listing into the tasks.
-func (h *Holder) merge(l *Listing) {
+// mergeListing updates the tasks from the worker's listing.
+func (h *Holder) mergeListing(l *Listing) {
 	listed := make(map[record.Hold]bool, len(l.Tasks))
 	for i := range l.Tasks {
 		listed[l.Tasks[i].Hold] = true
 		h.mergeTask(&l.Tasks[i])
 	}
-	for hold, t := range h.tasks {
-		t.order = nil
-		if !listed[hold] {
+	for id, t := range h.tasks {
+		t.startOrder = nil
+		if !listed[id] {
 			t.reported = false
-			h.mergeUnlisted(hold, t)
+			h.mergeMissing(id, t)
 		}
 	}
 }
@@ -128,72 +132,74 @@
 func (h *Holder) mergeTask(l *Task) {
 	t := h.tasks[l.Hold]
 	if t == nil {
-		t = &held{until: l.Terms.HoldAt(h.born)}
+		t = &heldTask{maxLeaseEnd: l.Terms.HoldAt(h.initialUptime)}
 		h.tasks[l.Hold] = t
 	}
 	if !t.listed {
-		t.saved = h.uptime
+		t.checkpointRequestedAt = h.uptime
 	}
 	t.listed, t.reported = true, false
-	t.size, t.terms, t.state, t.lease = l.Size, l.Terms, l.State, l.Until
-	t.ref, t.detail = l.Ref, l.Detail
-	t.until = max(t.until, l.Until)
+	t.size, t.terms, t.state, t.leaseEnd = l.Size, l.Terms, l.State, l.Until
+	t.checkpoint, t.detail = l.Ref, l.Detail
+	t.maxLeaseEnd = max(t.maxLeaseEnd, l.Until)
 }
 
-func (h *Holder) mergeUnlisted(hold record.Hold, t *held) {
+func (h *Holder) mergeMissing(id record.Hold, t *heldTask) {
 	if t.listed {
-		h.lose(hold, t)
+		h.dropLostTask(id, t)
 		return
 	}
-	if h.uptime <= t.until {
-		return // its start may still reach the worker
+	if h.uptime <= t.maxLeaseEnd {
+		return // the start may still reach the worker
 	}
-	delete(h.tasks, hold)
+	delete(h.tasks, id)
 	if t.settled {
-		h.gone[hold] = h.round
+		h.settledRounds[id] = h.round
 		return
 	}
-	h.report(hold, "the start did not reach the worker in time")
+	h.reportStopped(id, "the start did not reach the worker in time")
 }
 
-// lose takes a task that the worker lists no more, or has lost with its VM. It
-// may have been reported before, so it is not started again under this epoch.
-func (h *Holder) lose(hold record.Hold, t *held) {
-	delete(h.tasks, hold)
+// dropLostTask drops a task that the worker no longer lists, or has lost with
+// its VM. It may have been reported before, so it is not started again under
+// this epoch.
+func (h *Holder) dropLostTask(id record.Hold, t *heldTask) {
+	delete(h.tasks, id)
 	switch {
 	case t.settled:
-		h.gone[hold] = h.round
+		h.settledRounds[id] = h.round
 	case t.listed && t.state.Ended():
-		h.unlisted[hold] = Report{Hold: hold, State: t.state, Ref: t.ref, Detail: t.detail}
+		h.pendingReports[id] = Report{Hold: id, State: t.state, Ref: t.checkpoint, Detail: t.detail}
 	default:
-		h.report(hold, "the worker has lost the task")
+		h.reportStopped(id, "the worker has lost the task")
 	}
 }
 
-// report notes that a task does not run and can be started elsewhere.
-func (h *Holder) report(hold record.Hold, detail string) {
-	h.unlisted[hold] = Report{Hold: hold, State: Stopped, Detail: detail}
+// reportStopped queues a report that a task does not run and can be started
+// elsewhere.
+func (h *Holder) reportStopped(id record.Hold, detail string) {
+	h.pendingReports[id] = Report{Hold: id, State: Stopped, Detail: detail}
 }
 
-// rebuild brings the ledger in line with the tasks that need room. A task that
-// is listed as ended needs none, and its start is no longer on its way.
-func (h *Holder) rebuild(now time.Time, total worker.Resources) {
+// rebuildLedger makes the ledger match the tasks that need resources. A task
+// that is listed as ended needs none, and no start of it is on its way.
+func (h *Holder) rebuildLedger(now time.Time, total worker.Resources) {
 	grants := make([]worker.Grant, 0, len(h.tasks))
-	for hold, t := range h.tasks {
+	for id, t := range h.tasks {
 		size := t.size
 		if t.state.Ended() && t.listed {
 			size = worker.Resources{}
 		}
-		grants = append(grants, worker.NewGrant(key(hold), size))
+		grants = append(grants, worker.NewGrant(ledgerKey(id), size))
 	}
 	h.ledger.Rebuild(total, grants, now)
 }
 
-func key(h record.Hold) string { return h.String() }
+func ledgerKey(h record.Hold) string { return h.String() }
 
-// Reports returns what the heartbeat of this round says about the tasks.
+// Reports returns the task reports for this round's heartbeat.
 func (h *Holder) Reports(l *Listing) []Report {
-	out := make([]Report, 0, len(l.Tasks)+len(h.unlisted))
+	out := make([]Report, 0, len(l.Tasks)+len(h.pendingReports))
 	for i := range l.Tasks {
 		task := &l.Tasks[i]
 		t := h.tasks[task.Hold]
@@ -203,7 +209,7 @@
 		t.reported = true
 		out = append(out, Report{Hold: task.Hold, State: task.State, Ref: task.Ref, Detail: task.Detail})
 	}
-	for _, r := range h.unlisted {
+	for _, r := range h.pendingReports {
 		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b Report) int { return a.Hold.Compare(b.Hold) })
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,16 +1,21 @@
-// Package lease decides until when a task may run without hearing from the
-// log, and from when another worker may take it over.
+// Package lease decides until when a task may run without confirmation from the
+// replicated log, and from when another worker may take it over.
 //
-// The holder counts on the worker's own clock from a listing that came before
-// its heartbeat; an entry relays only log readings that began after it received
-// that heartbeat. The taker counts on its clock from when it knew of its
-// revocation. So the order of events bounds the age of a reading, and only the
-// rates of the worker's and the taker's clocks must agree, within MaxDrift.
+// The log says which worker holds which task. An agent beside each worker sends
+// heartbeats to the entries, the processes that read the log and accept jobs,
+// and an entry's response relays what the log says about the worker.
+//
+// A lease is counted on the worker's own clock from a task listing that precedes
+// the heartbeat, and an entry relays only log reads that began after it received
+// that heartbeat. The takeover time is counted on the clock of the entry that
+// revokes the task, from when that entry knew that the revocation was in the
+// log. So the order of events bounds the age of a log reading, and the two
+// clocks need not be synchronised: only the error of their rates is bounded.
 package lease
 
 import "time"
 
-// MaxDrift bounds the relative error of a clock's rate.
+// MaxDrift is the largest relative error of a clock's rate.
 const MaxDrift = 0.01
 
 // Terms are the lease settings of one batch class.
@@ -18,26 +23,27 @@
 	takeoverAfter time.Duration
 }
 
-// New returns terms under which a task is taken over takeoverAfter its revocation.
+// New returns terms under which a task may be taken over takeoverAfter after its
+// revocation.
 func New(takeoverAfter time.Duration) Terms { return Terms{takeoverAfter: takeoverAfter} }
 
-// FromMS returns terms whose takeover time is in milliseconds.
+// FromMS returns terms whose takeover time is given in milliseconds.
 func FromMS(takeoverMS int64) Terms {
 	return New(time.Duration(takeoverMS) * time.Millisecond)
 }
 
-// TakeoverAfter returns the nominal takeover time.
+// TakeoverAfter returns the takeover time without the allowance for clock drift.
 func (t Terms) TakeoverAfter() time.Duration { return t.takeoverAfter }
 
-// HoldAt returns when, on the worker's clock, a task must stop making progress
-// if the newest log reading that left it in place began after the worker's
-// clock showed uptime.
+// HoldAt returns the end of a lease on the worker's clock, when the task must
+// stop making progress. The newest log reading that left the task in place began
+// after the worker's clock showed uptime.
 func (t Terms) HoldAt(uptime time.Duration) time.Duration {
 	return uptime + time.Duration(float64(t.takeoverAfter)*(1-MaxDrift))
 }
 
-// TakeoverAt returns when a revoked task may be assigned again, given when its
-// revocation was first known to be in the log.
+// TakeoverAt returns when a revoked task may be assigned again; revokeKnown is
+// when its revocation was first known to be in the log.
 func (t Terms) TakeoverAt(revokeKnown time.Time) time.Time {
 	return revokeKnown.Add(time.Duration(float64(t.takeoverAfter) * (1 + MaxDrift)))
 }
--- a/pkg/lease/message.go
+++ b/pkg/lease/message.go
@@ -7,10 +7,10 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// State is what an agent reports about a task.
+// State is the state of a task as reported by an agent.
 type State uint8
 
-// The states reported.
+// The task states.
 const (
 	Runs State = iota + 1
 	Succeeded
@@ -19,10 +19,10 @@
 	Stopped
 )
 
-// Ended reports whether the task makes no progress any more.
+// Ended reports whether the task makes no more progress.
 func (s State) Ended() bool { return s != Runs }
 
-// Report is an agent's word on one task.
+// Report is an agent's report on one task.
 type Report struct {
 	_      struct{} `cbor:",toarray"`
 	Hold   record.Hold
@@ -36,46 +36,47 @@
 	Hold       record.Hold `cbor:"1,keyasint"`
 	Spec       record.Spec `cbor:"2,keyasint"`
 	Checkpoint string      `cbor:"3,keyasint,omitempty"`
-	// Started orders were reported as started before.
+	// Started says that the task was reported as started before.
 	Started bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Stop tells an agent to end a task.
+// Stop tells an agent to stop a task.
 type Stop struct {
 	_    struct{} `cbor:",toarray"`
 	Hold record.Hold
-	// Settled stops need no report: the log knows the task's end already.
+	// Settled says that the log has the task's end already, so that the agent
+	// need not report it.
 	Settled bool
 }
 
-// Reading is what one read of the log said about a worker. A reported task
-// that is named in neither list stays as it is.
+// Reading is what one read of the log says about a worker. A reported task that
+// is in neither list continues unchanged.
 type Reading struct {
 	// Heard is the newest of the agent's rounds whose heartbeat the entry had
-	// received when the read began; 0 if there is none.
+	// received when the read began, or 0.
 	Heard uint64 `cbor:"1,keyasint,omitempty"`
-	// Next is the position before which the log has been read.
+	// Next is the position up to which the log has been read, exclusive.
 	Next  record.Position `cbor:"2,keyasint"`
 	Start []Order         `cbor:"3,keyasint,omitempty"`
 	Stop  []Stop          `cbor:"4,keyasint,omitempty"`
 }
 
-// Listing is what a worker says it runs.
+// Listing is a worker's own list of its tasks.
 type Listing struct {
 	// Incarnation changes when the worker has lost its tasks.
 	Incarnation string
-	// Uptime is the worker's monotonic clock.
+	// Uptime is the reading of the worker's monotonic clock.
 	Uptime time.Duration
 	Total  worker.Resources
 	Tasks  []Task
 }
 
-// Task is one task on a worker.
+// Task is one task in a worker's listing.
 type Task struct {
 	Hold  record.Hold
 	Size  worker.Resources
 	State State
-	// Ref is the newest checkpoint.
+	// Ref refers to the newest checkpoint.
 	Ref    string
 	Detail string
 	// Until is when the lease ends on the worker's clock.
--- a/pkg/lease/rules.go
+++ b/pkg/lease/rules.go
@@ -6,54 +6,57 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Rules are the rules on which the safety of a Holder rests. A nil field stands
-// for the rule of the protocol. A check of the protocol replaces them one by
-// one, to prove that it finds what then goes wrong.
+// Rules are the rules of the lease protocol on which the safety of a Holder
+// depends. A nil field stands for the rule of the protocol. Mutation tests
+// replace them one by one, to prove that the protocol's checker finds the
+// resulting violation.
 type Rules struct {
-	// HoldAt returns the end of a lease, given what the worker's clock showed
-	// before the reading began and what it shows now.
-	HoldAt func(t Terms, reading, now time.Duration) time.Duration
-	// Outdated reports whether a reading that had heard a round cannot start a
-	// task that was last known in round gone.
-	Outdated func(heard, gone uint64) bool
-	// Predates reports whether an order may have been refused by a predecessor.
-	Predates func(epoch, bornNext record.Position) bool
-	// Removable reports whether no start of an ended task can still arrive.
-	Removable func(now, until time.Duration) bool
-	// Covered reports whether a reading that does not name a task leaves it in
-	// place, given whether the heartbeat named it.
+	// HoldAt returns the end of a lease, given the worker's clock before the log
+	// reading began and now.
+	HoldAt func(t Terms, beforeReading, now time.Duration) time.Duration
+	// Outdated reports whether a log reading with the given heartbeat round is
+	// too old to start a task that was last known in settledRound.
+	Outdated func(round, settledRound uint64) bool
+	// Predates reports whether the agent's predecessor may have refused the order
+	// with the given epoch.
+	Predates func(epoch, initialPosition record.Position) bool
+	// Removable reports whether an ended task can be removed because no start of
+	// it can arrive any more.
+	Removable func(now, maxLeaseEnd time.Duration) bool
+	// Covered reports whether a log reading that does not name a task leaves it
+	// in place, given whether the heartbeat named the task.
 	Covered func(reported bool) bool
 }
 
-func (r *Rules) holdAt(t Terms, reading, now time.Duration) time.Duration {
+func (r *Rules) leaseEnd(t Terms, beforeReading, now time.Duration) time.Duration {
 	if r.HoldAt != nil {
-		return r.HoldAt(t, reading, now)
+		return r.HoldAt(t, beforeReading, now)
 	}
-	return t.HoldAt(reading)
+	return t.HoldAt(beforeReading)
 }
 
-func (r *Rules) outdated(heard, gone uint64) bool {
+func (r *Rules) outdated(round, settledRound uint64) bool {
 	if r.Outdated != nil {
-		return r.Outdated(heard, gone)
+		return r.Outdated(round, settledRound)
 	}
-	return heard <= gone
+	return round <= settledRound
 }
 
-func (r *Rules) predates(epoch, bornNext record.Position) bool {
+func (r *Rules) predates(epoch, initialPosition record.Position) bool {
 	if r.Predates != nil {
-		return r.Predates(epoch, bornNext)
+		return r.Predates(epoch, initialPosition)
 	}
-	return epoch < bornNext
+	return epoch < initialPosition
 }
 
-func (r *Rules) removable(now, until time.Duration) bool {
+func (r *Rules) removable(now, maxLeaseEnd time.Duration) bool {
 	if r.Removable != nil {
-		return r.Removable(now, until)
+		return r.Removable(now, maxLeaseEnd)
 	}
-	return now > until
+	return now > maxLeaseEnd
 }
 
-func (r *Rules) covered(reported bool) bool {
+func (r *Rules) implicitlyConfirmed(reported bool) bool {
 	if r.Covered != nil {
 		return r.Covered(reported)
 	}
