--- a/pkg/endpoint/fate_test.go
+++ b/pkg/endpoint/dedup_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// fateScript is a run of calls on a Book.
-type fateScript struct {
+// dedupScript is a sequence of calls on a table of attempts, read from
+// testdata.
+type dedupScript struct {
 	Promise string
 	Size    int
 	Steps   []struct {
 		Do     string
 		ID     string
 		Mark   uint64
-		For    span
+		For    jsonDuration
 		Times  int
 		Fate   string
 		Answer string
@@ -21,8 +22,8 @@
 	}
 }
 
-func TestBook(t *testing.T) {
-	eachScript(t, "fate", func(t *testing.T, s *fateScript) {
+func TestDedupTable(t *testing.T) {
+	eachScript(t, "fate", func(t *testing.T, s *dedupScript) {
 		t.Helper()
 		b := &Book{}
 		b.SetSize(s.Size)
@@ -62,7 +63,7 @@
 	})
 }
 
-func TestBookBoundsAnswers(t *testing.T) {
+func TestDedupTableBoundsResponses(t *testing.T) {
 	var b Book
 	now := time.Unix(1, 0)
 	body := make([]byte, AnswerBytes)
@@ -71,10 +72,10 @@
 		b.Admit(now, id, 0)
 		b.Finish(now, id, FateDone, NewAnswer(200, nil, body))
 	}
-	if got, want := b.bytes, BookBytes; got > want {
-		t.Errorf("bytes kept: got %d, want at most %d", got, want)
+	if got, want := b.responseBytes, BookBytes; got > want {
+		t.Errorf("response bytes kept: got %d, want at most %d", got, want)
 	}
 	if got, want := b.Ask(now, AttemptID{Request: "r"}, 0), FateDone; got != want {
-		t.Errorf("fate of an attempt whose answer was dropped: got %v, want %v", got, want)
+		t.Errorf("state of an attempt whose response was dropped: got %v, want %v", got, want)
 	}
 }
--- a/pkg/endpoint/gate.go
+++ b/pkg/endpoint/gate.go
@@ -5,47 +5,50 @@
 	"time"
 )
 
-// Verdict says what becomes of a ticket that was offered.
+// Verdict is the decision on a ticket.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Start means that the ticket holds a slot now.
+	// Start means that the ticket now holds a slot.
 	Start Verdict = iota
 	// Wait means that the ticket waits in the queue.
 	Wait
-	// Shed means that the ticket is refused and was not run.
+	// Shed means that the ticket is refused without having run.
 	Shed
 )
 
 var verdictNames = [...]string{"start", "wait", "shed"}
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// demandWindow is the time constant of the learned demand of short work.
-const demandWindow = 300 * time.Millisecond
+// demandTimeConstant is the time constant of the moving average of short work's
+// demand.
+const demandTimeConstant = 300 * time.Millisecond
 
-// reserveExtra is added to the learned demand before it is cut to whole slots.
-const reserveExtra = 0.5
+// reserveMargin, in slots, is added to the average demand before it is rounded
+// down to whole slots.
+const reserveMargin = 0.5
 
-// Gate gives out an endpoint's slots: never more than it has, and with slots
-// kept free for short work according to what that has asked for lately. The
-// zero value lets nothing in; see SetLimits. It is not safe for concurrent use.
+// Gate is the admission control of one endpoint. It never grants more slots than
+// the endpoint has, and keeps slots free for short work according to its recent
+// demand. The zero value admits nothing; see SetLimits. It is not safe for
+// concurrent use.
 type Gate struct {
 	slots       int
 	connections int
 	queue       Queue
 	running     int
 	runningLong int
-	// shortDemand is the mean number of short requests that run or wait.
-	shortDemand float64
-	shortWaits  int
-	at          time.Time
+	// shortDemand is the moving average of short requests that run or wait.
+	shortDemand     float64
+	shortWaiting    int
+	demandUpdatedAt time.Time
 }
 
-// SetLimits sets the ceilings: slots, and connections as the most requests
-// that run or wait together.
+// SetLimits sets the limits: slots, and connections as the most requests that
+// run or wait together.
 func (g *Gate) SetLimits(slots, connections int) { g.slots, g.connections = slots, connections }
 
 // Running returns the number of slots in use.
@@ -62,14 +65,14 @@
 	if g.slots <= 1 {
 		return 0
 	}
-	return min(max(int(g.shortDemand+reserveExtra), 1), g.slots-1)
+	return min(max(int(g.shortDemand+reserveMargin), 1), g.slots-1)
 }
 
-// Offer takes in a ticket. If a less important one had to make room, it is
-// returned as the victim.
+// Offer starts, queues or refuses a ticket. A less important ticket that had to
+// make room for it is returned as the victim.
 func (g *Gate) Offer(now time.Time, t *Ticket) (verdict Verdict, victim *Ticket, reason string) {
-	g.learn(now)
-	if t.hopeless(now) && now.After(t.deadline) {
+	g.updateDemand(now)
+	if t.tooLate(now) && now.After(t.deadline) {
 		return Shed, nil, "the deadline has passed"
 	}
 	if g.running+g.queue.Len() >= g.connections {
@@ -79,20 +82,20 @@
 		}
 		g.remove(victim)
 	}
-	if g.free(t) && g.queue.Peek(!t.long) == nil {
+	if g.slotFree(t) && g.queue.Peek(!t.long) == nil {
 		g.start(t)
 		return Start, victim, "a slot is free"
 	}
 	g.queue.Push(t)
 	if !t.long {
-		g.shortWaits++
+		g.shortWaiting++
 	}
 	return Wait, victim, "all slots are taken"
 }
 
-// Cancel takes out a waiting ticket and reports whether it was waiting.
+// Cancel removes a waiting ticket and reports whether it was waiting.
 func (g *Gate) Cancel(now time.Time, t *Ticket) bool {
-	g.learn(now)
+	g.updateDemand(now)
 	return g.remove(t)
 }
 
@@ -101,43 +104,44 @@
 		return false
 	}
 	if !t.long {
-		g.shortWaits--
+		g.shortWaiting--
 	}
 	return true
 }
 
-// Release gives back the slot of a ticket that has ended.
+// Release frees the slot of a ticket that has ended.
 func (g *Gate) Release(now time.Time, t *Ticket) {
-	g.learn(now)
+	g.updateDemand(now)
 	g.running--
 	if t.long {
 		g.runningLong--
 	}
 }
 
-// Next returns the ticket to start now, or one that is too late and must be
-// refused. It returns nil if there is none; call it until then.
+// Next returns the ticket to start now, or one that can no longer meet its
+// deadline and must be refused. It returns nil if there is none; call it until
+// then.
 func (g *Gate) Next(now time.Time) (*Ticket, Verdict) {
 	t := g.queue.Peek(false)
-	if t != nil && !g.free(t) {
+	if t != nil && !g.slotFree(t) {
 		t = g.queue.Peek(true)
 	}
-	if t == nil || !g.free(t) {
+	if t == nil || !g.slotFree(t) {
 		return nil, Wait
 	}
-	if t.hopeless(now) {
+	if t.tooLate(now) {
 		g.remove(t)
 		return t, Shed
 	}
 	g.queue.Take(t)
 	if !t.long {
-		g.shortWaits--
+		g.shortWaiting--
 	}
 	g.start(t)
 	return t, Start
 }
 
-func (g *Gate) free(t *Ticket) bool {
+func (g *Gate) slotFree(t *Ticket) bool {
 	if g.running >= g.slots {
 		return false
 	}
@@ -151,18 +155,19 @@
 	}
 }
 
-// learn moves the demand of short work towards what it is now.
-func (g *Gate) learn(now time.Time) {
-	passed := now.Sub(g.at)
+// updateDemand moves the average demand of short work towards the current one.
+func (g *Gate) updateDemand(now time.Time) {
+	passed := now.Sub(g.demandUpdatedAt)
 	if passed <= 0 {
 		return
 	}
-	demand := float64(g.running - g.runningLong + g.shortWaits)
-	g.shortDemand += weight(passed, demandWindow) * (demand - g.shortDemand)
-	g.at = now
+	demand := float64(g.running - g.runningLong + g.shortWaiting)
+	g.shortDemand += decayWeight(passed, demandTimeConstant) * (demand - g.shortDemand)
+	g.demandUpdatedAt = now
 }
 
-// weight returns the weight of a value that held for the time passed.
-func weight(passed, window time.Duration) float64 {
+// decayWeight returns the weight, in an exponential moving average, of a value
+// that held for the time passed.
+func decayWeight(passed, window time.Duration) float64 {
 	return 1 - math.Exp(-passed.Seconds()/window.Seconds())
 }
--- a/pkg/endpoint/gate_test.go
+++ b/pkg/endpoint/gate_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func shortTicket(now time.Time, priority int) *Ticket {
+func newShortTicket(now time.Time, priority int) *Ticket {
 	return NewTicket("short", "team", priority, now.Add(time.Second), time.Millisecond)
 }
 
-// TestGateKeepsCeilings offers and ends requests at random.
-func TestGateKeepsCeilings(t *testing.T) {
+// TestGateKeepsLimits offers and ends requests in a random order.
+func TestGateKeepsLimits(t *testing.T) {
 	const limit, connections = 8, 12
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -22,7 +22,7 @@
 		for range 500 {
 			now = now.Add(time.Duration(random.IntN(5)) * time.Millisecond)
 			if random.IntN(2) == 0 {
-				ticket := shortTicket(now, random.IntN(10))
+				ticket := newShortTicket(now, random.IntN(10))
 				ticket.SetLong(random.IntN(3) == 0)
 				if v, _, _ := g.Offer(now, ticket); v == Start {
 					running = append(running, ticket)
@@ -55,8 +55,8 @@
 	var g Gate
 	g.SetLimits(1, 2)
 	now := time.Unix(1, 0)
-	low, high := shortTicket(now, 1), shortTicket(now, 9)
-	g.Offer(now, shortTicket(now, 5))
+	low, high := newShortTicket(now, 1), newShortTicket(now, 9)
+	g.Offer(now, newShortTicket(now, 5))
 	g.Offer(now, low)
 	verdict, victim, _ := g.Offer(now, high)
 	if got, want := verdict, Wait; got != want {
@@ -65,7 +65,7 @@
 	if got, want := victim, low; got != want {
 		t.Errorf("victim: got %v, want %v", got, want)
 	}
-	verdict, _, _ = g.Offer(now, shortTicket(now, 1))
+	verdict, _, _ = g.Offer(now, newShortTicket(now, 1))
 	if got, want := verdict, Shed; got != want {
 		t.Errorf("unimportant request at a full gate: got %v, want %v", got, want)
 	}
@@ -86,7 +86,7 @@
 	if got, want := started, 7; got != want {
 		t.Errorf("long requests started: got %d, want %d", got, want)
 	}
-	if got, _, _ := g.Offer(now, shortTicket(now, 5)); got != Start {
+	if got, _, _ := g.Offer(now, newShortTicket(now, 5)); got != Start {
 		t.Errorf("short request behind long ones: got %v, want %v", got, Start)
 	}
 }
@@ -121,18 +121,18 @@
 			allowed++
 		}
 	}
-	if want := 10000*retryShare + retryMost + 1; float64(allowed) > want {
+	if want := 10000*retriesPerFirst + maxSavedRetries + 1; float64(allowed) > want {
 		t.Errorf("retries of 10000 requests at once: got %d, want at most %.0f", allowed, want)
 	}
 }
 
-func TestSpillOnlyWhereItPays(t *testing.T) {
+func TestSpillOnlyIfTheWaitExceedsTheLinkCost(t *testing.T) {
 	now := time.Unix(1, 0)
 	random := rand.New(rand.NewPCG(1, 2))
 	var n Neighbours
 	n.Observe(now, Sum{DataCentre: "dc-2", Slots: 88, InFlight: 80, Entries: 4, RoundTrip: 10 * time.Millisecond})
 	if got, _ := n.Spill(now, random, 15*time.Millisecond); got != "" {
-		t.Errorf("wait shorter than the margin: got %q, want none", got)
+		t.Errorf("wait shorter than two round trips: got %q, want none", got)
 	}
 	for i := range 3 {
 		got, _ := n.Spill(now, random, time.Second)
@@ -140,7 +140,7 @@
 			t.Errorf("spilled request %d: got %q, want spilled %v", i, got, want)
 		}
 	}
-	if got, _ := n.Spill(now.Add(sumStaleAfter+1), random, time.Second); got != "" {
-		t.Errorf("stale sum: got %q, want none", got)
+	if got, _ := n.Spill(now.Add(loadStaleAfter+1), random, time.Second); got != "" {
+		t.Errorf("stale load: got %q, want none", got)
 	}
 }
--- a/pkg/endpoint/health.go
+++ b/pkg/endpoint/health.go
@@ -5,68 +5,75 @@
 	"time"
 )
 
-// Limits of ejection.
+// Parameters of ejection, which takes failing endpoints out of use for a while.
 const (
 	// failureWeight is the weight of a new sample in an endpoint's failure rate.
 	failureWeight = 0.2
-	// ejectRate is the failure rate at which an endpoint is ejected.
-	ejectRate = 0.6
-	// ejectSamples is the least number of results before an ejection.
-	ejectSamples = 5
-	// sickRate is the failure rate of the others from which on nothing is ejected.
-	sickRate = 0.3
-	// outPart is the part of the endpoints that may be out at most, as a divisor.
-	outPart = 3
-	// ejectFor is the first ejection's time; it doubles up to ejectMost.
-	ejectFor  = time.Second
-	ejectMost = 30 * time.Second
-	// probeSuccesses is how many probes must succeed before an endpoint is back.
+	// ejectFailureRate is the failure rate at which an endpoint is ejected.
+	ejectFailureRate = 0.6
+	// minEjectSamples is the least number of results before an ejection.
+	minEjectSamples = 5
+	// failingServiceRate is the mean failure rate of the other endpoints above
+	// which the service itself counts as failing and nothing is ejected.
+	failingServiceRate = 0.3
+	// maxEjectedDivisor bounds the ejected endpoints to this fraction of all: one
+	// in so many.
+	maxEjectedDivisor = 3
+	// minEjection is the least duration of a first ejection. It doubles with each
+	// ejection, up to maxEjection, and up to half of it is added at random.
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
+	// probeSuccesses is how many probes must succeed before an ejected endpoint
+	// is readmitted.
 	probeSuccesses = 3
 )
 
-// health is what is known of an endpoint's failures.
+// health is an endpoint's failure record.
 type health struct {
-	rate    float64
-	samples int
-	strikes int
-	until   time.Time
-	// probes counts down to re-admission; 0 means that the endpoint is in.
-	probes int
+	failureRate  float64
+	samples      int
+	ejections    int
+	ejectedUntil time.Time
+	// probesLeft is the number of successful probes until readmission; 0 means
+	// that the endpoint is not ejected.
+	probesLeft int
 }
 
-// Ejected reports whether the endpoint gets nothing for now because it failed.
-func (e *Endpoint) Ejected(now time.Time) bool { return now.Before(e.health.until) }
+// Ejected reports whether the endpoint currently gets no requests because it
+// failed.
+func (e *Endpoint) Ejected(now time.Time) bool { return now.Before(e.health.ejectedUntil) }
 
-// Probing reports whether the endpoint gets one request at a time until enough have succeeded.
-func (e *Endpoint) Probing() bool { return e.health.probes > 0 }
+// Probing reports whether the endpoint is on probation after an ejection: it
+// gets one request at a time until enough have succeeded.
+func (e *Endpoint) Probing() bool { return e.health.probesLeft > 0 }
 
-// Succeed notes that the endpoint has answered.
+// Succeed records that the endpoint has responded.
 func (t *Table) Succeed(now time.Time, e *Endpoint) {
 	h := &e.health
 	h.samples++
-	h.rate -= failureWeight * h.rate
-	if h.probes == 0 || now.Before(h.until) {
+	h.failureRate -= failureWeight * h.failureRate
+	if h.probesLeft == 0 || now.Before(h.ejectedUntil) {
 		return
 	}
-	h.probes--
-	if h.probes == 0 {
-		h.strikes = max(h.strikes-1, 0)
-		e.started = now
+	h.probesLeft--
+	if h.probesLeft == 0 {
+		h.ejections = max(h.ejections-1, 0)
+		e.slowStartBegan = now
 		e.cold = true
 	}
 }
 
-// Fail notes that the endpoint has failed a request, and reports whether it
-// was ejected for that. It is not while the service as a whole fails, nor if
-// too many are out.
+// Fail records a failed request of the endpoint, and reports whether the
+// endpoint was ejected for it. None is ejected while the service as a whole
+// fails, or while too many others are out.
 func (t *Table) Fail(now time.Time, random *rand.Rand, e *Endpoint) bool {
 	h := &e.health
 	h.samples++
-	h.rate += failureWeight * (1 - h.rate)
-	if now.Before(h.until) {
+	h.failureRate += failureWeight * (1 - h.failureRate)
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
-	if h.probes == 0 && (h.samples < ejectSamples || h.rate < ejectRate) {
+	if h.probesLeft == 0 && (h.samples < minEjectSamples || h.failureRate < ejectFailureRate) {
 		return false
 	}
 	out, others := 0, 0.0
@@ -74,19 +81,19 @@
 		if o == e {
 			continue
 		}
-		others += o.health.rate
+		others += o.health.failureRate
 		if o.Ejected(now) || o.Probing() {
 			out++
-			others -= o.health.rate
+			others -= o.health.failureRate
 		}
 	}
 	healthy := len(t.list) - 1 - out
-	if healthy < 1 || out+1 > max(1, len(t.list)/outPart) || others/float64(healthy) > sickRate {
+	if healthy < 1 || out+1 > max(1, len(t.list)/maxEjectedDivisor) || others/float64(healthy) > failingServiceRate {
 		return false
 	}
-	d := min(ejectFor<<min(h.strikes, 8), ejectMost)
-	h.until = now.Add(d + time.Duration(random.Int64N(int64(d)/2)))
-	h.strikes++
-	h.probes = probeSuccesses
+	d := min(minEjection<<min(h.ejections, 8), maxEjection)
+	h.ejectedUntil = now.Add(d + time.Duration(random.Int64N(int64(d)/2)))
+	h.ejections++
+	h.probesLeft = probeSuccesses
 	return true
 }
--- a/pkg/endpoint/delay.go
+++ b/pkg/endpoint/load.go
@@ -15,7 +15,7 @@
 	mean, long := r.times.Expect(class, declared)
 	t := NewTicket(class, team, priority, deadline, mean)
 	t.long = long
-	return r.wait(now, t), true
+	return r.queueWait(now, t), true
 }
 
 // Sum returns the slots of the endpoints that take requests, and the requests
@@ -23,7 +23,7 @@
 func (r *Router) Sum(now time.Time) (slots, inFlight int) {
 	inFlight = r.queue.Len()
 	for _, e := range r.table.list {
-		if e.usable(now) {
+		if e.isUsable(now) {
 			slots += e.Slots()
 			inFlight += e.InFlight()
 		}
--- a/pkg/endpoint/queue.go
+++ b/pkg/endpoint/queue.go
@@ -10,71 +10,74 @@
 
 // Ticket is a request that waits for a slot or holds one.
 type Ticket struct {
-	class    string
-	team     string
-	priority int
-	long     bool
-	deadline time.Time
-	work     time.Duration
-	// room is how long before the deadline the request must start.
-	room time.Duration
+	class       string
+	team        string
+	priority    int
+	long        bool
+	deadline    time.Time
+	serviceTime time.Duration
+	// startMargin is how long before the deadline the request must start.
+	startMargin time.Duration
 
-	waiting bool
-	index   int
+	waiting   bool
+	heapIndex int
 }
 
-// NewTicket returns a ticket for a request. Work is how long the request is
-// expected to hold a slot.
-func NewTicket(class, team string, priority int, deadline time.Time, work time.Duration) *Ticket {
-	return &Ticket{class: class, team: team, priority: min(max(priority, 0), maxPriority), deadline: deadline, work: work, room: work}
+// NewTicket returns a ticket for a request that is expected to hold a slot for
+// serviceTime.
+func NewTicket(class, team string, priority int, deadline time.Time, serviceTime time.Duration) *Ticket {
+	return &Ticket{class: class, team: team, priority: min(max(priority, 0), maxPriority), deadline: deadline, serviceTime: serviceTime, startMargin: serviceTime}
 }
 
 // Class returns the request's class.
 func (t *Ticket) Class() string { return t.class }
 
-// Expected returns how long the request is expected to take.
-func (t *Ticket) Expected() time.Duration { return t.work }
+// Expected returns how long the request is expected to hold a slot.
+func (t *Ticket) Expected() time.Duration { return t.serviceTime }
 
-// Long reports whether the request counts as long work.
+// Long reports whether the request is long work.
 func (t *Ticket) Long() bool { return t.long }
 
-// SetLong marks the request as long work, before it is offered anywhere.
+// SetLong marks the request as long work. It must be called before the ticket is
+// offered.
 func (t *Ticket) SetLong(long bool) { t.long = long }
 
-// SetRoom sets how long before its deadline the request must start, if that
-// is not the time that it is expected to take.
-func (t *Ticket) SetRoom(room time.Duration) { t.room = room }
+// SetRoom sets how long before its deadline the request must start, if this
+// differs from its expected service time.
+func (t *Ticket) SetRoom(margin time.Duration) { t.startMargin = margin }
 
-// GiveUpAt returns the last moment at which the request can start and still
-// end before its deadline. A waiting request is refused then.
-func (t *Ticket) GiveUpAt() time.Time { return t.deadline.Add(-t.room) }
+// GiveUpAt returns the latest time at which the request can start and still end
+// before its deadline. If it is still waiting then, it is refused.
+func (t *Ticket) GiveUpAt() time.Time { return t.deadline.Add(-t.startMargin) }
 
-// Deadline returns when the answer is of no use any more.
+// Deadline returns the time after which the response is of no use.
 func (t *Ticket) Deadline() time.Time { return t.deadline }
 
-// hopeless reports whether the request cannot end before its deadline.
-func (t *Ticket) hopeless(now time.Time) bool { return now.After(t.GiveUpAt()) }
+// tooLate reports whether the request can no longer end before its deadline.
+func (t *Ticket) tooLate(now time.Time) bool { return now.After(t.GiveUpAt()) }
 
-// Queue holds waiting tickets: the most important first, short before long
-// work, teams in turn by the work that they were given, and within a team the
-// earliest deadline. The zero value is empty.
+// Queue orders waiting tickets by priority, then short before long work, then by
+// fair sharing among teams according to the work that each was given, and within
+// a team by the earliest deadline. The zero value is empty.
 type Queue struct {
 	levels [2 * (maxPriority + 1)]level
 	size   int
 }
 
+// level holds the tickets of one priority that are all short or all long work.
 type level struct {
-	lines []*teamLine
-	// served is the virtual time of the line taken last.
-	served float64
-	work   time.Duration
+	teams []*teamQueue
+	// virtualTime is that of the team that was served last.
+	virtualTime float64
+	queuedWork  time.Duration
 }
 
-// teamLine is one team's tickets of a level.
-type teamLine struct {
-	team   string
-	served float64
-	heap   ticketHeap
+// teamQueue holds one team's tickets of a level. Its virtual time is the work,
+// in seconds, that the team was given.
+type teamQueue struct {
+	team        string
+	virtualTime float64
+	tickets     ticketHeap
 }
 
 type ticketHeap []*Ticket
@@ -83,17 +86,17 @@
 func (h ticketHeap) Less(i, j int) bool { return h[i].deadline.Before(h[j].deadline) }
 func (h ticketHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push adds an element for package heap.
+// Push appends an element, for package heap.
 func (h *ticketHeap) Push(x any) {
 	t := x.(*Ticket)
-	t.index = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop removes the last element for package heap.
+// Pop removes the last element, for package heap.
 func (h *ticketHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
@@ -113,11 +116,11 @@
 // Len returns the number of waiting tickets.
 func (q *Queue) Len() int { return q.size }
 
-// WorkAhead returns the work that is served before a new ticket like t.
+// WorkAhead returns the expected work that is served before a new ticket like t.
 func (q *Queue) WorkAhead(t *Ticket) time.Duration {
 	var sum time.Duration
 	for i := 0; i <= levelOf(t); i++ {
-		sum += q.levels[i].work
+		sum += q.levels[i].queuedWork
 	}
 	return sum
 }
@@ -125,52 +128,52 @@
 // Push adds a ticket.
 func (q *Queue) Push(t *Ticket) {
 	l := &q.levels[levelOf(t)]
-	line := l.line(t.team)
-	if len(line.heap) == 0 {
-		line.served = max(line.served, l.served)
+	tq := l.teamQueue(t.team)
+	if len(tq.tickets) == 0 {
+		tq.virtualTime = max(tq.virtualTime, l.virtualTime)
 	}
-	heap.Push(&line.heap, t)
+	heap.Push(&tq.tickets, t)
 	t.waiting = true
-	l.work += t.work
+	l.queuedWork += t.serviceTime
 	q.size++
 }
 
-func (l *level) line(team string) *teamLine {
-	for _, line := range l.lines {
-		if line.team == team {
-			return line
+func (l *level) teamQueue(team string) *teamQueue {
+	for _, tq := range l.teams {
+		if tq.team == team {
+			return tq
 		}
 	}
-	line := &teamLine{team: team, served: l.served}
-	l.lines = append(l.lines, line)
-	return line
+	tq := &teamQueue{team: team, virtualTime: l.virtualTime}
+	l.teams = append(l.teams, tq)
+	return tq
 }
 
-// Remove takes out a ticket and reports whether it was waiting.
+// Remove removes a ticket and reports whether it was waiting.
 func (q *Queue) Remove(t *Ticket) bool {
 	if !t.waiting {
 		return false
 	}
 	l := &q.levels[levelOf(t)]
-	heap.Remove(&l.line(t.team).heap, t.index)
-	q.taken(l, t)
+	heap.Remove(&l.teamQueue(t.team).tickets, t.heapIndex)
+	q.removed(l, t)
 	return true
 }
 
-func (q *Queue) taken(l *level, t *Ticket) {
+func (q *Queue) removed(l *level, t *Ticket) {
 	t.waiting = false
-	l.work -= t.work
+	l.queuedWork -= t.serviceTime
 	q.size--
 }
 
-// Peek returns the next ticket; with short, long work is passed over.
-func (q *Queue) Peek(short bool) *Ticket {
+// Peek returns the ticket to serve next, or nil; shortOnly passes over long work.
+func (q *Queue) Peek(shortOnly bool) *Ticket {
 	for i := range q.levels {
-		if short && i%2 == 1 {
+		if shortOnly && i%2 == 1 {
 			continue
 		}
-		if line := q.levels[i].next(); line != nil {
-			return line.heap[0]
+		if tq := q.levels[i].nextTeam(); tq != nil {
+			return tq.tickets[0]
 		}
 	}
 	return nil
@@ -180,45 +183,46 @@
 // against its team's share.
 func (q *Queue) Take(t *Ticket) {
 	l := &q.levels[levelOf(t)]
-	line := l.line(t.team)
-	heap.Remove(&line.heap, t.index)
-	line.served += t.work.Seconds()
-	l.served = max(l.served, line.served-t.work.Seconds())
-	q.taken(l, t)
-	if l.work <= 0 && len(l.lines) > maxIdleLines {
-		l.lines = nil
+	tq := l.teamQueue(t.team)
+	heap.Remove(&tq.tickets, t.heapIndex)
+	tq.virtualTime += t.serviceTime.Seconds()
+	l.virtualTime = max(l.virtualTime, tq.virtualTime-t.serviceTime.Seconds())
+	q.removed(l, t)
+	if l.queuedWork <= 0 && len(l.teams) > maxIdleTeams {
+		l.teams = nil
 	}
 }
 
-// maxIdleLines is the number of teams that an empty level remembers.
-const maxIdleLines = 512
+// maxIdleTeams is the number of teams that an empty level remembers.
+const maxIdleTeams = 512
 
-// next returns the team that was given least and has a ticket waiting.
-func (l *level) next() *teamLine {
-	if l.work <= 0 && len(l.lines) == 0 {
+// nextTeam returns the team that was given the least work and has a ticket
+// waiting.
+func (l *level) nextTeam() *teamQueue {
+	if l.queuedWork <= 0 && len(l.teams) == 0 {
 		return nil
 	}
-	var best *teamLine
-	for _, line := range l.lines {
-		if len(line.heap) > 0 && (best == nil || line.served < best.served) {
-			best = line
+	var best *teamQueue
+	for _, tq := range l.teams {
+		if len(tq.tickets) > 0 && (best == nil || tq.virtualTime < best.virtualTime) {
+			best = tq
 		}
 	}
 	return best
 }
 
-// Last returns the ticket to shed first: the least important one, of the team
-// that was given most.
+// Last returns the ticket to shed first: one of the lowest level, of the team
+// that was given the most work.
 func (q *Queue) Last() *Ticket {
 	for i := len(q.levels) - 1; i >= 0; i-- {
-		var worst *teamLine
-		for _, line := range q.levels[i].lines {
-			if len(line.heap) > 0 && (worst == nil || line.served > worst.served) {
-				worst = line
+		var worst *teamQueue
+		for _, tq := range q.levels[i].teams {
+			if len(tq.tickets) > 0 && (worst == nil || tq.virtualTime > worst.virtualTime) {
+				worst = tq
 			}
 		}
 		if worst != nil {
-			return worst.heap[len(worst.heap)-1]
+			return worst.tickets[len(worst.tickets)-1]
 		}
 	}
 	return nil
--- a/pkg/endpoint/rate.go
+++ b/pkg/endpoint/rate.go
@@ -6,40 +6,43 @@
 )
 
 const (
-	// rateWindow is the time constant of a rate.
-	rateWindow = 2 * time.Second
-	// leastSpeed is the least part of all slots that a kind of work is
-	// believed to be given.
-	leastSpeed = 0.05
+	// rateTimeConstant is the time constant of a rate's moving average.
+	rateTimeConstant = 2 * time.Second
+	// minSlotShare is the least share of all slots that the work of a level is
+	// assumed to get.
+	minSlotShare = 0.05
 )
 
-// rate is a decaying mean of work begun a second, in slots. The zero value is empty.
-type rate struct {
-	sum   float64
-	first time.Time
-	at    time.Time
+// workRate is a moving average of the service time of the requests started per
+// second, which is the number of slots that they keep busy. The zero value is
+// empty.
+type workRate struct {
+	sum       float64
+	firstAt   time.Time
+	updatedAt time.Time
 }
 
-// add notes work that begins.
-func (r *rate) add(now time.Time, work time.Duration) {
-	if r.first.IsZero() {
-		r.first = now
+// add records the expected service time of a request that starts.
+func (r *workRate) add(now time.Time, serviceTime time.Duration) {
+	if r.firstAt.IsZero() {
+		r.firstAt = now
 	}
-	r.sum = r.decayed(now) + work.Seconds()/rateWindow.Seconds()
-	r.at = now
+	r.sum = r.decayed(now) + serviceTime.Seconds()/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
-// value returns the rate; while it is young, as if it had always been so.
-func (r *rate) value(now time.Time) float64 {
-	if r.first.IsZero() {
+// value returns the rate. A rate that was first used less than its time constant
+// ago is scaled up to what it would be if the work had always come like this.
+func (r *workRate) value(now time.Time) float64 {
+	if r.firstAt.IsZero() {
 		return 0
 	}
-	return r.decayed(now) / max(weight(now.Sub(r.first), rateWindow), weight(rateWindow/10, rateWindow))
+	return r.decayed(now) / max(decayWeight(now.Sub(r.firstAt), rateTimeConstant), decayWeight(rateTimeConstant/10, rateTimeConstant))
 }
 
-func (r *rate) decayed(now time.Time) float64 {
-	if passed := now.Sub(r.at); passed > 0 {
-		return r.sum * math.Exp(-passed.Seconds()/rateWindow.Seconds())
+func (r *workRate) decayed(now time.Time) float64 {
+	if passed := now.Sub(r.updatedAt); passed > 0 {
+		return r.sum * math.Exp(-passed.Seconds()/rateTimeConstant.Seconds())
 	}
 	return r.sum
 }
--- a/pkg/endpoint/retry.go
+++ b/pkg/endpoint/retry.go
@@ -5,43 +5,45 @@
 	"time"
 )
 
-// Limits of retries.
+// Parameters of retries.
 const (
-	// retryShare is how many retries each first attempt allows.
-	retryShare = 0.1
-	// retryFloor is how many retries a second are allowed in any case.
-	retryFloor = 5
-	// retryMost is how many allowed retries are saved up at most.
-	retryMost = 50
-	// retryDelay bounds the random delay before the first retry; it doubles with each.
-	retryDelay = 4 * time.Millisecond
+	// retriesPerFirst is how many retries each first attempt allows.
+	retriesPerFirst = 0.1
+	// retriesPerSecond is how many retries a second are allowed in any case.
+	retriesPerSecond = 5
+	// maxSavedRetries is the largest burst of retries: how many that were allowed
+	// and not used are saved up.
+	maxSavedRetries = 50
+	// maxFirstRetryDelay bounds the random delay before the first retry; the
+	// bound doubles with each further retry.
+	maxFirstRetryDelay = 4 * time.Millisecond
 )
 
-// Budget bounds retries to a share of the first attempts, so that they never
-// amplify a surge. The zero value is full.
+// Budget limits retries to a share of the first attempts, so that they do not
+// amplify an overload. The zero value allows a full burst.
 type Budget struct {
-	// used is how much of retryMost is spent.
-	used float64
-	at   time.Time
+	// spent is how much of maxSavedRetries has been used.
+	spent      float64
+	refilledAt time.Time
 }
 
-// First notes a first attempt.
-func (b *Budget) First() { b.used = max(0, b.used-retryShare) }
+// First records a first attempt.
+func (b *Budget) First() { b.spent = max(0, b.spent-retriesPerFirst) }
 
-// Take reports whether a retry is allowed now, and counts it.
+// Take reports whether a retry is allowed now, and counts it if it is.
 func (b *Budget) Take(now time.Time) bool {
-	if passed := now.Sub(b.at); passed > 0 {
-		b.used = max(0, b.used-passed.Seconds()*retryFloor)
-		b.at = now
+	if passed := now.Sub(b.refilledAt); passed > 0 {
+		b.spent = max(0, b.spent-passed.Seconds()*retriesPerSecond)
+		b.refilledAt = now
 	}
-	if b.used+1 > retryMost {
+	if b.spent+1 > maxSavedRetries {
 		return false
 	}
-	b.used++
+	b.spent++
 	return true
 }
 
-// RetryDelay returns the delay before the given retry, counted from 1.
+// RetryDelay returns a random delay before a retry; the first retry is 1.
 func RetryDelay(random *rand.Rand, retry int) time.Duration {
-	return time.Duration(random.Int64N(int64(retryDelay) << min(max(retry-1, 0), 6)))
+	return time.Duration(random.Int64N(int64(maxFirstRetryDelay) << min(max(retry-1, 0), 6)))
 }
--- a/pkg/endpoint/router_test.go
+++ b/pkg/endpoint/router_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// routeScript is a run of reports, requests and results at a Router.
+// routeScript is a sequence of reports, requests and results at a Router, read
+// from testdata.
 type routeScript struct {
 	Promise string
 	Steps   []struct {
@@ -19,29 +20,30 @@
 		Leaving     bool
 		Class       string
 		Times       int
-		For         span
-		// Want is the verdict of every request, and Among its possible endpoints.
+		For         jsonDuration
+		// Want is the expected verdict on every request, and Among the endpoints
+		// to which it may be sent.
 		Want  string
 		Among []string
-		// Most bounds the requests that one endpoint gets.
+		// Most is the most requests that one endpoint may get.
 		Most int
 	}
 }
 
-// routeWorld runs a script.
-type routeWorld struct {
-	t      *testing.T
-	router Router
-	random *rand.Rand
-	now    time.Time
-	mark   uint64
-	held   map[string][]*Ticket
+// routeRunner runs a routeScript.
+type routeRunner struct {
+	t        *testing.T
+	router   Router
+	random   *rand.Rand
+	now      time.Time
+	mark     uint64
+	inFlight map[string][]*Ticket
 }
 
 func TestRouter(t *testing.T) {
 	eachScript(t, "route", func(t *testing.T, s *routeScript) {
 		t.Helper()
-		w := &routeWorld{t: t, random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1, 0), held: make(map[string][]*Ticket)}
+		w := &routeRunner{t: t, random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1, 0), inFlight: make(map[string][]*Ticket)}
 		for i, step := range s.Steps {
 			switch step.Do {
 			case "report":
@@ -55,10 +57,10 @@
 			case "offer":
 				w.offer(i, step.Class, max(step.Times, 1), step.Want, step.Among, step.Most)
 			case "done":
-				for _, ticket := range w.held[step.Endpoint] {
+				for _, ticket := range w.inFlight[step.Endpoint] {
 					w.router.Done(w.router.table.byName[step.Endpoint], ticket)
 				}
-				w.held[step.Endpoint] = nil
+				w.inFlight[step.Endpoint] = nil
 			case "fail":
 				for range max(step.Times, 1) {
 					w.router.Table().Fail(w.now, w.random, w.router.table.byName[step.Endpoint])
@@ -74,7 +76,7 @@
 	})
 }
 
-func (w *routeWorld) offer(step int, class string, times int, want string, among []string, most int) {
+func (w *routeRunner) offer(step int, class string, times int, want string, among []string, most int) {
 	w.t.Helper()
 	declared := 10 * time.Millisecond
 	if class == "long" {
@@ -92,7 +94,7 @@
 		}
 		name := d.Endpoint.Name()
 		got[name]++
-		w.held[name] = append(w.held[name], ticket)
+		w.inFlight[name] = append(w.inFlight[name], ticket)
 		if among != nil && !slices.Contains(among, name) {
 			w.t.Errorf("step %d: got endpoint %s, want one of %v", step, name, among)
 		}
--- a/pkg/endpoint/script_test.go
+++ b/pkg/endpoint/script_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// span is a time.Duration written as "3m".
-type span time.Duration
+// jsonDuration is a time.Duration that is written like "3m" in a script.
+type jsonDuration time.Duration
 
-func (s *span) UnmarshalText(text []byte) error {
+func (s *jsonDuration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*s = span(d)
+	*s = jsonDuration(d)
 	return err
 }
--- a/pkg/endpoint/spill.go
+++ b/pkg/endpoint/spill.go
@@ -6,89 +6,91 @@
 )
 
 const (
-	// spillMargin is how many times the link's cost the saved wait must be.
-	spillMargin = 2
-	// sumStaleAfter is how long a data centre's sum is believed.
-	sumStaleAfter = 3 * time.Second
+	// minSavedRoundTrips is how many times the round trip to another data centre
+	// the wait here must be for a request to be sent there.
+	minSavedRoundTrips = 2
+	// loadStaleAfter is how long a data centre's reported load is used.
+	loadStaleAfter = 3 * time.Second
 )
 
-// Sum is what is known of a service in another data centre.
+// Sum is the load of a service in another data centre.
 type Sum struct {
 	DataCentre string
-	// Slots counts the slots of the endpoints that take requests.
+	// Slots is the number of slots of the endpoints that take requests.
 	Slots int
-	// InFlight counts the requests that run or wait there.
+	// InFlight is the number of requests that run or wait there.
 	InFlight int
-	// Entries is the number of entries that may send there.
+	// Entries is the number of entries that may send requests there. An entry is
+	// a process that accepts requests from callers.
 	Entries int
-	// RoundTrip is the time to there and back.
+	// RoundTrip is the network round-trip time.
 	RoundTrip time.Duration
 }
 
-// Neighbours holds the sums of one service in other data centres. The zero
-// value is empty.
+// Neighbours holds the load of one service in other data centres. The zero value
+// is empty.
 type Neighbours struct {
-	sums []neighbour
+	dataCentres []remoteDataCentre
 }
 
-type neighbour struct {
-	sum   Sum
-	heard time.Time
-	// sent counts this process's own requests in flight there, and counted
-	// those among them that the report knew of.
-	sent, counted int
+type remoteDataCentre struct {
+	load         Sum
+	lastReportAt time.Time
+	// ownInFlight is the number of this process's own requests in flight there,
+	// and ownReported that of those which the reported load includes.
+	ownInFlight, ownReported int
 }
 
-// Observe takes in a sum that replaces the data centre's earlier one.
-func (n *Neighbours) Observe(now time.Time, s Sum) {
-	for i := range n.sums {
-		if n.sums[i].sum.DataCentre == s.DataCentre {
-			sent := n.sums[i].sent
-			n.sums[i] = neighbour{sum: s, heard: now, sent: sent, counted: sent}
+// Observe replaces the load of a data centre.
+func (n *Neighbours) Observe(now time.Time, load Sum) {
+	for i := range n.dataCentres {
+		if n.dataCentres[i].load.DataCentre == load.DataCentre {
+			ownInFlight := n.dataCentres[i].ownInFlight
+			n.dataCentres[i] = remoteDataCentre{load: load, lastReportAt: now, ownInFlight: ownInFlight, ownReported: ownInFlight}
 			return
 		}
 	}
-	n.sums = append(n.sums, neighbour{sum: s, heard: now})
+	n.dataCentres = append(n.dataCentres, remoteDataCentre{load: load, lastReportAt: now})
 }
 
-// Spill returns the data centre that a request should go to instead of
-// waiting here, and the reason. It does so only if the wait saved outweighs
-// the link by a margin. Each process takes no more than its part of the free
-// slots at a time, so that entries do not crowd into one place. The caller must
-// call Done when the request has ended.
+// Spill returns the data centre to which a request should be sent instead of
+// waiting here, or "", and the reason. The wait saved must exceed the cost of
+// the link by a margin. Each process uses no more than its part of the free
+// slots at a time, so that the entries do not overload one data centre together.
+// The caller must call Done when the request has ended.
 func (n *Neighbours) Spill(now time.Time, random *rand.Rand, wait time.Duration) (dataCentre, reason string) {
 	free := 0
-	for i := range n.sums {
-		free += n.sums[i].free(now, wait)
+	for i := range n.dataCentres {
+		free += n.dataCentres[i].sendable(now, wait)
 	}
 	if free == 0 {
-		return "", "no data centre saves more than the link costs"
+		return "", "no other data centre saves more waiting time than the link costs"
 	}
 	at := random.IntN(free)
-	for i := range n.sums {
-		s := &n.sums[i]
-		if at -= s.free(now, wait); at < 0 {
-			s.sent++
-			return s.sum.DataCentre, "the wait saved outweighs the link"
+	for i := range n.dataCentres {
+		d := &n.dataCentres[i]
+		if at -= d.sendable(now, wait); at < 0 {
+			d.ownInFlight++
+			return d.load.DataCentre, "the waiting time saved exceeds the cost of the link"
 		}
 	}
 	return "", ""
 }
 
-// Done notes that a request sent to a data centre has ended.
+// Done records that a request sent to a data centre has ended.
 func (n *Neighbours) Done(dataCentre string) {
-	for i := range n.sums {
-		if n.sums[i].sum.DataCentre == dataCentre {
-			n.sums[i].sent--
+	for i := range n.dataCentres {
+		if n.dataCentres[i].load.DataCentre == dataCentre {
+			n.dataCentres[i].ownInFlight--
 		}
 	}
 }
 
-// free returns how many more requests may be sent there now.
-func (s *neighbour) free(now time.Time, wait time.Duration) int {
-	if now.Sub(s.heard) > sumStaleAfter || wait < spillMargin*s.sum.RoundTrip {
+// sendable returns how many more requests may be sent there now.
+func (d *remoteDataCentre) sendable(now time.Time, wait time.Duration) int {
+	if now.Sub(d.lastReportAt) > loadStaleAfter || wait < minSavedRoundTrips*d.load.RoundTrip {
 		return 0
 	}
-	part := (s.sum.Slots - s.sum.InFlight) / max(s.sum.Entries, 1)
-	return max(0, part-max(0, s.sent-s.counted))
+	part := (d.load.Slots - d.load.InFlight) / max(d.load.Entries, 1)
+	return max(0, part-max(0, d.ownInFlight-d.ownReported))
 }
--- a/pkg/endpoint/spill_test.go
+++ b/pkg/endpoint/spill_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSpillTakesItsPartOfFreeSlots(t *testing.T) {
+func TestSpillUsesItsPartOfFreeSlots(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.UnixMilli(1_000_000)
 	sum := Sum{DataCentre: "dc-2", Slots: 88, InFlight: 64, Entries: 4, RoundTrip: 10 * time.Millisecond}
@@ -17,10 +17,10 @@
 		done  int
 		want  int
 	}{
-		{"the wait does not outweigh the link", 19 * time.Millisecond, 0, 0, 0},
+		{"the wait is shorter than two round trips", 19 * time.Millisecond, 0, 0, 0},
 		{"a quarter of 24 free slots", 20 * time.Millisecond, 0, 0, 6},
-		{"ended ones make room", 20 * time.Millisecond, 0, 3, 9},
-		{"an old report is not believed", 20 * time.Millisecond, 4 * time.Second, 0, 0},
+		{"ended requests free their slots", 20 * time.Millisecond, 0, 3, 9},
+		{"a stale load is not used", 20 * time.Millisecond, 4 * time.Second, 0, 0},
 	} {
 		var n Neighbours
 		n.Observe(now, sum)
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestSpillCountsReportedOnce checks that a request that a newer report knows
-// of takes no second slot of this process's part.
-func TestSpillCountsReportedOnce(t *testing.T) {
+// TestSpillCountsReportedRequestsOnce checks that a request that the reported
+// load already includes does not use a second slot of this process's part.
+func TestSpillCountsReportedRequestsOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.UnixMilli(1_000_000)
 	var n Neighbours
--- a/pkg/endpoint/table.go
+++ b/pkg/endpoint/table.go
@@ -1,5 +1,13 @@
-// Package endpoint decides which endpoint gets a request and when, and
-// remembers what became of requests that were sent.
+// Package endpoint decides which endpoint a request is sent to and when, and
+// keeps the state of request attempts.
+//
+// An entry, the process that accepts requests from callers, chooses among the
+// endpoints of a service and queues or refuses what they cannot take. An agent
+// beside each endpoint admits requests to its slots and recognises repeated
+// attempts.
+//
+// Requests belong to classes. The work of a class is long if its mean service
+// time is several times that of the shortest class, and short otherwise.
 package endpoint
 
 import (
@@ -9,77 +17,83 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors returned when an endpoint is chosen.
+// Errors returned by the choice of an endpoint.
 var (
 	// ErrNone means that no endpoint takes requests.
 	ErrNone = errors.New("no endpoint takes requests")
-	// ErrBusy means that all endpoints have as much as they can work on.
+	// ErrBusy means that all endpoints have as many requests as they may.
 	ErrBusy = errors.New("all endpoints are busy")
 )
 
-// Load is what an endpoint has to do.
+// Load is the number of requests at an endpoint.
 type Load struct {
 	// InFlight is the number of requests that run or wait there.
 	InFlight int
-	// Long is how many of them are long work.
+	// Long is how many of these are long work.
 	Long int
 	// Reserved is the number of slots that long work may not use.
 	Reserved int
 }
 
-// Report is what an agent says about its endpoint.
+// Report is an agent's report on its endpoint.
 type Report struct {
 	// Name identifies the endpoint across restarts of its agent.
 	Name       string
 	DataCentre string
 	Service    string
-	// Address is where the agent takes requests.
+	// Address is where the agent accepts requests.
 	Address string
-	// Incarnation grows with each start of the agent.
+	// Incarnation increases with each start of the agent.
 	Incarnation uint64
-	// Mark grows with each report; see Book.
+	// Mark increases with each report of an incarnation. Attempts carry the
+	// newest one, so that the agent can tell whether it may have forgotten them.
 	Mark    uint64
 	Slots   int
 	Load    Load
 	Leaving bool
 }
 
-// Times of the table.
+// Durations used by the table.
 const (
-	// StaleAfter is how long an endpoint without a report is still chosen.
+	// StaleAfter is how long an endpoint is used after its last report.
 	StaleAfter = 5 * time.Second
-	// slowStart is how long a restarted endpoint takes to its full share.
-	slowStart = 3 * time.Second
-	// settleTime is how long all endpoints of a new table count as started.
-	settleTime = 2 * time.Second
+	// slowStartDuration is how long a restarted endpoint takes to reach its full
+	// share.
+	slowStartDuration = 3 * time.Second
+	// initialWarmPeriod is how long new endpoints of a new table are used without
+	// a slow start.
+	initialWarmPeriod = 2 * time.Second
 )
 
-// Endpoint is a table's view of one endpoint.
+// Endpoint is what a table knows of one endpoint.
 type Endpoint struct {
-	report Report
-	heard  time.Time
-	// sent counts this process's own requests in flight there.
-	sent, sentLong int
-	// others counts other processes' requests, as of the newest word.
-	others, othersLong int
-	// limit adapts to refusals; 0 means the most.
-	limit float64
-	// slowness is how many times longer than elsewhere requests take; 0 means 1.
-	slowness   float64
-	slownessAt time.Time
-	// started is when a cold endpoint began to be loaded.
-	started time.Time
-	cold    bool
-	health  health
+	report       Report
+	lastReportAt time.Time
+	// ownInFlight is the number of this process's own requests in flight there.
+	ownInFlight, ownLong int
+	// otherInFlight is the number of other processes' requests as of the newest
+	// report or response.
+	otherInFlight, otherLong int
+	// inFlightLimit is lowered by refusals; 0 means that only the slots limit the
+	// requests in flight.
+	inFlightLimit float64
+	// slowness is the endpoint's service time as a multiple of that elsewhere; 0
+	// means 1.
+	slowness          float64
+	slownessUpdatedAt time.Time
+	// slowStartBegan is when the slow start of a cold endpoint began.
+	slowStartBegan time.Time
+	cold           bool
+	health         health
 }
 
 // Name returns the endpoint's name.
 func (e *Endpoint) Name() string { return e.report.Name }
 
-// Address returns where the agent takes requests.
+// Address returns where the agent accepts requests.
 func (e *Endpoint) Address() string { return e.report.Address }
 
-// DataCentre returns where the endpoint is.
+// DataCentre returns the endpoint's data centre.
 func (e *Endpoint) DataCentre() string { return e.report.DataCentre }
 
 // Incarnation returns the agent's incarnation.
@@ -88,29 +102,29 @@
 // Mark returns the mark of the newest report.
 func (e *Endpoint) Mark() uint64 { return e.report.Mark }
 
-// InFlight returns the number of requests believed to be in flight there.
-func (e *Endpoint) InFlight() int { return e.sent + e.others }
+// InFlight returns the estimated number of requests in flight there.
+func (e *Endpoint) InFlight() int { return e.ownInFlight + e.otherInFlight }
 
-// Slots returns the number of requests that the endpoint works on at once.
+// Slots returns the number of requests that the endpoint processes at once.
 func (e *Endpoint) Slots() int { return e.report.Slots }
 
-// Leaving reports whether the endpoint takes no new work.
+// Leaving reports whether the endpoint takes no new requests.
 func (e *Endpoint) Leaving() bool { return e.report.Leaving }
 
 // Table holds the endpoints of one service. The zero value is empty. It is
 // not safe for concurrent use.
 type Table struct {
-	byName map[string]*Endpoint
-	list   []*Endpoint
-	born   time.Time
+	byName    map[string]*Endpoint
+	list      []*Endpoint
+	createdAt time.Time
 }
 
-// Observe takes in a report received at now. Reports of older incarnations
-// and reports that were overtaken by newer ones are dropped.
+// Observe records a report received at now. Reports of older incarnations, and
+// reports overtaken by newer ones, are dropped.
 func (t *Table) Observe(now time.Time, r Report) {
 	if t.byName == nil {
 		t.byName = make(map[string]*Endpoint)
-		t.born = now
+		t.createdAt = now
 	}
 	e, ok := t.byName[r.Name]
 	if !ok {
@@ -123,40 +137,41 @@
 		return
 	}
 	if !ok || r.Incarnation > old.Incarnation {
-		e.restart(now, now.Sub(t.born) > settleTime)
+		e.resetStats(now, now.Sub(t.createdAt) > initialWarmPeriod)
 	}
 	leaving := r.Leaving || ok && r.Incarnation == old.Incarnation && old.Leaving
 	e.report = r
 	e.report.Leaving = leaving
-	e.heard = now
-	e.note(r.Load)
+	e.lastReportAt = now
+	e.updateLoad(r.Load)
 }
 
-// restart forgets what was learned of an earlier incarnation.
-func (e *Endpoint) restart(now time.Time, cold bool) {
-	e.limit = 0
+// resetStats drops what was learned of an earlier incarnation.
+func (e *Endpoint) resetStats(now time.Time, cold bool) {
+	e.inFlightLimit = 0
 	e.slowness = 0
 	e.health = health{}
-	e.started = now
+	e.slowStartBegan = now
 	e.cold = cold
 }
 
-// Note takes in the load that an answer carried, the answered request not
-// counted. The request must still be counted as sent.
+// Note records the load that a response carried; that load does not include the
+// answered request, which must still be counted as in flight.
 func (t *Table) Note(e *Endpoint, load Load) {
-	e.sent--
-	e.note(load)
-	e.sent++
+	e.ownInFlight--
+	e.updateLoad(load)
+	e.ownInFlight++
 }
 
-// note works out what the others have in flight.
-func (e *Endpoint) note(load Load) {
-	e.others = max(0, load.InFlight-e.sent)
-	e.othersLong = max(0, load.Long-e.sentLong)
+// updateLoad computes how many requests of other processes are in flight.
+func (e *Endpoint) updateLoad(load Load) {
+	e.otherInFlight = max(0, load.InFlight-e.ownInFlight)
+	e.otherLong = max(0, load.Long-e.ownLong)
 	e.report.Load = load
 }
 
-// SetLeaving notes that the endpoint has refused a request because it leaves.
+// SetLeaving records that the endpoint refused a request because it takes no new
+// ones.
 func (t *Table) SetLeaving(e *Endpoint) { e.report.Leaving = true }
 
 // Each calls fn for every endpoint.
@@ -169,12 +184,12 @@
 // Len returns the number of endpoints.
 func (t *Table) Len() int { return len(t.list) }
 
-// Forget removes endpoints that were not heard of for a long time and have
-// none of this process's requests.
+// Forget removes endpoints without a report for a long time that have none of
+// this process's requests.
 func (t *Table) Forget(now time.Time) {
 	kept := t.list[:0]
 	for _, e := range t.list {
-		if now.Sub(e.heard) > forgetAfter && e.sent == 0 {
+		if now.Sub(e.lastReportAt) > pruneAfter && e.ownInFlight == 0 {
 			delete(t.byName, e.report.Name)
 			continue
 		}
@@ -184,27 +199,28 @@
 	t.list = kept
 }
 
-// forgetAfter is how long a silent endpoint stays in the table.
-const forgetAfter = 10 * time.Minute
+// pruneAfter is how long after its last report an endpoint stays in the table.
+const pruneAfter = 10 * time.Minute
 
 // Choose returns the endpoint for a ticket and the reason; skip names an
-// endpoint to avoid, or "". The caller must call Done on what it gets.
+// endpoint to avoid, or is "". The caller must call Done when the request has
+// ended.
 func (t *Table) Choose(now time.Time, random *rand.Rand, ticket *Ticket, skip string) (*Endpoint, string, error) {
 	e, reason, err := t.pick(now, random, ticket, skip)
 	if err != nil {
 		return nil, reason, err
 	}
-	e.sent++
+	e.ownInFlight++
 	if ticket.long {
-		e.sentLong++
+		e.ownLong++
 	}
 	return e, reason, nil
 }
 
-// Done notes that a request sent to e has ended.
+// Done records that a request sent to e has ended.
 func (t *Table) Done(e *Endpoint, ticket *Ticket) {
-	e.sent--
+	e.ownInFlight--
 	if ticket.long {
-		e.sentLong--
+		e.ownLong--
 	}
 }
