--- a/pkg/job/ended.go
+++ b/pkg/job/ended.go
@@ -2,40 +2,40 @@
 
 import "savoryhoist.example/savoryhoist/pkg/record"
 
-// endQueue lists ended jobs in the order in which they ended. Jobs that have
-// been forgotten since stay listed until they come to the front.
-type endQueue []endedJob
+// endedJobs lists ended jobs in the order in which they ended. A job that is
+// dropped by a Forget record stays listed until it reaches the front.
+type endedJobs []endedJob
 
 type endedJob struct {
-	id string
-	at record.Position
+	id       string
+	position record.Position
 }
 
-func (f *Fold) pushEnded(j *Job) {
-	f.ended = append(f.ended, endedJob{id: j.spec.ID, at: j.ended})
+func (sm *Fold) addEnded(j *Job) {
+	sm.ended = append(sm.ended, endedJob{id: j.spec.ID, position: j.ended})
 }
 
-// kept reports whether a listed job is still known.
-func (f *Fold) kept(e endedJob) bool {
-	j, ok := f.jobs[e.id]
-	return ok && j.ended == e.at
+// stillKnown reports whether the state still contains a listed job.
+func (sm *Fold) stillKnown(e endedJob) bool {
+	j, ok := sm.jobs[e.id]
+	return ok && j.ended == e.position
 }
 
-func (f *Fold) trimEnded() {
-	for len(f.ended) > 0 && !f.kept(f.ended[0]) {
-		f.ended = f.ended[1:]
+func (sm *Fold) trimEnded() {
+	for len(sm.ended) > 0 && !sm.stillKnown(sm.ended[0]) {
+		sm.ended = sm.ended[1:]
 	}
 }
 
-// EndedBefore returns up to most jobs that ended before beforeMS, in Unix
-// milliseconds, oldest first. They can be forgotten.
-func (f *Fold) EndedBefore(beforeMS int64, most int) []string {
+// EndedBefore returns the ids of up to limit jobs that ended before beforeMS, in
+// Unix milliseconds, oldest first. These jobs can be dropped by a Forget record.
+func (sm *Fold) EndedBefore(beforeMS int64, limit int) []string {
 	var out []string
-	for _, e := range f.ended {
-		if !f.kept(e) {
+	for _, e := range sm.ended {
+		if !sm.stillKnown(e) {
 			continue
 		}
-		if len(out) == most || f.jobs[e.id].EndedMS() >= beforeMS {
+		if len(out) == limit || sm.jobs[e.id].EndedMS() >= beforeMS {
 			break
 		}
 		out = append(out, e.id)
--- a/pkg/job/failover.go
+++ b/pkg/job/failover.go
@@ -9,112 +9,119 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// movesPerDecision is the most jobs that one decision moves.
-const movesPerDecision = 512
+// maxMovesPerDecision limits the number of jobs that one decision moves.
+const maxMovesPerDecision = 512
 
-// finishMoveWithin is how long after a move its submission may be appended. It
-// is shorter than the time for which ended jobs are kept.
-const finishMoveWithin = 30 * time.Minute
+// resubmitWithin is how long after a Move record its Submit record may still be
+// appended to the other stream. It is shorter than the time for which ended jobs
+// are kept, so the other stream still knows whether it has received the job.
+const resubmitWithin = 30 * time.Minute
 
-// Failover decides how the open jobs of a lost data centre go on in another
-// one: their tasks are revoked, released after the takeover time, and the jobs
-// moved. The zero value is ready for use.
+// Failover decides how the open jobs of a lost data centre continue in another
+// one: their tasks are revoked, then released after the takeover time, and then
+// the jobs are moved. The zero value is ready for use.
 type Failover struct {
-	taker Taker
-	// queued is when a record about a job was returned last.
-	queued map[string]time.Time
+	reclaimer Taker
+	// lastQueued maps a job id to when a record about the job was last returned.
+	lastQueued map[string]time.Time
 }
 
-// FailoverFaults are deviations that a check of the protocol must find.
+// FailoverFaults are protocol violations that a test or the schedule explorer
+// must detect.
 type FailoverFaults struct {
-	// NoWait releases revoked tasks at once.
+	// NoWait releases revoked tasks without waiting for the takeover time.
 	NoWait bool
 }
 
-// SetFaults makes the failover deviate, to prove that a check finds it.
+// SetFaults makes the failover violate its protocol, to prove that a check
+// detects the violation.
 func (o *Failover) SetFaults(f FailoverFaults) {
 	if f.NoWait {
-		o.taker.SetRules(TakerRules{TakeoverAt: func(_ lease.Terms, _, seen time.Time) time.Time { return seen }})
+		o.reclaimer.SetRules(TakerRules{TakeoverAt: func(_ lease.Terms, _, seen time.Time) time.Time { return seen }})
 	}
 }
 
-// Decide returns the records that the lost data centre's stream needs, and
-// those that the stream of home needs. Jobs for which heir does not return
-// home are left to others.
-func (o *Failover) Decide(now time.Time, lost, own *Fold, home string, heir func(job string) string) (there []record.Message, here []*record.Submit) {
-	if o.queued == nil {
-		o.queued = make(map[string]time.Time)
+// Decide returns the records to append to the stream of the lost data centre
+// and those to append to the stream of the local one. The states of the two
+// streams are lost and own; home is the local data centre. Jobs whose failover
+// target is another data centre are left to that one.
+func (o *Failover) Decide(now time.Time, lost, own *Fold, home string, target func(job string) string) (lostRecords []record.Message, submits []*record.Submit) {
+	if o.lastQueued == nil {
+		o.lastQueued = make(map[string]time.Time)
 	}
-	for _, worker := range o.taker.Suspects(now, lost) {
-		o.taker.Confirm(now, worker)
+	for _, worker := range o.reclaimer.Suspects(now, lost) {
+		o.reclaimer.Confirm(now, worker)
 	}
-	there = o.taker.Decide(now, lost)
+	lostRecords = o.reclaimer.Decide(now, lost)
 	lost.Each(func(j *Job) bool {
-		if m := o.move(now, j, home, heir); m != nil {
-			there = append(there, m)
+		if m := o.move(now, j, home, target); m != nil {
+			lostRecords = append(lostRecords, m)
 		}
 		if m := o.resubmit(now, j, own, home); m != nil {
-			here = append(here, m)
+			submits = append(submits, m)
 		}
-		return len(there)+len(here) < movesPerDecision
+		return len(lostRecords)+len(submits) < maxMovesPerDecision
 	})
-	for id, at := range o.queued {
-		if now.Sub(at) >= claimFor {
-			delete(o.queued, id)
+	for id, at := range o.lastQueued {
+		if now.Sub(at) >= requeueAfter {
+			delete(o.lastQueued, id)
 		}
 	}
-	slices.SortFunc(here, func(a, b *record.Submit) int { return cmp.Compare(a.Spec.SubmittedAt, b.Spec.SubmittedAt) })
-	return there, here
+	slices.SortFunc(submits, func(a, b *record.Submit) int { return cmp.Compare(a.Spec.SubmittedAt, b.Spec.SubmittedAt) })
+	return lostRecords, submits
 }
 
-func (o *Failover) move(now time.Time, j *Job, home string, heir func(string) string) record.Message {
-	if j.Ended() || j.cancelled || j.held() || heir(j.spec.ID) != home || !o.take(now, j) {
+func (o *Failover) move(now time.Time, j *Job, home string, target func(string) string) record.Message {
+	if j.Ended() || j.cancelled || j.hasActiveTask() || target(j.spec.ID) != home || !o.allowQueue(now, j) {
 		return nil
 	}
 	return &record.Move{Job: j.spec.ID, To: home, AtMS: now.UnixMilli()}
 }
 
-// resubmit finishes a move whose submission is not in the stream of home yet.
+// resubmit completes a move whose Submit record is not yet in the local stream.
 func (o *Failover) resubmit(now time.Time, j *Job, own *Fold, home string) *record.Submit {
-	if !unfinished(now, j, own, home) || !o.take(now, j) {
+	if !needsResubmission(now, j, own, home) || !o.allowQueue(now, j) {
 		return nil
 	}
 	return Resubmission(j)
 }
 
-func (o *Failover) take(now time.Time, j *Job) bool {
-	if at, ok := o.queued[j.spec.ID]; ok && now.Sub(at) < claimFor {
+func (o *Failover) allowQueue(now time.Time, j *Job) bool {
+	if at, ok := o.lastQueued[j.spec.ID]; ok && now.Sub(at) < requeueAfter {
 		return false
 	}
-	o.queued[j.spec.ID] = now
+	o.lastQueued[j.spec.ID] = now
 	return true
 }
 
-// Pending reports whether a job of lost still has to go on in home.
+// Pending reports whether a job that was moved to the data centre home still has
+// to be submitted there.
 func (o *Failover) Pending(now time.Time, lost, own *Fold, home string) bool {
 	pending := false
 	lost.Each(func(j *Job) bool {
-		pending = unfinished(now, j, own, home)
+		pending = needsResubmission(now, j, own, home)
 		return !pending
 	})
 	return pending
 }
 
-// unfinished reports whether a job was moved to home and is not known there. A
-// move is finished soon or not at all, so that a job which home has forgotten
-// since does not come back.
-func unfinished(now time.Time, j *Job, own *Fold, home string) bool {
-	if j.MovedTo() != home || now.Sub(time.UnixMilli(j.endedMS)) > finishMoveWithin {
+// needsResubmission reports whether a job was moved to home and is not known
+// there. A move that is not completed within resubmitWithin is abandoned: home
+// may have received the job, run it and dropped it since, and must not run it
+// again.
+func needsResubmission(now time.Time, j *Job, own *Fold, home string) bool {
+	if j.MovedTo() != home || now.Sub(time.UnixMilli(j.endedMS)) > resubmitWithin {
 		return false
 	}
 	known, ok := own.Job(j.spec.ID)
-	return !ok || known.hops <= j.hops
+	return !ok || known.moves <= j.moves
 }
 
-// Resubmission returns the submission by which a moved job goes on in another stream.
+// Resubmission returns the Submit record with which a moved job continues in
+// another stream.
 func Resubmission(j *Job) *record.Submit {
 	m := &record.Submit{
-		Spec: j.spec, Hops: j.hops + 1,
+		Spec: j.spec, Hops: j.moves + 1,
 		Checkpoints: make(map[uint32]string), Ended: make(map[uint32]record.Outcome),
 	}
 	for i := range j.tasks {
@@ -133,8 +140,8 @@
 	return m
 }
 
-// held reports whether a worker may run one of the job's tasks.
-func (j *Job) held() bool {
+// hasActiveTask reports whether a worker may still run one of the job's tasks.
+func (j *Job) hasActiveTask() bool {
 	for i := range j.tasks {
 		if j.tasks[i].phase.Held() {
 			return true
--- a/pkg/job/failover_test.go
+++ b/pkg/job/failover_test.go
@@ -8,17 +8,18 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// streams are the folds of a lost data centre and of its heir.
+// streams holds the states of the streams of a lost data centre and of its
+// failover target, dc-1.
 type streams struct {
 	lost, own Fold
 	offsets   [2]uint64
-	// releasedAfter is the time from each revocation to its release.
+	// releasedAfter is the time from the newest revocation to its release.
 	revokedAt     time.Time
 	releasedAfter time.Duration
 }
 
-func (s *streams) apply(now time.Time, there []record.Message, here []*record.Submit) {
-	for _, m := range there {
+func (s *streams) apply(now time.Time, lostRecords []record.Message, submits []*record.Submit) {
+	for _, m := range lostRecords {
 		switch m.(type) {
 		case *record.Revoke:
 			s.revokedAt = now
@@ -28,7 +29,7 @@
 		_ = s.lost.Apply(record.New(record.At(s.offsets[0], 0), "heir", s.offsets[0]+1, m))
 		s.offsets[0]++
 	}
-	for _, m := range here {
+	for _, m := range submits {
 		_ = s.own.Apply(record.New(record.At(s.offsets[1], 0), "heir", s.offsets[1]+1, m))
 		s.offsets[1]++
 	}
@@ -36,31 +37,32 @@
 
 const failoverTakeover = 5 * time.Second
 
-// lostStreams returns a lost stream with open jobs, the first two tasks of
-// which run on a worker; the second job's first task has succeeded.
+// lostStreams returns streams of which the lost one has open jobs with two tasks
+// each. The first tasks of job-0 and job-1 were assigned to a worker; that of
+// job-1 has succeeded.
 func lostStreams(jobs int) *streams {
 	s := new(streams)
-	var there []record.Message
+	var lostRecords []record.Message
 	for i := range jobs {
-		there = append(there, &record.Submit{Spec: record.Spec{
+		lostRecords = append(lostRecords, &record.Submit{Spec: record.Spec{
 			ID: fmt.Sprintf("job-%d", i), Team: "clinics", Tasks: 2, MaxFailures: 3, TakeoverMS: failoverTakeover.Milliseconds(),
 		}})
 	}
 	for i := range 2 {
 		task := record.TaskID{Job: fmt.Sprintf("job-%d", i)}
-		there = append(there, &record.Assign{Placements: []record.Placement{{Task: task, Worker: "worker-9"}}})
+		lostRecords = append(lostRecords, &record.Assign{Placements: []record.Placement{{Task: task, Worker: "worker-9"}}})
 	}
-	s.apply(time.Time{}, there, nil)
+	s.apply(time.Time{}, lostRecords, nil)
 	j, _ := s.lost.Job("job-1")
-	hold := record.Hold{Task: record.TaskID{Job: "job-1"}, Epoch: j.Task(0).Epoch()}
-	s.apply(time.Time{}, []record.Message{&record.Finished{Hold: hold, Outcome: record.OutcomeSucceeded}}, nil)
+	assignment := record.Hold{Task: record.TaskID{Job: "job-1"}, Epoch: j.Task(0).Epoch()}
+	s.apply(time.Time{}, []record.Message{&record.Finished{Hold: assignment, Outcome: record.OutcomeSucceeded}}, nil)
 	return s
 }
 
-func drive(s *streams, o *Failover, start time.Time, span time.Duration, heir func(string) string) {
+func drive(s *streams, o *Failover, start time.Time, span time.Duration, target func(string) string) {
 	for now := start; now.Sub(start) < span; now = now.Add(500 * time.Millisecond) {
-		there, here := o.Decide(now, &s.lost, &s.own, "dc-1", heir)
-		s.apply(now, there, here)
+		lostRecords, submits := o.Decide(now, &s.lost, &s.own, "dc-1", target)
+		s.apply(now, lostRecords, submits)
 	}
 }
 
@@ -85,7 +87,7 @@
 	}
 }
 
-func TestFailoverWithoutWaitIsFound(t *testing.T) {
+func TestFailoverWithoutWaitIsDetected(t *testing.T) {
 	s := lostStreams(2)
 	o := new(Failover)
 	o.SetFaults(FailoverFaults{NoWait: true})
@@ -95,7 +97,7 @@
 	}
 }
 
-func TestFailoverLeavesOthersJobs(t *testing.T) {
+func TestFailoverLeavesJobsOfOtherTargets(t *testing.T) {
 	s := lostStreams(4)
 	drive(s, new(Failover), time.UnixMilli(1_000_000), 30*time.Second, func(id string) string {
 		if id == "job-2" {
@@ -108,8 +110,10 @@
 	}
 }
 
-// TestFailoverFinishesMoves covers an heir that dies between a move and its
-// submission, and a move so old that the job may have been forgotten since.
+// TestFailoverFinishesMoves covers an entry that dies after it has appended a Move
+// record and before the Submit record: the submission is made up for. A move older
+// than resubmitWithin is left alone, since the target may have received the job
+// and dropped it since.
 func TestFailoverFinishesMoves(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -117,7 +121,7 @@
 		want  int
 	}{
 		{"soon", time.Minute, 1},
-		{"late", finishMoveWithin + time.Minute, 0},
+		{"late", resubmitWithin + time.Minute, 0},
 	} {
 		s := lostStreams(3)
 		start := time.UnixMilli(1_000_000)
--- /dev/null
+++ b/pkg/job/heartbeat.go
@@ -0,0 +1,202 @@
+package job
+
+import (
+	"slices"
+	"time"
+
+	"savoryhoist.example/savoryhoist/pkg/lease"
+	"savoryhoist.example/savoryhoist/pkg/record"
+)
+
+// forgetSilentAfter is how long the state of a silent agent or worker is kept.
+const forgetSilentAfter = 10 * time.Minute
+
+// Beat is the part of an agent's heartbeat that concerns its worker's tasks.
+type Beat struct {
+	Worker string
+	// Incarnation is higher for an agent that has replaced another one.
+	Incarnation uint64
+	// Round numbers the agent's heartbeats.
+	Round uint64
+	// Ready means that the agent can start tasks.
+	Ready bool
+	// Primary asks this entry to queue the records that the reports call for.
+	Primary bool
+	Reports []lease.Report
+}
+
+// Relay decides at an entry (a process that accepts and schedules work) what an
+// agent is told about the log in reply to its heartbeat, and which records its
+// reports call for. The zero value has not read the log.
+type Relay struct {
+	// lastReadBegan is when the newest read of the log that was applied in full began.
+	lastReadBegan time.Time
+	agents        map[string]*agentState
+	requeue       requeueLimiter
+	prunedAt      time.Time
+	rules         RelayRules
+}
+
+// RelayRules are the rules on which the safety of these decisions depends. A nil field
+// stands for the rule of the protocol. The schedule explorer replaces a rule to
+// prove that it detects the resulting failure.
+type RelayRules struct {
+	// Heard returns the agent's newest round whose heartbeat was received before
+	// a read of the log that began at the given time.
+	Heard func(h *lease.Heard, began time.Time) uint64
+}
+
+func (r *RelayRules) heartbeatRound(h *lease.Heard, began time.Time) uint64 {
+	if r.Heard != nil {
+		return r.Heard(h, began)
+	}
+	return h.Before(began)
+}
+
+// SetRules replaces rules of the protocol, for the schedule explorer.
+func (r *Relay) SetRules(rules RelayRules) { r.rules = rules }
+
+// agentState is what is known of the agent of one worker.
+type agentState struct {
+	incarnation   uint64
+	heartbeats    lease.Heard
+	lastHeartbeat time.Time
+}
+
+// Read notes that every record that was in the log when a read began has been
+// applied.
+func (r *Relay) Read(began time.Time) { r.lastReadBegan = began }
+
+// Began returns when the newest completed read of the log began, or the zero
+// time before the first.
+func (r *Relay) Began() time.Time { return r.lastReadBegan }
+
+// Answer returns what the log says about the heartbeat's worker, and the records
+// that the heartbeat's reports call for. The reading is empty until the log has
+// been read once, and for a heartbeat of an agent that has been replaced.
+func (r *Relay) Answer(now time.Time, sm *Fold, hb *Beat) (lease.Reading, []record.Message) {
+	a := r.agent(now, hb)
+	if hb.Incarnation < a.incarnation || r.lastReadBegan.IsZero() {
+		return lease.Reading{}, nil
+	}
+	reading := lease.Reading{Heard: r.rules.heartbeatRound(&a.heartbeats, r.lastReadBegan), Next: record.At(sm.Next(), 0)}
+	records := r.checkReports(now, sm, hb, &reading)
+	if hb.Ready {
+		addOrders(sm, hb, &reading)
+	}
+	return reading, records
+}
+
+// agent returns the state of the heartbeat's agent. Incarnations come from a
+// clock. If the clock went back before an agent was replaced, the new agent has
+// the lower incarnation; it is accepted once its predecessor has been silent for
+// longer than LostAfter.
+func (r *Relay) agent(now time.Time, hb *Beat) *agentState {
+	if r.agents == nil {
+		r.agents = make(map[string]*agentState)
+	}
+	r.prune(now)
+	a := r.agents[hb.Worker]
+	if a == nil || hb.Incarnation > a.incarnation || (hb.Incarnation < a.incarnation && now.Sub(a.lastHeartbeat) > LostAfter) {
+		a = &agentState{incarnation: hb.Incarnation}
+		r.agents[hb.Worker] = a
+	}
+	if hb.Incarnation == a.incarnation {
+		a.heartbeats.Note(hb.Round, now)
+		a.lastHeartbeat = now
+	}
+	return a
+}
+
+func (r *Relay) prune(now time.Time) {
+	if now.Sub(r.prunedAt) < forgetSilentAfter {
+		return
+	}
+	r.prunedAt = now
+	for name, a := range r.agents {
+		if now.Sub(a.lastHeartbeat) > forgetSilentAfter {
+			delete(r.agents, name)
+		}
+	}
+}
+
+// checkReports compares the reports with the state of the jobs. It adds to the
+// reading what the agent must stop, and returns the records that the reports
+// call for.
+func (r *Relay) checkReports(now time.Time, sm *Fold, hb *Beat, reading *lease.Reading) []record.Message {
+	var out []record.Message
+	started := new(record.Started)
+	for i := range hb.Reports {
+		report := &hb.Reports[i]
+		if report.Hold.Epoch >= reading.Next {
+			continue
+		}
+		t, ok := sm.Current(hb.Worker, report.Hold)
+		if !ok {
+			reading.Stop = append(reading.Stop, lease.Stop{Hold: report.Hold, Settled: true})
+			continue
+		}
+		if report.State == lease.Runs && t.Phase() == Revoked {
+			reading.Stop = append(reading.Stop, lease.Stop{Hold: report.Hold})
+			continue
+		}
+		m := recordForReport(now, t, report)
+		if m == nil || !hb.Primary || !r.requeue.allow(now, report.Hold, m.Kind()) {
+			continue
+		}
+		if s, ok := m.(*record.Started); ok {
+			started.Holds = append(started.Holds, s.Holds...)
+			continue
+		}
+		out = append(out, m)
+	}
+	if len(started.Holds) > 0 {
+		out = append(out, started)
+	}
+	return out
+}
+
+// recordForReport returns the record that a report calls for, or nil.
+func recordForReport(now time.Time, t *Task, r *lease.Report) record.Message {
+	switch r.State {
+	case lease.Runs:
+		if t.Phase() == Assigned {
+			return &record.Started{Holds: []record.Hold{r.Hold}}
+		}
+		if r.Ref != "" && r.Ref != t.Checkpoint() {
+			return &record.Checkpointed{Hold: r.Hold, Ref: r.Ref}
+		}
+		return nil
+	case lease.Succeeded:
+		return &record.Finished{Hold: r.Hold, Outcome: record.OutcomeSucceeded, Detail: r.Detail, AtMS: now.UnixMilli()}
+	case lease.Failed:
+		return &record.Finished{Hold: r.Hold, Outcome: record.OutcomeFailed, Detail: r.Detail, AtMS: now.UnixMilli()}
+	case lease.Stopped:
+		return &record.Released{Hold: r.Hold, Ref: r.Ref, Reason: r.Detail, AtMS: now.UnixMilli()}
+	}
+	return nil
+}
+
+// addOrders adds orders for the worker's tasks that the heartbeat does not
+// report: to start those assigned to it, and to stop those revoked.
+func addOrders(sm *Fold, hb *Beat, reading *lease.Reading) {
+	reported := make(map[record.Hold]bool, len(hb.Reports))
+	for i := range hb.Reports {
+		reported[hb.Reports[i].Hold] = true
+	}
+	sm.Held(hb.Worker, func(assignment record.Hold, owner *Job, t *Task) {
+		if reported[assignment] {
+			return
+		}
+		if t.Phase() == Revoked {
+			reading.Stop = append(reading.Stop, lease.Stop{Hold: assignment})
+			return
+		}
+		reading.Start = append(reading.Start, lease.Order{
+			Hold: assignment, Spec: *owner.Spec(), Checkpoint: t.Checkpoint(), Started: t.Phase() == Running,
+		})
+	})
+	slices.SortFunc(reading.Start, func(a, b lease.Order) int {
+		return a.Hold.Compare(b.Hold)
+	})
+}
--- a/pkg/job/snapshot.go
+++ b/pkg/job/snapshot.go
@@ -14,15 +14,15 @@
 var (
 	// ErrSnapshot means that a snapshot is incomplete or unreadable.
 	ErrSnapshot = errors.New("the snapshot is incomplete or unreadable")
-	// ErrOldSnapshot means that a snapshot covers less than has been folded.
-	ErrOldSnapshot = errors.New("the snapshot covers less than has been folded")
+	// ErrOldSnapshot means that a snapshot ends before the newest applied record.
+	ErrOldSnapshot = errors.New("the snapshot is older than the state")
 )
 
-// Sizes of a snapshot's parts.
+// Limits on the size of a snapshot's parts.
 const (
-	// minPart is the least size of a part in bytes.
-	minPart = 1 << 10
-	// tasksPerChunk is the most tasks that are encoded as one.
+	// minPartBytes is the lowest size limit for a part.
+	minPartBytes = 1 << 10
+	// tasksPerChunk limits the number of tasks in a jobChunk.
 	tasksPerChunk = 256
 )
 
@@ -32,8 +32,9 @@
 	Chunks  []cbor.RawMessage  `cbor:"2,keyasint,omitempty"`
 }
 
-// jobChunk is a job, or the tasks of a job from First on. Chunks of a job
-// follow each other; the first one carries the job's own state.
+// jobChunk holds up to tasksPerChunk tasks of a job, from index First on. The
+// chunks of a job follow each other; the first one also holds the state of the
+// job itself.
 type jobChunk struct {
 	First     uint32          `cbor:"1,keyasint,omitempty"`
 	Spec      *record.Spec    `cbor:"2,keyasint,omitempty"`
@@ -42,7 +43,7 @@
 	Ended     record.Position `cbor:"5,keyasint,omitempty"`
 	EndedMS   int64           `cbor:"6,keyasint,omitempty"`
 	Tasks     []taskState     `cbor:"7,keyasint"`
-	Hops      uint32          `cbor:"8,keyasint,omitempty"`
+	Moves     uint32          `cbor:"8,keyasint,omitempty"`
 }
 
 type taskState struct {
@@ -57,20 +58,21 @@
 	Detail     string
 }
 
-// Snapshot returns the whole state as records that together cover every batch
-// before Next. A part is at most maxPart bytes, or one chunk of a job. It is
-// the same for the same state and must be taken between two batches.
-func (f *Fold) Snapshot(id string, maxPart int) ([]*record.Snapshot, error) {
-	maxPart = max(maxPart, minPart)
-	parts := []snapshotPart{{Writers: f.copies.Writers()}}
+// Snapshot returns the whole state, which includes all batches applied, as
+// records to append. The chunks in a part take at most maxPartBytes bytes,
+// unless the part has only one chunk. Snapshots of the same state are the same.
+// Snapshot must be called between two batches.
+func (sm *Fold) Snapshot(id string, maxPartBytes int) ([]*record.Snapshot, error) {
+	maxPartBytes = max(maxPartBytes, minPartBytes)
+	parts := []snapshotPart{{Writers: sm.dedup.Writers()}}
 	size := 0
-	for _, j := range f.sorted() {
+	for _, j := range sm.jobsBySubmission() {
 		for _, c := range j.chunks() {
 			data, err := cbor.Marshal(c)
 			if err != nil {
 				return nil, errors.Wrapf(err, "encode job %s", j.spec.ID)
 			}
-			if size > 0 && size+len(data) > maxPart {
+			if size > 0 && size+len(data) > maxPartBytes {
 				parts = append(parts, snapshotPart{})
 				size = 0
 			}
@@ -79,37 +81,37 @@
 			size += len(data)
 		}
 	}
-	return f.encode(id, parts)
+	return sm.encode(id, parts)
 }
 
-func (f *Fold) encode(id string, parts []snapshotPart) ([]*record.Snapshot, error) {
+func (sm *Fold) encode(id string, parts []snapshotPart) ([]*record.Snapshot, error) {
 	out := make([]*record.Snapshot, len(parts))
 	for i := range parts {
 		data, err := cbor.Marshal(&parts[i])
 		if err != nil {
-			return nil, errors.Wrap(err, "encode a snapshot's part")
+			return nil, errors.Wrap(err, "encode snapshot part")
 		}
-		out[i] = &record.Snapshot{ID: id, Part: uint32(i), Parts: uint32(len(parts)), Covers: f.next, State: data}
+		out[i] = &record.Snapshot{ID: id, Part: uint32(i), Parts: uint32(len(parts)), Covers: sm.nextOffset, State: data}
 	}
 	return out, nil
 }
 
-// sorted returns the jobs in order of their submission.
-func (f *Fold) sorted() []*Job {
-	out := make([]*Job, 0, len(f.jobs))
-	for _, j := range f.jobs {
+// jobsBySubmission returns the jobs in the order of their submission.
+func (sm *Fold) jobsBySubmission() []*Job {
+	out := make([]*Job, 0, len(sm.jobs))
+	for _, j := range sm.jobs {
 		out = append(out, j)
 	}
 	slices.SortFunc(out, func(a, b *Job) int {
 		if a.submitted != b.submitted {
-			return compare(a.submitted, b.submitted)
+			return comparePositions(a.submitted, b.submitted)
 		}
 		return strings.Compare(a.spec.ID, b.spec.ID)
 	})
 	return out
 }
 
-func compare(a, b record.Position) int {
+func comparePositions(a, b record.Position) int {
 	if a < b {
 		return -1
 	}
@@ -126,7 +128,7 @@
 		if first == 0 {
 			c.Spec = &j.spec
 			c.Submitted, c.Cancelled, c.Ended, c.EndedMS = j.submitted, j.cancelled, j.ended, j.endedMS
-			c.Hops = j.hops
+			c.Moves = j.moves
 		}
 		for i := first; i < min(first+tasksPerChunk, len(j.tasks)); i++ {
 			c.Tasks = append(c.Tasks, j.tasks[i].state())
@@ -138,133 +140,134 @@
 
 func (t *Task) state() taskState {
 	return taskState{
-		Phase: t.phase, Attempt: t.attempt, Failures: t.failures, Epoch: t.epoch, Revoked: t.revoked,
+		Phase: t.phase, Attempt: t.attempt, Failures: t.failures, Epoch: t.epoch, Revoked: t.revokedAt,
 		Worker: t.worker, Checkpoint: t.checkpoint, Detail: t.detail,
 	}
 }
 
-// Restore replaces the state by that of a whole snapshot; the next record to
-// apply is the first one at Next. The state is unchanged if an error is
-// returned. Changed is called for every task, and for every task of a job that
-// is known no more.
-func (f *Fold) Restore(parts []*record.Snapshot) error {
+// Restore replaces the state by that of a complete snapshot; the next record to
+// apply is then the first one at the snapshot's end offset. If Restore returns an
+// error, the state is unchanged. OnTaskChange is called for every task of the
+// snapshot, and for every task of a job that the snapshot does not contain.
+func (sm *Fold) Restore(parts []*record.Snapshot) error {
 	if len(parts) == 0 {
 		return errors.Wrap(ErrSnapshot, "no parts")
 	}
-	if parts[0].Covers < f.next {
-		return errors.Wrapf(ErrOldSnapshot, "covers %d, folded %d", parts[0].Covers, f.next)
+	if parts[0].Covers < sm.nextOffset {
+		return errors.Wrapf(ErrOldSnapshot, "the snapshot ends at offset %d, the state at offset %d", parts[0].Covers, sm.nextOffset)
 	}
 	var fresh Fold
 	fresh.init()
-	fresh.next = parts[0].Covers
+	fresh.nextOffset = parts[0].Covers
 	for i, p := range parts {
-		if p.ID != parts[0].ID || int(p.Part) != i || int(p.Parts) != len(parts) || p.Covers != fresh.next {
+		if p.ID != parts[0].ID || int(p.Part) != i || int(p.Parts) != len(parts) || p.Covers != fresh.nextOffset {
 			return errors.Wrapf(ErrSnapshot, "part %d of %d", i, len(parts))
 		}
 		if err := fresh.restorePart(p.State); err != nil {
 			return errors.Mark(errors.Wrapf(err, "part %d of %d", i, len(parts)), ErrSnapshot)
 		}
 	}
-	if err := fresh.index(); err != nil {
+	if err := fresh.rebuildIndexes(); err != nil {
 		return err
 	}
-	old := f.jobs
-	fresh.Changed = f.Changed
-	*f = fresh
-	f.announce(old)
+	old := sm.jobs
+	fresh.Changed = sm.Changed
+	*sm = fresh
+	sm.notifyRestored(old)
 	return nil
 }
 
-func (f *Fold) restorePart(state []byte) error {
+func (sm *Fold) restorePart(state []byte) error {
 	var part snapshotPart
 	if err := cbor.Unmarshal(state, &part); err != nil {
 		return err
 	}
 	if len(part.Writers) > 0 {
-		f.copies.Restore(part.Writers)
+		sm.dedup.Restore(part.Writers)
 	}
 	for _, data := range part.Chunks {
 		var c jobChunk
 		if err := cbor.Unmarshal(data, &c); err != nil {
 			return err
 		}
-		if err := f.restoreChunk(&c); err != nil {
+		if err := sm.restoreChunk(&c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fold) restoreChunk(c *jobChunk) error {
+func (sm *Fold) restoreChunk(c *jobChunk) error {
 	if c.Spec != nil {
-		f.restoring = &Job{
+		sm.restoring = &Job{
 			spec: *c.Spec, submitted: c.Submitted, cancelled: c.Cancelled, ended: c.Ended, endedMS: c.EndedMS,
-			hops: c.Hops,
+			moves: c.Moves,
 		}
-		f.jobs[c.Spec.ID] = f.restoring
+		sm.jobs[c.Spec.ID] = sm.restoring
 	}
-	j := f.restoring
+	j := sm.restoring
 	if j == nil || int(c.First) != len(j.tasks) {
-		return errors.New("a job's tasks are not in order")
+		return errors.New("the tasks of a job are not in order")
 	}
 	for _, s := range c.Tasks {
 		if int(s.Phase) >= len(phaseNames) {
 			return errors.Newf("unknown phase %d", s.Phase)
 		}
 		j.tasks = append(j.tasks, Task{
-			phase: s.Phase, attempt: s.Attempt, failures: s.Failures, epoch: s.Epoch, revoked: s.Revoked,
+			phase: s.Phase, attempt: s.Attempt, failures: s.Failures, epoch: s.Epoch, revokedAt: s.Revoked,
 			worker: s.Worker, checkpoint: s.Checkpoint, detail: s.Detail,
 		})
 	}
 	return nil
 }
 
-// index computes what follows from the restored jobs.
-func (f *Fold) index() error {
-	f.restoring = nil
-	for id, j := range f.jobs {
+// rebuildIndexes computes the fields that are derived from the restored jobs.
+func (sm *Fold) rebuildIndexes() error {
+	sm.restoring = nil
+	for id, j := range sm.jobs {
 		if len(j.tasks) != int(j.spec.Tasks) {
 			return errors.Wrapf(ErrSnapshot, "job %s has %d of %d tasks", id, len(j.tasks), j.spec.Tasks)
 		}
 		for i := range j.tasks {
 			t := &j.tasks[i]
 			if !t.phase.Ended() {
-				j.open++
+				j.openTasks++
 			}
 			task := record.TaskID{Job: id, Index: uint32(i)}
 			if t.phase.Held() {
-				f.hold(task, t)
+				sm.addToWorker(task, t)
 			}
 			if t.phase == Revoked {
-				f.revoked[task] = t.epoch
+				sm.revokedEpochs[task] = t.epoch
 			}
 		}
 		if j.Ended() {
-			f.pushEnded(j)
+			sm.addEnded(j)
 		}
 	}
-	slices.SortFunc(f.ended, func(a, b endedJob) int {
-		if a.at != b.at {
-			return compare(a.at, b.at)
+	slices.SortFunc(sm.ended, func(a, b endedJob) int {
+		if a.position != b.position {
+			return comparePositions(a.position, b.position)
 		}
 		return strings.Compare(a.id, b.id)
 	})
 	return nil
 }
 
-// announce tells Changed of all that a restored snapshot may have changed.
-func (f *Fold) announce(old map[string]*Job) {
+// notifyRestored calls OnTaskChange for all tasks that a restored snapshot may have
+// changed; old holds the jobs from before.
+func (sm *Fold) notifyRestored(old map[string]*Job) {
 	for id, j := range old {
-		if f.jobs[id] != nil {
+		if sm.jobs[id] != nil {
 			continue
 		}
 		for i := range j.tasks {
-			f.changed(record.TaskID{Job: id, Index: uint32(i)}, j, nil)
+			sm.notifyChange(record.TaskID{Job: id, Index: uint32(i)}, j, nil)
 		}
 	}
-	for id, j := range f.jobs {
+	for id, j := range sm.jobs {
 		for i := range j.tasks {
-			f.changed(record.TaskID{Job: id, Index: uint32(i)}, j, &j.tasks[i])
+			sm.notifyChange(record.TaskID{Job: id, Index: uint32(i)}, j, &j.tasks[i])
 		}
 	}
 }
--- a/pkg/job/collector.go
+++ b/pkg/job/snapshot_assembler.go
@@ -2,18 +2,18 @@
 
 import "savoryhoist.example/savoryhoist/pkg/record"
 
-// maxCollected is the most incomplete snapshots that are remembered.
-const maxCollected = 8
+// maxIncompleteSnapshots limits the number of incomplete snapshots that are kept.
+const maxIncompleteSnapshots = 8
 
-// Collector puts the parts of snapshots together as they are read. The zero
-// value has read nothing.
+// Collector assembles snapshots from their parts as these are read from the
+// stream. The zero value is ready for use.
 type Collector struct {
 	open  map[string][]*record.Snapshot
 	order []string
 }
 
-// Add takes in a part and returns all parts of its snapshot, in order, if it
-// was the last one missing; otherwise nil.
+// Add adds a part. If the part completes its snapshot, Add returns all parts of
+// the snapshot in order; otherwise it returns nil.
 func (c *Collector) Add(p *record.Snapshot) []*record.Snapshot {
 	if p.Part >= p.Parts || p.Parts > record.MaxBatch {
 		return nil
@@ -42,7 +42,7 @@
 		c.open = make(map[string][]*record.Snapshot)
 	}
 	c.order = append(c.order, id)
-	if len(c.order) > maxCollected {
+	if len(c.order) > maxIncompleteSnapshots {
 		delete(c.open, c.order[0])
 		c.order = c.order[1:]
 	}
--- a/pkg/job/snapshot_test.go
+++ b/pkg/job/snapshot_test.go
@@ -10,10 +10,10 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// state returns the whole state as bytes.
-func state(t *testing.T, f *Fold) []byte {
+// state returns the whole state as the bytes of a snapshot.
+func state(t *testing.T, sm *Fold) []byte {
 	t.Helper()
-	parts, err := f.Snapshot("state", minPart)
+	parts, err := sm.Snapshot("state", minPartBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 	return out
 }
 
-// collect passes the parts through a collector in random order, some twice.
+// collect passes the parts to a SnapshotAssembler in random order, some of them twice.
 func collect(t *testing.T, random *rand.Rand, parts []*record.Snapshot) []*record.Snapshot {
 	t.Helper()
 	var c Collector
@@ -38,11 +38,11 @@
 			}
 		}
 	}
-	t.Fatal("the snapshot was not put together")
+	t.Fatal("the snapshot was not assembled")
 	return nil
 }
 
-func TestSnapshotAndTailEqualWholeFold(t *testing.T) {
+func TestSnapshotAndTailEqualFullReplay(t *testing.T) {
 	const batches = 120
 	for seed := range uint64(60) {
 		s := newStream(seed)
@@ -50,12 +50,12 @@
 		var restored *Fold
 		for offset := range uint64(batches) {
 			batch := s.next(offset)
-			s.apply(&s.fold, batch, offset)
+			s.apply(&s.state, batch, offset)
 			if restored != nil {
 				s.apply(restored, batch, offset)
 			}
 			if offset == cut {
-				parts, err := s.fold.Snapshot("cut", minPart)
+				parts, err := s.state.Snapshot("cut", minPartBytes)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -65,10 +65,10 @@
 				}
 			}
 		}
-		if got, want := state(t, restored), state(t, &s.fold); !bytes.Equal(got, want) {
-			t.Errorf("seed %d, cut at %d: got another state than the whole fold's", seed, cut)
+		if got, want := state(t, restored), state(t, &s.state); !bytes.Equal(got, want) {
+			t.Errorf("seed %d, snapshot at offset %d: got another state than without a restore", seed, cut)
 		}
-		checkIndexes(t, seed, &s.fold, restored)
+		checkIndexes(t, seed, &s.state, restored)
 	}
 }
 
@@ -82,7 +82,7 @@
 			t.Errorf("seed %d: tasks of %s: got %d, want %d", seed, name, got, want)
 		}
 	}
-	if got, want := len(restored.revoked), len(whole.revoked); got != want {
+	if got, want := len(restored.revokedEpochs), len(whole.revokedEpochs); got != want {
 		t.Errorf("seed %d: revoked tasks: got %d, want %d", seed, got, want)
 	}
 	got, want := restored.EndedBefore(1<<40, 1000), whole.EndedBefore(1<<40, 1000)
@@ -99,10 +99,10 @@
 func TestSnapshotPartsAreBounded(t *testing.T) {
 	s := newStream(7)
 	for offset := range uint64(200) {
-		s.apply(&s.fold, s.next(offset), offset)
+		s.apply(&s.state, s.next(offset), offset)
 	}
 	const maxPart = 8 << 10
-	parts, err := s.fold.Snapshot("x", maxPart)
+	parts, err := s.state.Snapshot("x", maxPart)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,9 +119,9 @@
 func TestRestoreRefuses(t *testing.T) {
 	s := newStream(3)
 	for offset := range uint64(100) {
-		s.apply(&s.fold, s.next(offset), offset)
+		s.apply(&s.state, s.next(offset), offset)
 	}
-	parts, err := s.fold.Snapshot("x", minPart)
+	parts, err := s.state.Snapshot("x", minPartBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,25 +139,25 @@
 	}
 }
 
-func TestRestoreTellsOfEveryTask(t *testing.T) {
+func TestRestoreNotifiesOfEveryTask(t *testing.T) {
 	var before Fold
 	_ = before.Apply(record.New(record.At(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "stays", Tasks: 2}}))
 	before.Advance(1)
-	parts, err := before.Snapshot("x", minPart)
+	parts, err := before.Snapshot("x", minPartBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f Fold
-	_ = f.Apply(record.New(record.At(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "gone", Tasks: 1}}))
-	told := make(map[record.TaskID]bool)
-	f.Changed = func(id record.TaskID, _ *Job, t *Task) { told[id] = t != nil }
-	if err := f.Restore(parts); err != nil {
+	var sm Fold
+	_ = sm.Apply(record.New(record.At(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "gone", Tasks: 1}}))
+	notified := make(map[record.TaskID]bool)
+	sm.Changed = func(id record.TaskID, _ *Job, t *Task) { notified[id] = t != nil }
+	if err := sm.Restore(parts); err != nil {
 		t.Fatal(err)
 	}
 	want := map[record.TaskID]bool{{Job: "stays"}: true, {Job: "stays", Index: 1}: true, {Job: "gone"}: false}
-	for id, there := range want {
-		if got, ok := told[id]; !ok || got != there {
-			t.Errorf("%s: got told %t, there %t, want there %t", id, ok, got, there)
+	for id, present := range want {
+		if got, ok := notified[id]; !ok || got != present {
+			t.Errorf("%s: got notified %t, present %t, want present %t", id, ok, got, present)
 		}
 	}
 }
--- a/pkg/job/state.go
+++ b/pkg/job/state.go
@@ -1,32 +1,36 @@
-// Package job folds the records of a data centre's stream into the state of
-// its jobs. The state after a record depends only on the records up to it, so
-// every reader of the stream agrees on it.
+// Package job computes the state of a data centre's jobs from the records in its
+// stream. The state after a record depends only on the records up to it, so all
+// readers of the stream agree on it. Based on this state, the package decides
+// what agents are told, when the tasks of lost workers are started elsewhere, and
+// how the jobs of a lost data centre continue in another one.
 package job
 
 import (
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Phase is where a task is in its life.
+// Phase is the phase of a task's life cycle.
 type Phase uint8
 
 // The phases of a task.
 const (
-	// Pending tasks wait for a worker.
+	// Pending means that the task waits for a worker.
 	Pending Phase = iota
-	// Assigned tasks were given to a worker that has not yet reported a start.
+	// Assigned means that the task was assigned to a worker that has not yet
+	// reported its start.
 	Assigned
-	// Running tasks were reported as started.
+	// Running means that the worker has reported the task's start.
 	Running
-	// Revoked tasks were withdrawn from a worker that may still run them.
+	// Revoked means that the assignment was withdrawn, but the worker may still
+	// run the task.
 	Revoked
-	// Succeeded tasks ended well.
+	// Succeeded means that a run of the task has succeeded.
 	Succeeded
-	// Failed tasks used up their attempts.
+	// Failed means that as many runs have failed as the job allows.
 	Failed
-	// Cancelled tasks were ended by their team.
+	// Cancelled means that the team has cancelled the job.
 	Cancelled
-	// Moved tasks go on in another stream.
+	// Moved means that the task continues in the stream of another data centre.
 	Moved
 )
 
@@ -37,10 +41,10 @@
 // String returns the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Ended reports whether a task in this phase never runs again in this stream.
+// Ended reports whether a task in this phase will never run again in this stream.
 func (p Phase) Ended() bool { return p >= Succeeded }
 
-// Held reports whether a worker may run a task in this phase.
+// Held reports whether a worker may be running a task in this phase.
 func (p Phase) Held() bool { return p == Assigned || p == Running || p == Revoked }
 
 // Task is the state of one task.
@@ -49,34 +53,36 @@
 	attempt    uint32
 	failures   uint32
 	epoch      record.Position
-	revoked    record.Position
+	revokedAt  record.Position
 	worker     string
 	checkpoint string
 	detail     string
 }
 
-// Phase returns where the task is in its life.
+// Phase returns the task's phase.
 func (t *Task) Phase() Phase { return t.phase }
 
-// Attempt counts the assignments that took effect.
+// Attempt returns the number of assignments that took effect.
 func (t *Task) Attempt() uint32 { return t.attempt }
 
-// Failures counts the runs that ended in failure.
+// Failures returns the number of runs that ended in failure.
 func (t *Task) Failures() uint32 { return t.failures }
 
-// Epoch returns the position of the assignment in effect.
+// Epoch returns the position of the last Assign record that took effect.
 func (t *Task) Epoch() record.Position { return t.epoch }
 
-// RevokedAt returns the position of the revocation in effect, or 0.
-func (t *Task) RevokedAt() record.Position { return t.revoked }
+// RevokedAt returns the position of the Revoke or Cancel record that has withdrawn
+// the assignment in effect, or 0.
+func (t *Task) RevokedAt() record.Position { return t.revokedAt }
 
-// Worker returns the worker of the assignment in effect.
+// Worker returns the worker that the task was last assigned to.
 func (t *Task) Worker() string { return t.worker }
 
-// Checkpoint returns the reference of the last saved progress, or "".
+// Checkpoint returns the reference of the task's newest checkpoint, or "".
 func (t *Task) Checkpoint() string { return t.checkpoint }
 
-// Detail returns what was reported last about the task.
+// Detail returns the newest detail or reason recorded about the task. For a moved
+// task it is the data centre where the job continues.
 func (t *Task) Detail() string { return t.detail }
 
 // Job is the state of one job.
@@ -85,19 +91,19 @@
 	submitted record.Position
 	cancelled bool
 	tasks     []Task
-	open      int
-	hops      uint32
+	openTasks int
+	moves     uint32
 	ended     record.Position
 	endedMS   int64
 }
 
-// Spec returns what the team asked for.
+// Spec returns the specification that the team submitted.
 func (j *Job) Spec() *record.Spec { return &j.spec }
 
-// Submitted returns the position of the submission.
+// Submitted returns the position of the Submit record.
 func (j *Job) Submitted() record.Position { return j.submitted }
 
-// Cancelled reports whether the job's team has ended it.
+// Cancelled reports whether the job's team has cancelled it.
 func (j *Job) Cancelled() bool { return j.cancelled }
 
 // Tasks returns the number of tasks.
@@ -107,13 +113,16 @@
 func (j *Job) Task(index int) *Task { return &j.tasks[index] }
 
 // Ended reports whether every task has ended.
-func (j *Job) Ended() bool { return j.open == 0 }
+func (j *Job) Ended() bool { return j.openTasks == 0 }
 
 // EndedMS returns when the job ended, in Unix milliseconds on the clock of the
-// entry that recorded it; 0 if that is not known.
+// entry that recorded it. If that was not recorded, it returns the time of the
+// submission, or 0 if that is not known either.
 func (j *Job) EndedMS() int64 { return max(j.endedMS, j.spec.SubmittedAt) }
 
-// Phase returns the job's phase: the least advanced of its tasks, with failures first.
+// Phase returns the job's phase: Cancelled if the job was cancelled and has ended,
+// else Failed or Moved if a task is in that phase, else the phase of its least
+// advanced task.
 func (j *Job) Phase() Phase {
 	if j.cancelled && j.Ended() {
 		return Cancelled
@@ -131,10 +140,11 @@
 	return phase
 }
 
-// Hops counts the moves of the job between streams before this one.
-func (j *Job) Hops() uint32 { return j.hops }
+// Hops returns how often the job was moved between data centres before it came
+// to this stream.
+func (j *Job) Hops() uint32 { return j.moves }
 
-// MovedTo returns the data centre in whose stream the job goes on, or "".
+// MovedTo returns the data centre in whose stream the job continues, or "".
 func (j *Job) MovedTo() string {
 	for i := range j.tasks {
 		if j.tasks[i].phase == Moved {
--- /dev/null
+++ b/pkg/job/state_machine.go
@@ -0,0 +1,356 @@
+package job
+
+import (
+	"github.com/cockroachdb/errors"
+
+	"savoryhoist.example/savoryhoist/pkg/record"
+)
+
+// ErrVoid means that a record has no effect on the state.
+var ErrVoid = errors.New("the record has no effect")
+
+// Fold is the state of all jobs of one stream, computed by applying the stream's
+// records in order. The zero value is the state before the first record.
+type Fold struct {
+	jobs map[string]*Job
+	// byWorker maps a worker to the epochs of the tasks that it may run.
+	byWorker map[string]map[record.TaskID]record.Position
+	// revokedEpochs holds the epochs of revoked tasks that are not released yet.
+	revokedEpochs map[record.TaskID]record.Position
+	dedup         record.Deduper
+	ended         endedJobs
+	nextOffset    uint64
+	// restoring is the job whose chunks are currently read from a snapshot.
+	restoring *Job
+	// Changed is called, if set, after a task's phase was set by a submission or
+	// has changed, and for each task of a job that a Forget record has dropped (t
+	// is then nil).
+	Changed func(id record.TaskID, j *Job, t *Task)
+}
+
+// Next returns the log offset after the last batch that was applied.
+func (sm *Fold) Next() uint64 { return sm.nextOffset }
+
+// Advance notes that every batch before offset next has been applied.
+func (sm *Fold) Advance(next uint64) {
+	if next > sm.nextOffset {
+		sm.nextOffset = next
+	}
+}
+
+// Job returns the job with the given id.
+func (sm *Fold) Job(id string) (*Job, bool) {
+	j, ok := sm.jobs[id]
+	return j, ok
+}
+
+// Len returns the number of jobs.
+func (sm *Fold) Len() int { return len(sm.jobs) }
+
+// Each calls fn for every job, in no particular order, until it returns false.
+func (sm *Fold) Each(fn func(*Job) bool) {
+	for _, j := range sm.jobs {
+		if !fn(j) {
+			return
+		}
+	}
+}
+
+// Held calls fn for every task that the worker may run, revoked ones included.
+func (sm *Fold) Held(worker string, fn func(assignment record.Hold, j *Job, t *Task)) {
+	for id, epoch := range sm.byWorker[worker] {
+		j := sm.jobs[id.Job]
+		fn(record.Hold{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
+	}
+}
+
+// Workers calls fn for every worker that may run at least one task.
+func (sm *Fold) Workers(fn func(worker string)) {
+	for name := range sm.byWorker {
+		fn(name)
+	}
+}
+
+// Revoked calls fn for every revoked task that has not been released.
+func (sm *Fold) Revoked(fn func(assignment record.Hold, j *Job, t *Task)) {
+	for id, epoch := range sm.revokedEpochs {
+		j := sm.jobs[id.Job]
+		fn(record.Hold{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
+	}
+}
+
+// Current returns the task if the assignment is in effect and is to this worker.
+func (sm *Fold) Current(worker string, assignment record.Hold) (*Task, bool) {
+	t := sm.currentTask(assignment)
+	if t == nil || t.worker != worker {
+		return nil, false
+	}
+	return t, true
+}
+
+// Apply applies one record. If the record has no effect, it leaves the state
+// unchanged and returns an error marked ErrNoEffect.
+func (sm *Fold) Apply(r record.Record) error {
+	sm.Advance(r.Position().Offset())
+	if !sm.dedup.Fresh(r) {
+		return errors.Wrap(ErrVoid, "the record is a duplicate")
+	}
+	return sm.apply(r)
+}
+
+func (sm *Fold) apply(r record.Record) error {
+	switch m := r.Message().(type) {
+	case *record.Submit:
+		return sm.submit(r.Position(), m)
+	case *record.Assign:
+		return sm.assign(r.Position(), m)
+	case *record.Started:
+		return sm.started(m)
+	case *record.Checkpointed:
+		return sm.checkpointed(m)
+	case *record.Finished:
+		return sm.finished(r.Position(), m)
+	case *record.Revoke:
+		return sm.revoke(r.Position(), m)
+	case *record.Released:
+		return sm.released(r.Position(), m)
+	case *record.Cancel:
+		return sm.cancel(r.Position(), m)
+	case *record.Move:
+		return sm.move(r.Position(), m)
+	case *record.Forget:
+		return sm.forget(m)
+	}
+	return nil
+}
+
+func (sm *Fold) submit(at record.Position, m *record.Submit) error {
+	if j, ok := sm.jobs[m.Spec.ID]; ok && (j.MovedTo() == "" || m.Hops <= j.moves) {
+		return errors.Wrap(ErrVoid, "the job exists already")
+	}
+	if m.Spec.ID == "" || m.Spec.Tasks == 0 {
+		return errors.Wrap(ErrVoid, "the job has no id or no tasks")
+	}
+	sm.init()
+	j := sm.newJob(at, m)
+	sm.jobs[m.Spec.ID] = j
+	for i := range j.tasks {
+		sm.notifyChange(record.TaskID{Job: m.Spec.ID, Index: uint32(i)}, j, &j.tasks[i])
+	}
+	return nil
+}
+
+func (sm *Fold) newJob(at record.Position, m *record.Submit) *Job {
+	n := int(m.Spec.Tasks)
+	j := &Job{spec: m.Spec, submitted: at, moves: m.Hops, tasks: make([]Task, n), openTasks: n}
+	for i, ref := range m.Checkpoints {
+		if int(i) < n {
+			j.tasks[i].checkpoint = ref
+		}
+	}
+	for i, outcome := range m.Ended {
+		if int(i) < n {
+			sm.endTask(endRecord{at, 0}, j, &j.tasks[i], phaseOf(outcome))
+		}
+	}
+	return j
+}
+
+func phaseOf(o record.Outcome) Phase {
+	if o == record.OutcomeSucceeded {
+		return Succeeded
+	}
+	return Failed
+}
+
+func (sm *Fold) init() {
+	if sm.jobs == nil {
+		sm.jobs = make(map[string]*Job)
+		sm.byWorker = make(map[string]map[record.TaskID]record.Position)
+		sm.revokedEpochs = make(map[record.TaskID]record.Position)
+	}
+}
+
+func (sm *Fold) assign(at record.Position, m *record.Assign) error {
+	for i, p := range m.Placements {
+		if err := sm.assignable(&p, m.Placements[:i]); err != nil {
+			return err
+		}
+	}
+	for _, p := range m.Placements {
+		t := sm.task(p.Task)
+		t.phase = Assigned
+		t.attempt++
+		t.epoch = at
+		t.revokedAt = 0
+		t.worker = p.Worker
+		sm.addToWorker(p.Task, t)
+		sm.notifyChange(p.Task, sm.jobs[p.Task.Job], t)
+	}
+	return nil
+}
+
+func (sm *Fold) assignable(p *record.Placement, earlier []record.Placement) error {
+	t := sm.task(p.Task)
+	if t == nil || t.attempt != p.Attempt {
+		return errors.Wrapf(ErrVoid, "%s: the task is not at attempt %d", p.Task, p.Attempt)
+	}
+	if t.phase != Pending {
+		return errors.Wrapf(ErrVoid, "%s: the task is %s", p.Task, t.phase)
+	}
+	for _, e := range earlier {
+		if e.Task == p.Task {
+			return errors.Wrapf(ErrVoid, "%s: the record assigns the task twice", p.Task)
+		}
+	}
+	return nil
+}
+
+func (sm *Fold) started(m *record.Started) error {
+	applied := false
+	for _, h := range m.Holds {
+		t := sm.currentTask(h)
+		if t == nil || t.phase != Assigned {
+			continue
+		}
+		t.phase = Running
+		applied = true
+		sm.notifyChange(h.Task, sm.jobs[h.Task.Job], t)
+	}
+	return noEffectUnless(applied, "every assignment in the record is stale or has started already")
+}
+
+func (sm *Fold) checkpointed(m *record.Checkpointed) error {
+	t := sm.currentTask(m.Hold)
+	if t == nil {
+		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+	}
+	t.checkpoint = m.Ref
+	return nil
+}
+
+func (sm *Fold) finished(at record.Position, m *record.Finished) error {
+	t := sm.currentTask(m.Hold)
+	if t == nil {
+		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+	}
+	j := sm.jobs[m.Hold.Task.Job]
+	sm.removeFromWorker(m.Hold.Task, t)
+	t.detail = m.Detail
+	defer sm.notifyChange(m.Hold.Task, j, t)
+	if m.Outcome == record.OutcomeSucceeded {
+		sm.endTask(endRecord{at, m.AtMS}, j, t, Succeeded)
+		return nil
+	}
+	t.failures++
+	switch {
+	case j.cancelled:
+		sm.endTask(endRecord{at, m.AtMS}, j, t, Cancelled)
+	case t.failures >= j.spec.MaxFailures:
+		sm.endTask(endRecord{at, m.AtMS}, j, t, Failed)
+	default:
+		t.phase = Pending
+	}
+	return nil
+}
+
+func (sm *Fold) revoke(at record.Position, m *record.Revoke) error {
+	applied := false
+	for _, h := range m.Holds {
+		t := sm.currentTask(h)
+		if t == nil || t.phase == Revoked {
+			continue
+		}
+		sm.markRevoked(at, h.Task, t)
+		t.detail = m.Reason
+		applied = true
+		sm.notifyChange(h.Task, sm.jobs[h.Task.Job], t)
+	}
+	return noEffectUnless(applied, "every assignment in the record is stale or revoked already")
+}
+
+func (sm *Fold) released(at record.Position, m *record.Released) error {
+	t := sm.currentTask(m.Hold)
+	if t == nil {
+		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+	}
+	if m.Revoked != 0 && m.Revoked != t.revokedAt {
+		return errors.Wrapf(ErrVoid, "%s: the task was not revoked at position %d", m.Hold.Task, m.Revoked)
+	}
+	j := sm.jobs[m.Hold.Task.Job]
+	sm.removeFromWorker(m.Hold.Task, t)
+	if m.Ref != "" {
+		t.checkpoint = m.Ref
+	}
+	t.detail = m.Reason
+	defer sm.notifyChange(m.Hold.Task, j, t)
+	if j.cancelled {
+		sm.endTask(endRecord{at, m.AtMS}, j, t, Cancelled)
+		return nil
+	}
+	t.phase = Pending
+	return nil
+}
+
+func (sm *Fold) cancel(at record.Position, m *record.Cancel) error {
+	applied := false
+	for _, id := range m.Jobs {
+		j, ok := sm.jobs[id]
+		if !ok || j.cancelled || j.Ended() {
+			continue
+		}
+		j.cancelled = true
+		applied = true
+		for i := range j.tasks {
+			task := record.TaskID{Job: id, Index: uint32(i)}
+			sm.cancelTask(endRecord{at, m.AtMS}, task, j)
+			sm.notifyChange(task, j, &j.tasks[i])
+		}
+	}
+	return noEffectUnless(applied, "no job is open")
+}
+
+func (sm *Fold) cancelTask(e endRecord, id record.TaskID, j *Job) {
+	t := &j.tasks[id.Index]
+	switch t.phase {
+	case Pending:
+		sm.endTask(e, j, t, Cancelled)
+	case Assigned, Running:
+		sm.markRevoked(e.position, id, t)
+	}
+}
+
+func (sm *Fold) move(at record.Position, m *record.Move) error {
+	j, ok := sm.jobs[m.Job]
+	if !ok || j.cancelled || j.Ended() {
+		return errors.Wrapf(ErrVoid, "%s: the job is not open", m.Job)
+	}
+	for i := range j.tasks {
+		if j.tasks[i].phase.Held() {
+			return errors.Wrapf(ErrVoid, "%s: a worker may still run a task of the job", m.Job)
+		}
+	}
+	for i := range j.tasks {
+		if !j.tasks[i].phase.Ended() {
+			j.tasks[i].detail = m.To
+			sm.endTask(endRecord{at, m.AtMS}, j, &j.tasks[i], Moved)
+			sm.notifyChange(record.TaskID{Job: m.Job, Index: uint32(i)}, j, &j.tasks[i])
+		}
+	}
+	return nil
+}
+
+func (sm *Fold) forget(m *record.Forget) error {
+	applied := false
+	for _, id := range m.Jobs {
+		if j, ok := sm.jobs[id]; ok && j.Ended() {
+			delete(sm.jobs, id)
+			applied = true
+			for i := range j.tasks {
+				sm.notifyChange(record.TaskID{Job: id, Index: uint32(i)}, j, nil)
+			}
+		}
+	}
+	sm.trimEnded()
+	return noEffectUnless(applied, "no job has ended")
+}
--- a/pkg/job/stream_test.go
+++ b/pkg/job/stream_test.go
@@ -7,20 +7,21 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// stream makes random batches, plausible and stale ones, doubled ones included.
+// stream generates random batches: valid records, stale records, and duplicates
+// of the batch before.
 type stream struct {
-	random *rand.Rand
-	fold   Fold
-	seq    map[string]uint64
-	holds  []record.Hold
-	last   []record.Record
+	random      *rand.Rand
+	state       Fold
+	seq         map[string]uint64
+	assignments []record.Hold
+	last        []record.Record
 }
 
 func newStream(seed uint64) *stream {
 	return &stream{random: rand.New(rand.NewPCG(seed, 1)), seq: make(map[string]uint64)}
 }
 
-// next returns the records of the batch at offset.
+// next generates the records of the batch at an offset.
 func (s *stream) next(offset uint64) []record.Record {
 	if len(s.last) > 0 && s.random.IntN(8) == 0 {
 		return s.copyOf(offset)
@@ -48,7 +49,7 @@
 		_ = f.Apply(r)
 		if m, ok := r.Message().(*record.Assign); ok {
 			for _, p := range m.Placements {
-				s.holds = append(s.holds, record.Hold{Task: p.Task, Epoch: r.Position()})
+				s.assignments = append(s.assignments, record.Hold{Task: p.Task, Epoch: r.Position()})
 			}
 		}
 	}
@@ -57,11 +58,11 @@
 
 func (s *stream) id() string { return fmt.Sprintf("job-%d", s.random.IntN(12)) }
 
-func (s *stream) hold() record.Hold {
-	if len(s.holds) == 0 {
+func (s *stream) assignment() record.Hold {
+	if len(s.assignments) == 0 {
 		return record.Hold{}
 	}
-	recent := s.holds[max(0, len(s.holds)-12):]
+	recent := s.assignments[max(0, len(s.assignments)-12):]
 	return recent[s.random.IntN(len(recent))]
 }
 
@@ -76,15 +77,15 @@
 			Worker: fmt.Sprintf("worker-%d", s.random.IntN(4)), Attempt: s.random.Uint32N(3),
 		}}}
 	case 6:
-		return &record.Started{Holds: []record.Hold{s.hold(), s.hold()}}
+		return &record.Started{Holds: []record.Hold{s.assignment(), s.assignment()}}
 	case 7:
-		return &record.Checkpointed{Hold: s.hold(), Ref: fmt.Sprintf("ref-%d", s.random.IntN(100))}
+		return &record.Checkpointed{Hold: s.assignment(), Ref: fmt.Sprintf("ref-%d", s.random.IntN(100))}
 	case 8:
-		return &record.Finished{Hold: s.hold(), Outcome: record.Outcome(1 + s.random.IntN(2)), AtMS: atMS}
+		return &record.Finished{Hold: s.assignment(), Outcome: record.Outcome(1 + s.random.IntN(2)), AtMS: atMS}
 	case 9:
-		return &record.Revoke{Holds: []record.Hold{s.hold()}}
+		return &record.Revoke{Holds: []record.Hold{s.assignment()}}
 	case 10:
-		return &record.Released{Hold: s.hold(), Ref: "ref", AtMS: atMS}
+		return &record.Released{Hold: s.assignment(), Ref: "ref", AtMS: atMS}
 	case 11:
 		return &record.Cancel{Jobs: []string{s.id()}, AtMS: atMS}
 	case 12:
