--- /dev/null
+++ b/pkg/record/carry_forward.go
@@ -0,0 +1,113 @@
+package record
+
+import "time"
+
+const (
+	// minCopyAge is the age that a copy must have before it is written again
+	// because of its age.
+	minCopyAge = 30 * time.Second
+	// retentionDivisor divides the known retention: a copy older than this part of
+	// the retention is written again.
+	retentionDivisor = 3
+	// maxSamples limits the number of samples from which the age of batches is known.
+	maxSamples = 128
+)
+
+// sample is the offset of the next append as observed at a point in time.
+type sample struct {
+	observedAt time.Time
+	nextOffset uint64
+}
+
+// Carry decides when a record that must outlive the log's retention, such as a
+// snapshot, is carried forward: a new copy of it is appended before the log drops
+// the old one. The retention is not configured here; a lower bound of it is
+// learned from the age of the batches that the stream still keeps. The zero value
+// is ready for use.
+type Carry struct {
+	firstOffset, nextOffset uint64
+	observedAt              time.Time
+	samples                 []sample
+	// minSampleInterval is the least time between two samples.
+	minSampleInterval time.Duration
+
+	// copied reports whether a copy is known; copyOffset and copiedAt describe the
+	// newest one.
+	copied     bool
+	copyOffset uint64
+	copiedAt   time.Time
+}
+
+// Observe notes which offsets the stream keeps: those from first on and before next.
+func (c *Carry) Observe(now time.Time, first, next uint64) {
+	c.firstOffset, c.nextOffset, c.observedAt = first, next, now
+	expired := 0
+	for expired < len(c.samples) && c.samples[expired].nextOffset <= first {
+		expired++
+	}
+	c.samples = c.samples[expired:]
+	n := len(c.samples)
+	if n > 0 && (c.samples[n-1].nextOffset >= next || now.Sub(c.samples[n-1].observedAt) < c.minSampleInterval) {
+		return
+	}
+	c.samples = append(c.samples, sample{observedAt: now, nextOffset: next})
+	if len(c.samples) > maxSamples {
+		c.dropEveryOtherSample()
+	}
+}
+
+// dropEveryOtherSample halves the number of samples and doubles the least interval
+// between later ones.
+func (c *Carry) dropEveryOtherSample() {
+	kept := make([]sample, 0, maxSamples)
+	for i := 0; i < len(c.samples); i += 2 {
+		kept = append(kept, c.samples[i])
+	}
+	c.samples = kept
+	c.minSampleInterval = max(2*c.minSampleInterval, time.Second)
+}
+
+// Retention returns a lower bound of how long the stream keeps a batch: the
+// observed age of the oldest batch that it still keeps.
+func (c *Carry) Retention(now time.Time) time.Duration {
+	for _, s := range c.samples {
+		if s.nextOffset > c.firstOffset {
+			return now.Sub(s.observedAt)
+		}
+	}
+	return 0
+}
+
+// Copied notes a copy that is usable as long as the stream keeps the batches from
+// offset on. The time of writing is on the writer's clock; a time after now and
+// the zero time count as now.
+func (c *Carry) Copied(now, written time.Time, offset uint64) {
+	if c.copied && offset < c.copyOffset {
+		return
+	}
+	if written.IsZero() || written.After(now) {
+		written = now
+	}
+	c.copied, c.copyOffset, c.copiedAt = true, offset, written
+}
+
+// Offset returns the offset from which the stream must be kept for the newest
+// copy to be usable.
+func (c *Carry) Offset() uint64 { return c.copyOffset }
+
+// Due reports whether a new copy should be written now, and why.
+func (c *Carry) Due(now time.Time) (reason string, due bool) {
+	switch {
+	case c.observedAt.IsZero():
+		return "", false
+	case !c.copied:
+		return "no copy is known", true
+	case c.copyOffset < c.firstOffset:
+		return "the copy has expired", true
+	case c.firstOffset > 0 && c.copyOffset < c.firstOffset+(c.nextOffset-c.firstOffset)/2:
+		return "the copy is in the older half of the batches kept", true
+	case now.Sub(c.copiedAt) > max(minCopyAge, c.Retention(now)/retentionDivisor):
+		return "a third of the known retention has passed since the copy was written", true
+	}
+	return "", false
+}
--- a/pkg/record/carry_test.go
+++ b/pkg/record/carry_forward_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
-// TestCarryBeforeRetentionEnds follows streams with retention by age and by
-// count and checks that a copy is always kept.
-func TestCarryBeforeRetentionEnds(t *testing.T) {
+// TestCarryForwardBeforeRetentionEnds simulates a day of streams with retention by
+// age or by number of batches. It checks that the stream always keeps a copy and
+// that not too many copies are written.
+func TestCarryForwardBeforeRetentionEnds(t *testing.T) {
 	cases := []struct {
 		name string
-		// every is the time between batches of others.
+		// every is the time between two batches of other writers, keep and count
+		// are the stream's retention by age and by number of batches; 0 for none.
 		every, keep time.Duration
 		count       uint64
 		maxCopies   int
@@ -57,16 +59,16 @@
 	}
 }
 
-// TestCarryAfterRestart checks that a copy's age counts from its writing, not
-// from when a new process read it.
-func TestCarryAfterRestart(t *testing.T) {
+// TestCarryForwardAfterRestart checks that the age of a copy counts from when it was
+// written, not from when a restarted process read it.
+func TestCarryForwardAfterRestart(t *testing.T) {
 	var carry Carry
 	now := time.Unix(100000, 0)
 	carry.Observe(now, 0, 10)
 	if _, due := carry.Due(now); !due {
 		t.Error("no copy known: got not due, want due")
 	}
-	carry.Copied(now, now.Add(-2*carryMin), 4)
+	carry.Copied(now, now.Add(-2*minCopyAge), 4)
 	if _, due := carry.Due(now); !due {
 		t.Error("old copy: got not due, want due")
 	}
--- a/pkg/record/codec_test.go
+++ b/pkg/record/codec_test.go
@@ -7,7 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzDecode checks that any bytes are refused or yield records with messages.
+// FuzzDecode checks that arbitrary bytes are either refused or decoded to records
+// with messages.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode("writer", 1, []Message{&Submit{Spec: Spec{ID: "a", Tasks: 1}}, &Bundle{Signed: []byte("b")}})
 	if err != nil {
@@ -28,19 +29,20 @@
 	})
 }
 
-// laterMember is a membership record of a program that knows one more field.
+// laterMember is a Member of a later program version that has one more field.
 type laterMember struct {
 	Member
 	Weight int `cbor:"90,keyasint"`
 }
 
-// TestCodecAcrossVersions checks that programs of two versions read each other.
+// TestCodecAcrossVersions checks that two program versions read each other's
+// records, and that records of unknown kinds and corrupt records are skipped.
 func TestCodecAcrossVersions(t *testing.T) {
 	body, err := cbor.Marshal(laterMember{Member: Member{Name: "entry-1", Incarnation: 4}, Weight: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	batch := wireBatch{Version: Version + 1, Writer: "writer", First: 7, Records: []wireRecord{
+	batch := wireBatch{Version: Version + 1, Writer: "writer", FirstSeq: 7, Records: []wireRecord{
 		{Kind: KindMember, Body: body},
 		{Kind: 200, Body: body},
 		{Kind: KindForget, Body: cbor.RawMessage{0x60}},
@@ -70,8 +72,9 @@
 	}
 }
 
-// TestDecodeRefusesForeign checks what is not a batch at all.
-func TestDecodeRefusesForeign(t *testing.T) {
+// TestDecodeRefusesUnsupported checks that data that is not a batch, and a batch
+// without a version, are refused.
+func TestDecodeRefusesUnsupported(t *testing.T) {
 	if _, _, err := Decode(0, []byte("not a batch")); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("text: got %v, want %v", err, ErrCorrupt)
 	}
--- a/pkg/record/dedup.go
+++ b/pkg/record/dedup.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// dedupWindow is how many offsets after a writer's newest batch a second copy
-// of its records is still recognised.
-const dedupWindow = 1 << 16
+// dedupWindowOffsets is how many offsets after a writer's newest batch duplicates
+// of its records are still recognised.
+const dedupWindowOffsets = 1 << 16
 
-// WriterSeq is the newest sequence number read from one writer.
+// WriterSeq is the newest sequence number read from one writer, and the offset of
+// its batch.
 type WriterSeq struct {
 	_      struct{} `cbor:",toarray"`
 	Writer string
@@ -14,20 +15,21 @@
 	Offset uint64
 }
 
-// Deduper recognises records that an append written twice has doubled. Writers
-// append their batches in order, so a record is a copy if its sequence number
-// is not above its writer's newest. Its answers depend only on the records
-// before, so all readers of a stream agree. The zero value has read nothing.
+// Deduper recognises duplicate records, which arise when an append is repeated
+// although it had succeeded. Writers append their batches in order, so a record is
+// a duplicate if its sequence number is not above the newest one of its writer.
+// The result depends only on the earlier records, so all readers of a stream
+// agree. The zero value is ready for use.
 type Deduper struct {
-	writers map[string]WriterSeq
-	pruned  uint64
+	writers        map[string]WriterSeq
+	prunedAtOffset uint64
 }
 
-// Fresh notes a record and reports whether it is not a copy of an earlier one.
+// Fresh notes a record and reports whether it is new, that is, not a duplicate.
 func (d *Deduper) Fresh(r Record) bool {
 	offset := r.position.Offset()
 	last, ok := d.writers[r.writer]
-	if ok && offset <= last.Offset+dedupWindow && r.seq <= last.Seq {
+	if ok && offset <= last.Offset+dedupWindowOffsets && r.seq <= last.Seq {
 		return false
 	}
 	if d.writers == nil {
@@ -38,20 +40,20 @@
 	return true
 }
 
-// prune drops writers that have fallen out of the window.
+// prune drops writers whose newest batch is older than dedupWindowOffsets.
 func (d *Deduper) prune(offset uint64) {
-	if offset < d.pruned+dedupWindow {
+	if offset < d.prunedAtOffset+dedupWindowOffsets {
 		return
 	}
-	d.pruned = offset
+	d.prunedAtOffset = offset
 	for name, w := range d.writers {
-		if offset > w.Offset+dedupWindow {
+		if offset > w.Offset+dedupWindowOffsets {
 			delete(d.writers, name)
 		}
 	}
 }
 
-// Writers returns the state in order of the writers' names, for a snapshot.
+// Writers returns the state for a snapshot, ordered by the writers' names.
 func (d *Deduper) Writers() []WriterSeq {
 	out := make([]WriterSeq, 0, len(d.writers))
 	for _, w := range d.writers {
@@ -66,10 +68,10 @@
 	return out
 }
 
-// Restore replaces the state by what Writers returned.
+// Restore replaces the state by one that Writers returned.
 func (d *Deduper) Restore(writers []WriterSeq) {
 	d.writers = make(map[string]WriterSeq, len(writers))
-	d.pruned = 0
+	d.prunedAtOffset = 0
 	for _, w := range writers {
 		d.writers[w.Writer] = w
 	}
--- a/pkg/record/dedup_test.go
+++ b/pkg/record/dedup_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestDeduperKeepsWriters checks copies, restarts and a restored state.
-func TestDeduperKeepsWriters(t *testing.T) {
+// TestDeduperRecognisesDuplicates checks duplicates, writers that restart and
+// writers out of the window, each also on a state restored from a snapshot.
+func TestDeduperRecognisesDuplicates(t *testing.T) {
 	cases := []struct {
 		writer string
 		offset uint64
@@ -17,8 +18,8 @@
 		{"entry-1@1", 2, 2, false},
 		{"entry-1@2", 3, 1, true},
 		{"entry-1@1", 4, 3, true},
-		{"entry-2@1", 1 + dedupWindow, 1, false},
-		{"entry-2@1", 2 + dedupWindow, 1, true},
+		{"entry-2@1", 1 + dedupWindowOffsets, 1, false},
+		{"entry-2@1", 2 + dedupWindowOffsets, 1, true},
 	}
 	var whole Deduper
 	for i, c := range cases {
@@ -34,11 +35,12 @@
 	}
 }
 
-// TestDeduperForgetsOldWriters checks that memory does not grow with restarts.
+// TestDeduperForgetsOldWriters checks that memory does not grow with every restart
+// of a writer, which gives it a new identity.
 func TestDeduperForgetsOldWriters(t *testing.T) {
 	var d Deduper
 	for i := range uint64(100) {
-		d.Fresh(New(At(i*dedupWindow/8, 0), string(rune('a'+i)), 1, &Forget{}))
+		d.Fresh(New(At(i*dedupWindowOffsets/8, 0), string(rune('a'+i)), 1, &Forget{}))
 	}
 	if got, want := len(d.Writers()), 20; got > want {
 		t.Errorf("writers kept: got %d, want at most %d", got, want)
--- a/pkg/record/log.go
+++ b/pkg/record/log.go
@@ -9,9 +9,11 @@
 
 // Errors returned by the functions of Log.
 var (
-	// ErrUnavailable means that the log service did not take the call: nothing was written.
+	// ErrUnavailable means that the log service did not accept the call; nothing
+	// was written.
 	ErrUnavailable = errors.New("the log service is not available")
-	// ErrUnknown means that the call may or may not have taken effect.
+	// ErrUnknown means that the reply was lost: the call may or may not have taken
+	// effect.
 	ErrUnknown = errors.New("the log service's reply was lost")
 	// ErrExpired means that the offset is older than the log's retention.
 	ErrExpired = errors.New("the offset is older than the log's retention")
@@ -19,22 +21,25 @@
 
 // Page is what one read of a stream returns.
 type Page struct {
-	// Batches are in offset order without gaps, starting at the offset asked for.
+	// Batches are in the order of their offsets without gaps, starting at the
+	// requested offset.
 	Batches []RawBatch
-	// First is the oldest offset kept, Next is the offset of the next append.
+	// First is the oldest offset that the log still keeps, Next is the offset of
+	// the next append.
 	First, Next uint64
 }
 
-// RawBatch is one appended batch as the log keeps it.
+// RawBatch is one batch in encoded form, as it was appended.
 type RawBatch struct {
 	Offset uint64
 	Data   []byte
 }
 
-// Log is the port to the platform's log service.
+// Log holds the functions by which the platform's log service is called.
 type Log struct {
-	// Append adds one batch to a stream and returns its offset.
+	// Append appends one batch to a stream and returns its offset.
 	Append func(ctx context.Context, stream string, data []byte) (offset uint64, err error)
-	// Read returns batches from offset from on; with nothing there it waits up to wait.
+	// Read returns batches from offset from on. If there are none yet, it waits for
+	// up to wait.
 	Read func(ctx context.Context, stream string, from uint64, wait time.Duration) (Page, error)
 }
--- a/pkg/record/messages.go
+++ b/pkg/record/messages.go
@@ -7,7 +7,7 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Kind names the type of a record's body.
+// Kind is the type of a record's message.
 type Kind uint8
 
 // The kinds of records.
@@ -59,28 +59,29 @@
 	return nil
 }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	_     struct{} `cbor:",toarray"`
 	Job   string
 	Index uint32
 }
 
-// String returns the task's name on a worker.
+// String returns the task's name, as in "job-1.0".
 func (t TaskID) String() string { return fmt.Sprintf("%s.%d", t.Job, t.Index) }
 
-// Hold names a task and the epoch under which a worker holds it. The epoch is
-// the position of the Assign record.
+// Hold identifies one assignment of a task to a worker. The epoch is the position
+// of the Assign record; it serves as the fencing token: later records about the
+// task have no effect unless they carry the epoch of its current assignment.
 type Hold struct {
 	_     struct{} `cbor:",toarray"`
 	Task  TaskID
 	Epoch Position
 }
 
-// String returns the name under which a worker lists the task.
+// String returns the name under which the worker lists the task.
 func (h Hold) String() string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
 
-// Compare orders holds by job, task and epoch.
+// Compare orders assignments by job, task index and epoch.
 func (h Hold) Compare(o Hold) int {
 	return cmp.Or(
 		cmp.Compare(h.Task.Job, o.Task.Job),
@@ -89,76 +90,85 @@
 	)
 }
 
-// Spec is what a team asks for.
+// Spec is the specification of a job, as its team submitted it.
 type Spec struct {
-	ID    string           `cbor:"1,keyasint"           json:"id"`
-	Team  string           `cbor:"2,keyasint"           json:"team"`
-	Class string           `cbor:"3,keyasint"           json:"class"`
-	Tasks uint32           `cbor:"4,keyasint"           json:"tasks"`
-	Gang  bool             `cbor:"5,keyasint,omitempty" json:"gang,omitempty"`
-	Size  worker.Resources `cbor:"6,keyasint"           json:"size"`
+	ID    string `cbor:"1,keyasint"           json:"id"`
+	Team  string `cbor:"2,keyasint"           json:"team"`
+	Class string `cbor:"3,keyasint"           json:"class"`
+	Tasks uint32 `cbor:"4,keyasint"           json:"tasks"`
+	// Gang requires that all tasks of the job start together.
+	Gang bool             `cbor:"5,keyasint,omitempty" json:"gang,omitempty"`
+	Size worker.Resources `cbor:"6,keyasint"           json:"size"`
 	// ExpectedMS is the declared run time of a task in milliseconds.
 	ExpectedMS int64 `cbor:"7,keyasint,omitempty" json:"expected-ms,omitempty"`
-	// NeededBy is in Unix milliseconds; 0 means no moment.
+	// NeededBy is when the result is needed, in Unix milliseconds; 0 means no such
+	// time.
 	NeededBy int64 `cbor:"8,keyasint,omitempty" json:"needed-by,omitempty"`
-	// SubmittedAt is in Unix milliseconds on the clock of the accepting entry.
+	// SubmittedAt is in Unix milliseconds on the clock of the entry that accepted
+	// the job.
 	SubmittedAt int64  `cbor:"9,keyasint,omitempty"  json:"submitted-at,omitempty"`
 	Payload     []byte `cbor:"10,keyasint,omitempty" json:"payload,omitempty"`
-	// MaxFailures is the number of failed runs after which a task is given up.
-	// It is copied from the class at submission, so that all readers agree.
+	// MaxFailures is the number of failed runs after which a task fails for good.
+	// It is copied from the batch class at submission, so that all readers of the
+	// stream agree.
 	MaxFailures uint32 `cbor:"11,keyasint,omitempty" json:"max-failures,omitempty"`
-	// TakeoverMS is the takeover time in milliseconds, copied from the class at
-	// submission, so that holder and taker agree.
+	// TakeoverMS is the takeover time in milliseconds: how long a lost worker's task
+	// is left alone before it is started elsewhere. It is copied from the batch class
+	// at submission, so that the agent that holds the lease and the entry that
+	// reclaims the task agree.
 	TakeoverMS int64 `cbor:"12,keyasint,omitempty" json:"takeover-ms,omitempty"`
 }
 
-// Submit adds a job. It is void if the job is known.
+// Submit adds a job. It has no effect if the job exists already, unless the job was
+// moved out of this stream and returns with a higher number of moves.
 type Submit struct {
 	Spec Spec `cbor:"1,keyasint"`
-	// Checkpoints carries the progress of a job that moves between streams, by task index.
+	// Checkpoints holds the newest checkpoints of a job that was moved from another
+	// stream, by task index.
 	Checkpoints map[uint32]string `cbor:"2,keyasint,omitempty"`
-	// Ended carries how tasks of a job that moves had ended before, by task index.
+	// Ended holds the outcomes of the tasks that had ended before the job was moved
+	// from another stream, by task index.
 	Ended map[uint32]Outcome `cbor:"3,keyasint,omitempty"`
-	// Hops counts the moves of the job so far. A job that has left a stream can
-	// come back to it with a higher count.
+	// Hops is how often the job has been moved between streams so far. A job that
+	// was moved out of a stream can return to it with a higher count.
 	Hops uint32 `cbor:"4,keyasint,omitempty"`
 }
 
-// Placement gives one task to one worker.
+// Placement assigns one task to one worker.
 type Placement struct {
 	_      struct{} `cbor:",toarray"`
 	Task   TaskID
 	Worker string
-	// Attempt is the number of assignments of the task that took effect before.
+	// Attempt is the number of earlier assignments of the task that took effect.
 	Attempt uint32
 }
 
-// Assign gives tasks to workers. It takes effect for all of them or none.
+// Assign assigns tasks to workers. It takes effect for all of the tasks or for none.
 type Assign struct {
 	Placements []Placement `cbor:"1,keyasint"`
 }
 
-// Started says that tasks run.
+// Started says that workers have started tasks.
 type Started struct {
 	Holds []Hold `cbor:"1,keyasint"`
 }
 
-// Checkpointed says that a task's progress up to Ref has been saved.
+// Checkpointed says that a checkpoint of a task, with the reference Ref, was saved.
 type Checkpointed struct {
 	Hold Hold   `cbor:"1,keyasint"`
 	Ref  string `cbor:"2,keyasint"`
 }
 
-// Outcome says how a task ended.
+// Outcome is how a run of a task ended.
 type Outcome uint8
 
-// The outcomes of a task.
+// The outcomes of a run.
 const (
 	OutcomeSucceeded Outcome = iota + 1
 	OutcomeFailed
 )
 
-// Finished says that a task ended.
+// Finished says that a run of a task ended.
 type Finished struct {
 	Hold    Hold    `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
@@ -173,26 +183,28 @@
 	Reason string `cbor:"2,keyasint,omitempty"`
 }
 
-// Released says that a worker runs a task no more.
+// Released says that a worker no longer runs a task, so that it can be assigned
+// again.
 type Released struct {
 	Hold   Hold   `cbor:"1,keyasint"`
 	Ref    string `cbor:"2,keyasint,omitempty"`
 	Reason string `cbor:"3,keyasint,omitempty"`
-	// Revoked is the position of the revocation whose takeover time the writer
-	// has waited for; 0 if the worker itself confirmed the stop.
+	// Revoked is the position of the revocation after which the writer has waited
+	// for the takeover time; 0 if the worker itself confirmed the stop.
 	Revoked Position `cbor:"4,keyasint,omitempty"`
 	// AtMS is the writer's time in Unix milliseconds.
 	AtMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Cancel ends jobs.
+// Cancel cancels jobs.
 type Cancel struct {
 	Jobs []string `cbor:"1,keyasint"`
 	// AtMS is the writer's time in Unix milliseconds.
 	AtMS int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Move ends a job in this stream; it goes on in the stream of another data centre.
+// Move ends a job in this stream; the job continues in the stream of the data
+// centre To.
 type Move struct {
 	Job string `cbor:"1,keyasint"`
 	To  string `cbor:"2,keyasint"`
@@ -200,36 +212,41 @@
 	AtMS int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Forget drops ended jobs from the state.
+// Forget removes ended jobs from the state.
 type Forget struct {
 	Jobs []string `cbor:"1,keyasint"`
 }
 
-// Snapshot is one part of the state that the stream's records before Covers add up to.
+// Snapshot is one part of a snapshot of the state after all records of the stream
+// before an offset.
 type Snapshot struct {
-	ID     string `cbor:"1,keyasint"`
-	Part   uint32 `cbor:"2,keyasint"`
-	Parts  uint32 `cbor:"3,keyasint"`
+	ID    string `cbor:"1,keyasint"`
+	Part  uint32 `cbor:"2,keyasint"`
+	Parts uint32 `cbor:"3,keyasint"`
+	// Covers is the offset before which all batches are included in the state.
 	Covers uint64 `cbor:"4,keyasint"`
 	State  []byte `cbor:"5,keyasint"`
 	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
 	WrittenMS int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Bundle publishes a signed bundle, or carries the one in force forward.
+// Bundle publishes a signed configuration bundle, or carries the one in force
+// forward.
 type Bundle struct {
 	Signed []byte `cbor:"1,keyasint"`
-	// Carried bundles were in force when they were written.
+	// Carried means that the bundle was already in force and was written again so
+	// that it outlives the log's retention.
 	Carried bool `cbor:"2,keyasint,omitempty"`
-	// Lineage holds the earlier bundles that changed the operators.
+	// Lineage holds, in encoded form, the earlier bundles that changed the operators.
 	Lineage [][]byte `cbor:"3,keyasint,omitempty"`
 	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
 	WrittenMS int64 `cbor:"4,keyasint,omitempty"`
-	// Covers is the offset before which nothing newer than a carried bundle was in force.
+	// Covers is, for a bundle carried forward, the offset before which no newer one
+	// came in force.
 	Covers uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Member says that an entry has started, goes on or leaves.
+// Member says that an entry has started, is still running, or is leaving.
 type Member struct {
 	Name        string `cbor:"1,keyasint"`
 	DataCentre  string `cbor:"2,keyasint"`
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -1,5 +1,5 @@
-// Package record defines the records kept in the platform's log, their codec
-// and the log port.
+// Package record defines the records that are kept in the platform's log, how they
+// are encoded in batches, and the interface to the log service.
 package record
 
 import (
@@ -7,25 +7,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the batch format that this program writes.
+// Version is the version of the batch format that this program writes.
 const Version = 1
 
-// indexBits is the width of a record's index within a Position.
+// indexBits is the number of bits in a Position for the record's index.
 const indexBits = 16
 
-// MaxBatch is the largest number of records in one batch.
+// MaxBatch is the greatest number of records in one batch.
 const MaxBatch = 1 << indexBits
 
 // Errors returned by Decode.
 var (
 	// ErrCorrupt means that a batch or record could not be decoded.
 	ErrCorrupt = errors.New("the record is corrupt")
-	// ErrForeign means that a batch or record is of a version or kind that this program does not know.
-	ErrForeign = errors.New("the record is of an unknown version or kind")
+	// ErrForeign means that a batch has no version or more than MaxBatchRecords
+	// records, so that this program does not support it.
+	ErrForeign = errors.New("the batch has no version or too many records")
 )
 
-// Position orders records within a stream: the batch's log offset and the
-// record's index within the batch. The zero position is before every record.
+// Position is the place of a record in its stream: the log offset of its batch and
+// its index within the batch. Positions are ordered as the records are; the zero
+// position is before every record.
 type Position uint64
 
 // At returns the position of the record at index in the batch at offset.
@@ -33,16 +35,16 @@
 	return Position((offset+1)<<indexBits | uint64(index))
 }
 
-// Offset returns the log offset of the batch.
+// Offset returns the log offset of the record's batch.
 func (p Position) Offset() uint64 { return uint64(p)>>indexBits - 1 }
 
-// Message is the body of a record.
+// Message is the content of a record.
 type Message interface {
-	// Kind returns the record kind of the body.
+	// Kind returns the kind of the record.
 	Kind() Kind
 }
 
-// Record is a decoded record with its place in the stream.
+// Record is a decoded record with its position in the stream.
 type Record struct {
 	position Position
 	writer   string
@@ -50,12 +52,13 @@
 	message  Message
 }
 
-// New returns a record as a reader of the stream sees it.
+// New returns a record at a position of the stream. The sequence number seq counts
+// the records of the writer.
 func New(position Position, writer string, seq uint64, message Message) Record {
 	return Record{position: position, writer: writer, seq: seq, message: message}
 }
 
-// Position returns the record's place in its stream.
+// Position returns the record's position in its stream.
 func (r Record) Position() Position { return r.position }
 
 // Writer returns the identity of the process that appended the record.
@@ -64,14 +67,14 @@
 // Seq returns the record's sequence number among those of its writer.
 func (r Record) Seq() uint64 { return r.seq }
 
-// Message returns the record's body.
+// Message returns the record's content.
 func (r Record) Message() Message { return r.message }
 
 type wireBatch struct {
-	Version uint8        `cbor:"1,keyasint"`
-	Writer  string       `cbor:"2,keyasint"`
-	First   uint64       `cbor:"3,keyasint"`
-	Records []wireRecord `cbor:"4,keyasint"`
+	Version  uint8        `cbor:"1,keyasint"`
+	Writer   string       `cbor:"2,keyasint"`
+	FirstSeq uint64       `cbor:"3,keyasint"`
+	Records  []wireRecord `cbor:"4,keyasint"`
 }
 
 type wireRecord struct {
@@ -80,21 +83,21 @@
 	Body cbor.RawMessage
 }
 
-// Encoded is the wire form of one record.
+// Encoded is one encoded record.
 type Encoded struct{ wire wireRecord }
 
-// Size returns the number of bytes of the record's body.
+// Size returns the number of bytes of the encoded message.
 func (e Encoded) Size() int { return len(e.wire.Body) }
 
-// EncodeMessage returns the wire form of one record.
+// EncodeMessage encodes one record.
 func EncodeMessage(m Message) (Encoded, error) {
 	body, err := cbor.Marshal(m)
 	return Encoded{wire: wireRecord{Kind: m.Kind(), Body: body}}, errors.Wrap(err, "encode record")
 }
 
-// Encode returns the bytes of one batch. The first message has sequence number
-// first; the following ones count up from it.
-func Encode(writer string, first uint64, messages []Message) ([]byte, error) {
+// Encode encodes messages as one batch. The first message has the sequence number
+// firstSeq, and each following one the next number.
+func Encode(writer string, firstSeq uint64, messages []Message) ([]byte, error) {
 	records := make([]Encoded, len(messages))
 	for i, m := range messages {
 		var err error
@@ -102,15 +105,15 @@
 			return nil, errors.Wrapf(err, "record %d", i)
 		}
 	}
-	return EncodeBatch(writer, first, records)
+	return EncodeBatch(writer, firstSeq, records)
 }
 
-// EncodeBatch returns the bytes of one batch of records that are encoded already.
-func EncodeBatch(writer string, first uint64, records []Encoded) ([]byte, error) {
+// EncodeBatch encodes one batch of records that are already encoded.
+func EncodeBatch(writer string, firstSeq uint64, records []Encoded) ([]byte, error) {
 	if len(records) > MaxBatch {
-		return nil, errors.Newf("a batch holds at most %d records, got %d", MaxBatch, len(records))
+		return nil, errors.Newf("a batch must have at most %d records, got %d", MaxBatch, len(records))
 	}
-	b := wireBatch{Version: Version, Writer: writer, First: first, Records: make([]wireRecord, len(records))}
+	b := wireBatch{Version: Version, Writer: writer, FirstSeq: firstSeq, Records: make([]wireRecord, len(records))}
 	for i, r := range records {
 		b.Records[i] = r.wire
 	}
@@ -118,9 +121,9 @@
 	return data, errors.Wrap(err, "encode batch")
 }
 
-// Decode returns the records of the batch at offset and the number of records
-// skipped because they are of an unknown kind or corrupt. An error means that
-// the whole batch is unreadable.
+// Decode decodes the batch at an offset. It skips records that are of an unknown
+// kind or corrupt, and returns the other records and the number of those skipped.
+// An error means that the whole batch is unreadable.
 func Decode(offset uint64, data []byte) (records []Record, skipped int, err error) {
 	var b wireBatch
 	if err := cbor.Unmarshal(data, &b); err != nil {
@@ -136,19 +139,20 @@
 			skipped++
 			continue
 		}
-		records = append(records, New(At(offset, i), b.Writer, b.First+uint64(i), m))
+		records = append(records, New(At(offset, i), b.Writer, b.FirstSeq+uint64(i), m))
 	}
 	return records, skipped, nil
 }
 
-// Identity returns the writer and first sequence number of an encoded batch.
-func Identity(data []byte) (writer string, first uint64, err error) {
+// Identity returns the writer and the first sequence number of an encoded batch,
+// which identify the batch.
+func Identity(data []byte) (writer string, firstSeq uint64, err error) {
 	var b struct {
-		Writer string `cbor:"2,keyasint"`
-		First  uint64 `cbor:"3,keyasint"`
+		Writer   string `cbor:"2,keyasint"`
+		FirstSeq uint64 `cbor:"3,keyasint"`
 	}
 	if err := cbor.Unmarshal(data, &b); err != nil {
 		return "", 0, errors.Mark(err, ErrCorrupt)
 	}
-	return b.Writer, b.First, nil
+	return b.Writer, b.FirstSeq, nil
 }
