--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -1,5 +1,5 @@
-// Package bundle defines the configuration bundle: its format, checks,
-// signatures, and the rule by which one bundle follows another.
+// Package bundle defines the configuration bundle: its format and checks, the
+// operators' signatures, and the rules by which a bundle replaces its parent.
 package bundle
 
 import (
@@ -10,19 +10,19 @@
 
 // Document is the content of a bundle.
 type Document struct {
-	// Version counts up from bundle to bundle.
+	// Version is higher than that of the parent; the first bundle has version 1.
 	Version uint64 `yaml:"version" json:"version"`
-	// Parent is the digest of the bundle that this one follows; empty for the first.
+	// Parent is the digest of the bundle that this one replaces; empty for the first.
 	Parent    string    `yaml:"parent,omitempty" json:"parent,omitempty"`
 	Operators Operators `yaml:"operators"        json:"operators"`
-	// DataCentres are those that share the work; empty if there is only one.
+	// DataCentres lists the data centres that share work; empty if there is only one.
 	DataCentres  []DataCentre `yaml:"data-centres,omitempty" json:"data-centres,omitempty"`
 	Services     []Service    `yaml:"services"         json:"services"`
 	BatchClasses []BatchClass `yaml:"batch-classes"    json:"batch-classes"`
 	Teams        []Team       `yaml:"teams"            json:"teams"`
 }
 
-// DataCentre is a place with its own entries, workers and stream of jobs.
+// DataCentre is a data centre with its own entries, workers and stream of jobs.
 type DataCentre struct {
 	Name   string `yaml:"name"             json:"name"`
 	Region string `yaml:"region,omitempty" json:"region,omitempty"`
@@ -46,24 +46,24 @@
 type Service struct {
 	Name    string         `yaml:"name"    json:"name"`
 	Classes []RequestClass `yaml:"classes" json:"classes"`
-	// Slots is the number of requests that an endpoint works on at once.
+	// Slots is the number of requests that an endpoint processes at a time.
 	Slots int `yaml:"slots" json:"slots"`
-	// Connections is the most connections that an endpoint accepts.
+	// Connections is the maximum number of connections that an endpoint accepts.
 	Connections int `yaml:"connections" json:"connections"`
-	// BodyLimit is the largest request body in bytes.
+	// BodyLimit is the maximum size of a request body in bytes.
 	BodyLimit int64 `yaml:"body-limit" json:"body-limit"`
-	// Objective is the tail latency that the service should meet at the 99th percentile.
+	// Objective is the latency that the service should meet at the 99th percentile.
 	Objective Duration `yaml:"objective" json:"objective"`
 }
 
 // RequestClass is a class of requests of one service.
 type RequestClass struct {
 	Name string `yaml:"name" json:"name"`
-	// Priority is from 0 to 9; the lowest is shed first.
+	// Priority is from 0 to 9; requests of the lowest priority are shed first.
 	Priority int `yaml:"priority" json:"priority"`
-	// Deadline is used for requests that name none.
+	// Deadline is the default for requests that have none.
 	Deadline Duration `yaml:"deadline" json:"deadline"`
-	// Expected is the declared service time.
+	// Expected is the declared service time of a request.
 	Expected Duration `yaml:"expected" json:"expected"`
 }
 
@@ -71,25 +71,27 @@
 type BatchClass struct {
 	Name     string `yaml:"name"     json:"name"`
 	Priority int    `yaml:"priority" json:"priority"`
-	// TakeoverAfter is how long a lost worker's task is left alone before it is started elsewhere.
+	// TakeoverAfter is how long a lost worker's task is left alone before it is
+	// started elsewhere.
 	TakeoverAfter Duration `yaml:"takeover-after" json:"takeover-after"`
-	// MaxAttempts is the number of failed runs after which a task is parked.
+	// MaxAttempts is the number of failed runs after which a task fails for good.
 	MaxAttempts int `yaml:"max-attempts" json:"max-attempts"`
-	// Size is what a task asks for if its submission does not say.
+	// Size is the default for the resources of a task.
 	Size worker.Resources `yaml:"size,omitempty" json:"size,omitzero"`
-	// Urgent jobs go before all others.
+	// Urgent means that jobs of this class are placed before all others.
 	Urgent bool `yaml:"urgent,omitempty" json:"urgent,omitempty"`
 }
 
-// Team is a caller with a share of the workers.
+// Team is a team that sends requests and submits jobs, with its share of the
+// workers.
 type Team struct {
 	Name  string           `yaml:"name"  json:"name"`
 	Quota worker.Resources `yaml:"quota" json:"quota"`
-	// TokenDigests are SHA-256 digests of the team's bearer tokens, in hex.
+	// TokenDigests are the SHA-256 digests of the team's bearer tokens in hex.
 	TokenDigests []string `yaml:"token-digests,omitempty" json:"token-digests,omitempty"`
 }
 
-// Duration is a time.Duration written as "250ms" or "2m".
+// Duration is a time.Duration in text form, such as "250ms" or "2m".
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// Service returns the service called name.
+// Service returns the service with the given name.
 func (d *Document) Service(name string) (*Service, bool) {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
@@ -118,7 +120,7 @@
 	return nil, false
 }
 
-// BatchClass returns the batch class called name.
+// BatchClass returns the batch class with the given name.
 func (d *Document) BatchClass(name string) (*BatchClass, bool) {
 	for i := range d.BatchClasses {
 		if d.BatchClasses[i].Name == name {
@@ -128,7 +130,7 @@
 	return nil, false
 }
 
-// Team returns the team called name.
+// Team returns the team with the given name.
 func (d *Document) Team(name string) (*Team, bool) {
 	for i := range d.Teams {
 		if d.Teams[i].Name == name {
@@ -138,7 +140,7 @@
 	return nil, false
 }
 
-// TeamByTokenDigest returns the team that a token's digest belongs to.
+// TeamByTokenDigest returns the team that has a token with the given digest.
 func (d *Document) TeamByTokenDigest(digest string) (*Team, bool) {
 	for i := range d.Teams {
 		for _, t := range d.Teams[i].TokenDigests {
@@ -150,7 +152,8 @@
 	return nil, false
 }
 
-// Class returns the request class called name; an empty name is the first class.
+// Class returns the request class with the given name, or the first class if the
+// name is empty.
 func (s *Service) Class(name string) (*RequestClass, bool) {
 	for i := range s.Classes {
 		if name == "" || s.Classes[i].Name == name {
--- a/pkg/bundle/chain.go
+++ b/pkg/bundle/chain.go
@@ -4,53 +4,57 @@
 
 // Errors returned by Chain.
 var (
-	// ErrSuperseded means that another bundle with the same parent came first, or a newer one is in force.
+	// ErrSuperseded means that another bundle with the same parent came first, or
+	// that a newer one is in force.
 	ErrSuperseded = errors.New("another bundle is in force")
-	// ErrNoParent means that the bundle's parent is not known here yet.
+	// ErrNoParent means that the bundle's parent is not known to this process yet.
 	ErrNoParent = errors.New("the bundle's parent is not known")
-	// ErrInForce means that the bundle is in force already.
-	ErrInForce = errors.New("the bundle is in force already")
+	// ErrInForce means that the bundle itself is already in force.
+	ErrInForce = errors.New("the bundle is already in force")
 )
 
-// Limits of a chain.
+// Limits on what a chain keeps.
 const (
-	// maxUndecided is the most bundles kept whose fate depends on what was not read.
+	// maxUndecided limits the number of bundles kept that cannot be decided on before
+	// a proof covers the part of the log that was not read.
 	maxUndecided = 64
-	// maxHistory is the most versions whose digest is remembered.
-	maxHistory = 512
+	// maxHistoryVersions limits the number of versions whose digest is remembered.
+	maxHistoryVersions = 512
 )
 
-// Chain holds the bundle in force. It only ever moves to a bundle of a higher
-// version. A chain with no bundle accepts a first bundle signed by the roots.
+// Chain holds the bundle in force and decides which bundle comes in force next. It
+// only ever moves to a bundle of a higher version. A chain without a bundle accepts
+// a first bundle that the root operators have signed.
 //
-// The first valid child of the bundle in force, in the order of the log, comes
-// in force next; a bundle whose parent is not in force at its offset is void. A
-// chain that has not read the log without a gap since its bundle came in force
-// cannot tell which child was the first. It keeps the bundles that it reads
-// until a proof tells it what was in force at an offset that it has read on from.
+// Of the valid children of the bundle in force, the first one in the order of the
+// log comes in force next; a bundle whose parent is not in force at its offset has
+// no effect. A chain that has missed part of the log since its bundle came in force
+// cannot tell which child was the first. It keeps the bundles that it reads until a
+// proof shows which bundle was in force at an offset from which it has read the log
+// without a gap.
 type Chain struct {
 	roots    Operators
 	signed   *Signed
 	document *Document
 	digest   string
-	// lineage holds the bundles since the roots that changed the operators.
-	lineage []*Signed
-	// covers is the offset before which the log is known to have put the bundle
-	// in force, and nothing newer.
-	covers uint64
-	// start is the offset since which the log was read without a gap.
-	start     uint64
-	undecided []undecided
-	history   map[uint64]string
+	// operatorChanges holds the bundles that changed the operators, from the roots on.
+	operatorChanges []*Signed
+	// endOffset is the offset up to which the log is taken into account: before it,
+	// the log has put this bundle in force and no newer one.
+	endOffset uint64
+	// readFromOffset is the offset from which the log was read without a gap.
+	readFromOffset  uint64
+	undecided       []undecidedBundle
+	digestByVersion map[uint64]string
 }
 
-// undecided is a bundle read at an offset after a gap.
-type undecided struct {
-	at     uint64
+// undecidedBundle is a bundle that was read after a gap, and its offset.
+type undecidedBundle struct {
+	offset uint64
 	signed *Signed
 }
 
-// NewChain returns a chain whose first bundle must be signed by roots.
+// NewChain returns a chain whose first bundle must be signed by the root operators.
 func NewChain(roots Operators) *Chain { return &Chain{roots: roots} }
 
 // Document returns the document in force, or nil.
@@ -70,83 +74,86 @@
 // Signed returns the signed bundle in force, or nil.
 func (c *Chain) Signed() *Signed { return c.signed }
 
-// Proof returns the bundle in force with what a process that knows only the
-// roots needs to verify it, or nil.
+// Proof returns the bundle in force together with what a process that knows only
+// the root operators needs to verify it, or nil.
 func (c *Chain) Proof() *Proof {
 	if c.signed == nil {
 		return nil
 	}
-	return &Proof{signed: c.signed, lineage: c.lineage, covers: c.covers}
+	return &Proof{signed: c.signed, operatorChanges: c.operatorChanges, endOffset: c.endOffset}
 }
 
-// Accepted returns the digest of the bundle that was in force as version. It is
-// "" for a version that is not remembered.
-func (c *Chain) Accepted(version uint64) string { return c.history[version] }
+// Accepted returns the digest of the bundle that came in force with a version, or
+// "" if it is not remembered.
+func (c *Chain) Accepted(version uint64) string { return c.digestByVersion[version] }
 
-// Check returns the error that Offer would return, and changes nothing.
+// Check returns the error that Offer would return, without changing anything.
 func (c *Chain) Check(s *Signed) error {
-	_, err := c.judge(s)
+	_, err := c.validate(s)
 	return err
 }
 
-// Offer puts s in force if it is a valid child of the bundle in force. The
-// caller offers every bundle of the log in order.
-func (c *Chain) Offer(s *Signed) error { return c.OfferAt(c.covers, s) }
+// Offer puts s in force if it is a valid child of the bundle in force. The caller
+// must offer the bundles of the log in their order.
+func (c *Chain) Offer(s *Signed) error { return c.OfferAt(c.endOffset, s) }
 
-// OfferAt is Offer for a bundle at an offset of the log.
-func (c *Chain) OfferAt(at uint64, s *Signed) error {
-	if at < c.covers {
-		return c.past(s)
+// OfferAt is like Offer for a bundle at a known offset of the log. If the bundle
+// cannot be decided on yet, OfferAt keeps it and returns ErrNoParent.
+func (c *Chain) OfferAt(offset uint64, s *Signed) error {
+	if offset < c.endOffset {
+		return c.rejectDecided(s)
 	}
-	if c.covers < c.start {
-		c.keep(undecided{at: at, signed: s})
-		return errors.Wrapf(ErrNoParent, "the log was read from offset %d, the bundle in force is known up to %d", c.start, c.covers)
+	if c.endOffset < c.readFromOffset {
+		c.addUndecided(undecidedBundle{offset: offset, signed: s})
+		return errors.Wrapf(ErrNoParent, "the log was read from offset %d on, but the bundle in force is known only up to offset %d", c.readFromOffset, c.endOffset)
 	}
-	c.covers = at
-	d, err := c.judge(s)
+	c.endOffset = offset
+	d, err := c.validate(s)
 	if err != nil {
 		return err
 	}
-	c.accept(s, d)
+	c.putInForce(s, d)
 	return nil
 }
 
-// past returns the error for a bundle from before the bundle in force was proven.
-func (c *Chain) past(s *Signed) error {
+// rejectDecided returns the error for a bundle at an offset before endOffset.
+func (c *Chain) rejectDecided(s *Signed) error {
 	if Digest(s.content) == c.digest {
 		return ErrInForce
 	}
 	return errors.Wrapf(ErrSuperseded, "version %d, digest %s", c.Version(), c.digest)
 }
 
-// keep remembers a bundle until it can be decided on. If there are too many, the
-// reading counts from after the oldest.
-func (c *Chain) keep(u undecided) {
+// addUndecided keeps a bundle until it can be decided on. If there are too many, it
+// drops the oldest one and treats the log as read only from after its offset.
+func (c *Chain) addUndecided(u undecidedBundle) {
 	c.undecided = append(c.undecided, u)
 	if len(c.undecided) > maxUndecided {
-		c.start = c.undecided[0].at + 1
+		c.readFromOffset = c.undecided[0].offset + 1
 		c.undecided = c.undecided[1:]
 	}
 }
 
-// ReadFrom notes that reading goes on at an offset after a gap.
+// ReadFrom notes that part of the log was skipped and that reading continues at an
+// offset.
 func (c *Chain) ReadFrom(offset uint64) {
-	c.start = offset
+	c.readFromOffset = offset
 	c.undecided = nil
 }
 
-// ReadTo notes that every bundle before an offset has been offered.
+// ReadTo notes that every bundle before an offset of the log has been offered.
 func (c *Chain) ReadTo(next uint64) {
-	if c.covers >= c.start && next > c.covers {
-		c.covers = next
+	if c.endOffset >= c.readFromOffset && next > c.endOffset {
+		c.endOffset = next
 	}
 }
 
-// Attached reports whether the chain follows the log without a gap.
-func (c *Chain) Attached() bool { return c.covers >= c.start }
+// Attached reports whether the chain has read the log without a gap since its end
+// offset, so that it can decide on the next bundle.
+func (c *Chain) Attached() bool { return c.endOffset >= c.readFromOffset }
 
-// judge returns the document of s if it may come in force now.
-func (c *Chain) judge(s *Signed) (*Document, error) {
+// validate returns the document of s if s may come in force now.
+func (c *Chain) validate(s *Signed) (*Document, error) {
 	digest := Digest(s.content)
 	if digest == c.digest {
 		return nil, ErrInForce
@@ -164,31 +171,31 @@
 	return d, c.signers().Verify(s)
 }
 
-// accept puts a judged bundle in force.
-func (c *Chain) accept(s *Signed, d *Document) {
+// putInForce puts a validated bundle in force.
+func (c *Chain) putInForce(s *Signed, d *Document) {
 	if !d.Operators.equal(c.signers()) {
-		c.lineage = append(c.lineage[:len(c.lineage):len(c.lineage)], s)
+		c.operatorChanges = append(c.operatorChanges[:len(c.operatorChanges):len(c.operatorChanges)], s)
 	}
 	c.signed, c.document, c.digest = s, d, Digest(s.content)
-	if c.history == nil {
-		c.history = make(map[uint64]string)
+	if c.digestByVersion == nil {
+		c.digestByVersion = make(map[uint64]string)
 	}
-	c.history[d.Version] = c.digest
-	for v := range c.history {
-		if v+maxHistory <= d.Version {
-			delete(c.history, v)
+	c.digestByVersion[d.Version] = c.digest
+	for v := range c.digestByVersion {
+		if v+maxHistoryVersions <= d.Version {
+			delete(c.digestByVersion, v)
 		}
 	}
 }
 
-// Adopt puts the bundle of a proof in force if its version is higher and its
-// signatures follow from the operators in force here. It is meant for what a
-// peer has in force and for what was carried forward in the log, where the
-// bundles between may be missing.
+// Adopt puts the bundle of a proof in force if its version is higher and the proof
+// leads from the operators in force here to the bundle's signatures. It is meant
+// for a bundle that a peer has in force or that was carried forward in the log,
+// where the bundles in between may be missing.
 func (c *Chain) Adopt(p *Proof) error {
 	digest := Digest(p.signed.content)
 	if digest == c.digest {
-		c.attach(p.covers)
+		c.advanceEndOffset(p.endOffset)
 		return ErrInForce
 	}
 	d, err := Parse(p.signed.content)
@@ -198,63 +205,66 @@
 	if d.Version <= c.Version() {
 		return errors.Wrapf(ErrSuperseded, "version %d, digest %s", c.Version(), c.digest)
 	}
-	trusted, steps, err := c.follow(p, d)
+	trusted, changes, err := c.verifyOperatorChanges(p, d)
 	if err != nil {
 		return err
 	}
 	if err := trusted.Verify(p.signed); err != nil {
 		return err
 	}
-	c.lineage = append(c.lineage[:len(c.lineage):len(c.lineage)], steps...)
-	if !d.Operators.equal(trusted) && !p.endsLineage() {
-		c.lineage = append(c.lineage, p.signed)
+	c.operatorChanges = append(c.operatorChanges[:len(c.operatorChanges):len(c.operatorChanges)], changes...)
+	if !d.Operators.equal(trusted) && !p.isLastOperatorChange() {
+		c.operatorChanges = append(c.operatorChanges, p.signed)
 	}
 	c.signed, c.document, c.digest = p.signed, d, digest
-	c.history = map[uint64]string{d.Version: digest}
-	c.attach(p.covers)
+	c.digestByVersion = map[uint64]string{d.Version: digest}
+	c.advanceEndOffset(p.endOffset)
 	return nil
 }
 
-// attach notes that the bundle in force is that of the log before an offset. If
-// the log was read from there on, the bundles read since are decided.
-func (c *Chain) attach(covers uint64) {
-	c.covers = max(c.covers, covers)
-	if c.covers < c.start {
+// advanceEndOffset notes that the bundle in force is the newest one that the log
+// has put in force before an offset. If the log was read from there on without a
+// gap, it then decides on the bundles that were kept.
+func (c *Chain) advanceEndOffset(offset uint64) {
+	c.endOffset = max(c.endOffset, offset)
+	if c.endOffset < c.readFromOffset {
 		return
 	}
 	rest := c.undecided
 	c.undecided = nil
 	for _, u := range rest {
-		_ = c.OfferAt(u.at, u.signed) // a refusal changes nothing
+		_ = c.OfferAt(u.offset, u.signed) // an invalid bundle has no effect
 	}
 }
 
-// follow walks the proof's changes of operators from the operators in force
-// here. It returns the operators that must have signed the proof's bundle.
-func (c *Chain) follow(p *Proof, d *Document) (*Operators, []*Signed, error) {
+// verifyOperatorChanges follows the proof's changes of operators, starting with the
+// operators in force here. It returns the operators who must have signed the
+// proof's bundle, and the changes that it has verified.
+func (c *Chain) verifyOperatorChanges(p *Proof, d *Document) (*Operators, []*Signed, error) {
 	trusted := c.signers()
 	version := c.Version()
-	var steps []*Signed
-	for _, s := range p.lineage {
-		step, err := parseStep(s.content)
+	var changes []*Signed
+	for _, s := range p.operatorChanges {
+		change, err := parseOperatorChange(s.content)
 		if err != nil {
 			return nil, nil, err
 		}
-		if step.Version <= version || trusted.Verify(s) != nil {
+		if change.Version <= version || trusted.Verify(s) != nil {
 			continue
 		}
-		if step.Version > d.Version {
-			return nil, nil, errors.Wrapf(ErrCorrupt, "the lineage names version %d after version %d", step.Version, d.Version)
+		if change.Version > d.Version {
+			return nil, nil, errors.Wrapf(ErrCorrupt, "the proof has a change of operators in version %d, but its bundle has version %d", change.Version, d.Version)
 		}
-		steps = append(steps, s)
-		version = step.Version
+		changes = append(changes, s)
+		version = change.Version
 		if Digest(s.content) != Digest(p.signed.content) {
-			trusted = &step.Operators
+			trusted = &change.Operators
 		}
 	}
-	return trusted, steps, nil
+	return trusted, changes, nil
 }
 
+// signers returns the operators who must sign the next bundle.
 func (c *Chain) signers() *Operators {
 	if c.document == nil {
 		return &c.roots
--- a/pkg/bundle/chain_test.go
+++ b/pkg/bundle/chain_test.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// testKey returns the same key for the same name.
+// testKey returns a key derived from the name.
 func testKey(name string) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
@@ -28,17 +28,17 @@
 	return o
 }
 
-// testBundle is one bundle of the chain's test cases.
+// testBundle describes one bundle of the test cases.
 type testBundle struct {
 	version   uint64
 	parent    string
 	operators Operators
-	// slots makes bundles of one version differ.
+	// slots makes bundles with the same version differ.
 	slots   int
 	signers []string
 }
 
-// testBundles returns the named bundles of testdata/chain.json, signed.
+// testBundles returns the signed bundles that testdata/chain.json refers to by name.
 func testBundles(t *testing.T) map[string]*Signed {
 	t.Helper()
 	alice, bob := testOperators(1, "alice"), testOperators(1, "bob")
@@ -104,7 +104,8 @@
 	Offer   string   `json:"offer"`
 	Adopt   string   `json:"adopt"`
 	Lineage []string `json:"lineage"`
-	// At is the offset of an offer, if it matters; Covers is that of a proof.
+	// At is the offset of an offered bundle, 0 for Offer without an offset; Covers is
+	// the end offset of an adopted proof.
 	At       uint64  `json:"at"`
 	Covers   uint64  `json:"covers"`
 	ReadFrom uint64  `json:"read-from"`
@@ -121,7 +122,8 @@
 	"accepted": nil, "superseded": ErrSuperseded, "no-parent": ErrNoParent, "in-force": ErrInForce, "signatures": ErrSignatures,
 }
 
-// TestChainFaults runs the table of offers, forgeries and late births.
+// TestChainFaults runs the cases of testdata/chain.json: bundles offered in and out
+// of order, forged bundles, and chains that begin to read the log late.
 func TestChainFaults(t *testing.T) {
 	data, err := os.ReadFile("testdata/chain.json")
 	if err != nil {
@@ -180,25 +182,26 @@
 	if s.Offer != "" {
 		return chain.Offer(bundles[s.Offer])
 	}
-	p := &Proof{signed: bundles[s.Adopt], covers: s.Covers}
+	p := &Proof{signed: bundles[s.Adopt], endOffset: s.Covers}
 	for _, name := range s.Lineage {
-		p.lineage = append(p.lineage, bundles[name])
+		p.operatorChanges = append(p.operatorChanges, bundles[name])
 	}
-	signed, lineage, err := p.Encode()
+	signed, operatorChanges, err := p.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	decoded, err := DecodeProof(signed, lineage, p.covers)
+	decoded, err := DecodeProof(signed, operatorChanges, p.endOffset)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return chain.Adopt(decoded)
 }
 
-// TestProofOutlivesParents checks that the proof of a chain with many changes
-// of operators is enough for a process that knows only the roots.
-func TestProofOutlivesParents(t *testing.T) {
-	old := NewChain(testOperators(1, "key-0"))
+// TestProofVerifiesWithoutParents checks that the proof of a chain with several
+// changes of operators is enough for a process that knows only the root operators
+// and has none of the bundle's parents.
+func TestProofVerifiesWithoutParents(t *testing.T) {
+	full := NewChain(testOperators(1, "key-0"))
 	parent := ""
 	for v := range uint64(40) {
 		signer := fmt.Sprintf("key-%d", v/10)
@@ -211,29 +214,30 @@
 		}
 		s := NewSigned(content)
 		s.Sign(signer, testKey(signer))
-		if err := old.Offer(s); err != nil {
+		if err := full.Offer(s); err != nil {
 			t.Fatalf("version %d: %v", v+1, err)
 		}
 		parent = Digest(content)
-		young := NewChain(testOperators(1, "key-0"))
-		if err := young.Adopt(old.Proof()); err != nil {
+		fromRoots := NewChain(testOperators(1, "key-0"))
+		if err := fromRoots.Adopt(full.Proof()); err != nil {
 			t.Errorf("version %d: adopt: got %v, want no error", v+1, err)
 		}
-		if got, want := len(young.lineage), len(old.lineage); got != want {
-			t.Errorf("version %d: lineage: got %d bundles, want %d", v+1, got, want)
+		if got, want := len(fromRoots.operatorChanges), len(full.operatorChanges); got != want {
+			t.Errorf("version %d: changes of operators: got %d, want %d", v+1, got, want)
 		}
 	}
-	if got, want := len(old.lineage), 4; got != want {
-		t.Errorf("lineage after 40 bundles: got %d, want %d", got, want)
+	if got, want := len(full.operatorChanges), 4; got != want {
+		t.Errorf("changes of operators after 40 bundles: got %d, want %d", got, want)
 	}
-	rerooted := NewChain(testOperators(1, "key-2"))
-	if err := rerooted.Adopt(old.Proof()); err != nil {
+	newerRoots := NewChain(testOperators(1, "key-2"))
+	if err := newerRoots.Adopt(full.Proof()); err != nil {
 		t.Errorf("adopt with newer roots: got %v, want no error", err)
 	}
 }
 
-// TestChainRemembersWinners checks what a late operator is told.
-func TestChainRemembersWinners(t *testing.T) {
+// TestChainRemembersAcceptedDigests checks that an operator whose bundle came too
+// late can be told which bundle came in force instead.
+func TestChainRemembersAcceptedDigests(t *testing.T) {
 	b := testBundles(t)
 	chain := NewChain(testOperators(1, "alice"))
 	for _, name := range []string{"a1", "b2"} {
--- a/pkg/bundle/diff.go
+++ b/pkg/bundle/diff.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Change is one difference between two documents.
+// Change is the difference in one field between two documents.
 type Change struct {
-	// Field is the place, with list items called by their names.
+	// Field is the path of the field. List items are given by their names.
 	Field    string
 	Old, New string
 }
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Field, c.Old, c.New)
 }
 
-// Diff returns what changes from one document to another, in order of the
-// fields' names. The version and the parent are left out.
+// Diff returns the changes from one document to another, ordered by field. The
+// version and the parent are left out.
 func Diff(from, to *Document) ([]Change, error) {
 	before, err := flatten(from)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return out, nil
 }
 
-// flatten returns the values of a document by their places.
+// flatten returns the values of a document's fields by the paths of the fields.
 func flatten(d *Document) (map[string]string, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
@@ -65,28 +65,30 @@
 	delete(tree, "version")
 	delete(tree, "parent")
 	out := make(map[string]string)
-	walk("", tree, out)
+	flattenInto("", tree, out)
 	return out, nil
 }
 
-func walk(at string, value any, out map[string]string) {
+// flattenInto adds the fields of a value to out. The value itself is at the given
+// path; fields with zero values are left out.
+func flattenInto(path string, value any, out map[string]string) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, child := range v {
-			walk(strings.TrimPrefix(at+"."+name, "."), child, out)
+			flattenInto(strings.TrimPrefix(path+"."+name, "."), child, out)
 		}
 	case []any:
 		for i, child := range v {
-			walk(fmt.Sprintf("%s[%s]", at, itemName(i, child)), child, out)
+			flattenInto(fmt.Sprintf("%s[%s]", path, itemName(i, child)), child, out)
 		}
 	default:
 		if v != nil && !reflect.ValueOf(v).IsZero() {
-			out[at] = fmt.Sprint(v)
+			out[path] = fmt.Sprint(v)
 		}
 	}
 }
 
-// itemName returns the name of a list's item, or its index.
+// itemName returns the name of a list item, or its index if it has none.
 func itemName(i int, item any) string {
 	if m, ok := item.(map[string]any); ok {
 		if name, ok := m["name"].(string); ok {
--- a/pkg/bundle/diff_test.go
+++ b/pkg/bundle/diff_test.go
@@ -7,7 +7,7 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// TestDiffNamesItems checks that a difference names list items, not indexes.
+// TestDiffNamesItems checks that changes give list items by name, not by index.
 func TestDiffNamesItems(t *testing.T) {
 	from := testDocument(1, 8, testOperators(1, "alice"))
 	from.Teams = []Team{{Name: "clinics", Quota: worker.Resources{MilliCPU: 1000}}, {Name: "nursery"}}
--- a/pkg/bundle/fuzz_test.go
+++ b/pkg/bundle/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzParse checks that any text is either refused or a document that passes
-// its own checks and can be written and read again.
+// FuzzParse checks that arbitrary text is either refused or parsed to a document
+// that can be formatted and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("version: 1\n"))
 	f.Add([]byte("version: 1\noperators: {threshold: 1, keys: [{name: a, public-key: AAAA}]}\nteams: [{name: t, quota: {milli-cpu: -1}}]\n"))
@@ -22,8 +22,8 @@
 	})
 }
 
-// FuzzDecodeSigned checks that any bytes are refused or can be encoded again,
-// and that nothing unsigned comes in force.
+// FuzzDecodeSigned checks that arbitrary bytes are either refused or can be encoded
+// again, and that no bundle without a valid signature comes in force.
 func FuzzDecodeSigned(f *testing.F) {
 	f.Add([]byte{0xa2, 0x01, 0x41, 0x61, 0x02, 0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/pkg/bundle/key.go
+++ b/pkg/bundle/key.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrKey means that a key could not be read.
+// ErrKey means that a key or a list of operators could not be parsed.
 var ErrKey = errors.New("the key is not valid")
 
-// GenerateKey returns a new private key and its public half in base64.
+// GenerateKey returns a new private key, and its public key in base64.
 func GenerateKey(random io.Reader) (ed25519.PrivateKey, string, error) {
 	public, private, err := ed25519.GenerateKey(random)
 	if err != nil {
@@ -21,12 +21,12 @@
 	return private, base64.StdEncoding.EncodeToString(public), nil
 }
 
-// FormatPrivateKey returns the key's seed in base64.
+// FormatPrivateKey returns the seed of a private key in base64.
 func FormatPrivateKey(key ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(key.Seed())
 }
 
-// ParsePrivateKey reads what FormatPrivateKey wrote.
+// ParsePrivateKey parses what FormatPrivateKey returned.
 func ParsePrivateKey(text string) (ed25519.PrivateKey, error) {
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil || len(seed) != ed25519.SeedSize {
@@ -35,7 +35,8 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// ParseRoots reads "name=public-key" pairs separated by commas.
+// ParseRoots parses the root operators, the trust anchor of a chain, from
+// "name=public-key" pairs separated by commas.
 func ParseRoots(text string, threshold int) (Operators, error) {
 	o := Operators{Threshold: threshold}
 	for _, pair := range strings.Split(text, ",") {
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -11,10 +11,10 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// ErrInvalid means that a bundle failed its checks.
+// ErrInvalid means that a bundle's document cannot be parsed or fails a check.
 var ErrInvalid = errors.New("the bundle is not valid")
 
-// Limits on a bundle's content.
+// Limits on the fields of a document.
 const (
 	maxNameLength = 63
 	maxPriority   = 9
@@ -22,14 +22,14 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// Parse reads a document and checks every field. The error names each wrong
-// field and its place.
+// Parse parses a document and checks every field. The error names each wrong field
+// and its line.
 func Parse(data []byte) (*Document, error) {
 	var d Document
 	if err := yaml.UnmarshalWithOptions(data, &d, yaml.Strict()); err != nil {
 		return nil, errors.Mark(errors.Newf("%s", yaml.FormatError(err, false, true)), ErrInvalid)
 	}
-	c := checker{line: lines(data)}
+	c := checker{lineOf: lineFinder(data)}
 	c.document(&d)
 	if c.err != nil {
 		return nil, c.err
@@ -37,8 +37,9 @@
 	return &d, nil
 }
 
-// lines returns a function that finds the line of a field, or 0.
-func lines(data []byte) func(field string) int {
+// lineFinder returns a function that returns the line of a field, or 0 if it is not
+// found.
+func lineFinder(data []byte) func(field string) int {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return nil
@@ -56,10 +57,10 @@
 	}
 }
 
-// Format writes a document in the form that Parse reads.
+// Format formats a document as Parse reads it.
 func Format(d *Document) ([]byte, error) { return yaml.Marshal(d) }
 
-// Check returns an error that names every field with a wrong value.
+// Check checks every field. The error names each wrong field.
 func (d *Document) Check() error {
 	var c checker
 	c.document(d)
@@ -67,8 +68,8 @@
 }
 
 func (c *checker) document(d *Document) {
-	c.want(d.Version > 0, "version", "must be at least 1")
-	c.want((d.Version == 1) == (d.Parent == ""), "parent", "must be given from version 2 on, and only then")
+	c.require(d.Version > 0, "version", "must be at least 1")
+	c.require((d.Version == 1) == (d.Parent == ""), "parent", "must be set from version 2 on and empty in version 1")
 	c.operators(&d.Operators)
 	seen := names{}
 	for i := range d.DataCentres {
@@ -90,7 +91,7 @@
 	for i := range d.Teams {
 		at := fmt.Sprintf("teams[%d]", i)
 		c.name(at, d.Teams[i].Name, seen)
-		c.want(d.Teams[i].Quota.Valid(), at+".quota", "must not be negative")
+		c.require(d.Teams[i].Quota.Valid(), at+".quota", "must not be negative")
 	}
 }
 
@@ -98,17 +99,17 @@
 
 type checker struct {
 	err error
-	// line, if set, returns the line of a field, or 0.
-	line func(field string) int
+	// lineOf returns the line of a field, or 0 if unknown; it is nil if no line is known.
+	lineOf func(field string) int
 }
 
-func (c *checker) want(ok bool, field, rule string) {
+func (c *checker) require(ok bool, field, rule string) {
 	if ok {
 		return
 	}
 	place := field
-	if c.line != nil {
-		if n := c.line(field); n > 0 {
+	if c.lineOf != nil {
+		if n := c.lineOf(field); n > 0 {
 			place = fmt.Sprintf("line %d: %s", n, field)
 		}
 	}
@@ -116,14 +117,14 @@
 }
 
 func (c *checker) name(at, name string, seen names) {
-	c.want(len(name) <= maxNameLength && namePattern.MatchString(name), at+".name",
+	c.require(len(name) <= maxNameLength && namePattern.MatchString(name), at+".name",
 		"must be 1 to 63 lower-case letters, digits and hyphens")
-	c.want(!seen[name], at+".name", fmt.Sprintf("%q is used twice", name))
+	c.require(!seen[name], at+".name", fmt.Sprintf("%q is used twice", name))
 	seen[name] = true
 }
 
 func (c *checker) operators(o *Operators) {
-	c.want(o.Threshold >= 1 && o.Threshold <= len(o.Keys), "operators.threshold",
+	c.require(o.Threshold >= 1 && o.Threshold <= len(o.Keys), "operators.threshold",
 		"must be from 1 to the number of keys")
 	seen := names{}
 	keys := names{}
@@ -131,42 +132,43 @@
 		at := fmt.Sprintf("operators.keys[%d]", i)
 		c.name(at, k.Name, seen)
 		raw, err := base64.StdEncoding.DecodeString(k.Public)
-		c.want(err == nil && len(raw) == ed25519.PublicKeySize, at+".public-key",
+		c.require(err == nil && len(raw) == ed25519.PublicKeySize, at+".public-key",
 			"must be an ed25519 public key in base64")
-		c.want(!keys[k.Public], at+".public-key", "is used twice")
+		c.require(!keys[k.Public], at+".public-key", "is used twice")
 		keys[k.Public] = true
 	}
 }
 
 func (c *checker) service(at string, s *Service) {
-	c.want(len(s.Classes) > 0, at+".classes", "must name at least one class")
-	c.want(s.Slots > 0, at+".slots", "must be at least 1")
-	c.want(s.Connections >= s.Slots, at+".connections", "must be at least slots")
-	c.want(s.BodyLimit > 0, at+".body-limit", "must be at least 1 byte")
-	c.want(s.Objective > 0, at+".objective", "must be longer than 0")
+	c.require(len(s.Classes) > 0, at+".classes", "must name at least one class")
+	c.require(s.Slots > 0, at+".slots", "must be at least 1")
+	c.require(s.Connections >= s.Slots, at+".connections", "must be at least slots")
+	c.require(s.BodyLimit > 0, at+".body-limit", "must be at least 1 byte")
+	c.require(s.Objective > 0, at+".objective", "must be longer than 0")
 	seen := names{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		in := fmt.Sprintf("%s.classes[%d]", at, i)
 		c.name(in, class.Name, seen)
 		c.priority(in, class.Priority)
-		c.want(class.Deadline > 0, in+".deadline", "must be longer than 0")
-		c.want(class.Expected > 0, in+".expected", "must be longer than 0")
+		c.require(class.Deadline > 0, in+".deadline", "must be longer than 0")
+		c.require(class.Expected > 0, in+".expected", "must be longer than 0")
 	}
 }
 
 func (c *checker) batchClass(at string, b *BatchClass) {
 	c.priority(at, b.Priority)
-	c.want(b.TakeoverAfter > 0, at+".takeover-after", "must be longer than 0")
-	c.want(b.MaxAttempts > 0, at+".max-attempts", "must be at least 1")
-	c.want(b.Size.Valid(), at+".size", "must not be negative")
+	c.require(b.TakeoverAfter > 0, at+".takeover-after", "must be longer than 0")
+	c.require(b.MaxAttempts > 0, at+".max-attempts", "must be at least 1")
+	c.require(b.Size.Valid(), at+".size", "must not be negative")
 }
 
 func (c *checker) priority(at string, p int) {
-	c.want(p >= 0 && p <= maxPriority, at+".priority", "must be from 0 to 9")
+	c.require(p >= 0 && p <= maxPriority, at+".priority", "must be from 0 to 9")
 }
 
-// ParseTemplate reads a document without operators and puts operators in.
+// ParseTemplate parses a document without operators, sets its operators and checks
+// every field.
 func ParseTemplate(data []byte, operators Operators) (*Document, error) {
 	var d Document
 	if err := yaml.UnmarshalWithOptions(data, &d, yaml.Strict()); err != nil {
--- a/pkg/bundle/proof.go
+++ b/pkg/bundle/proof.go
@@ -5,74 +5,76 @@
 	"github.com/goccy/go-yaml"
 )
 
-// maxLineage is the most changes of operators that a proof may carry.
-const maxLineage = 256
+// maxOperatorChanges limits the number of changes of operators in a proof.
+const maxOperatorChanges = 256
 
-// Proof is a bundle in force with the bundles that changed the operators
-// before it. Each of those is signed by the operators that the one before named,
-// so that a process which knows only the roots can verify the bundle although
-// its parents are no longer kept.
+// Proof is a bundle in force together with the bundles that changed the operators
+// before it. Each of those is signed by the operators that the one before it names,
+// so that a process that knows only the root operators can verify the bundle
+// although its parents are no longer kept.
 type Proof struct {
-	signed  *Signed
-	lineage []*Signed
-	// covers is the offset of the log before which nothing newer was in force.
-	covers uint64
+	signed          *Signed
+	operatorChanges []*Signed
+	// endOffset is the offset of the log before which no newer bundle came in force.
+	endOffset uint64
 }
 
 // Signed returns the proof's bundle.
 func (p *Proof) Signed() *Signed { return p.signed }
 
-// Covers returns the log offset before which nothing newer was in force.
-func (p *Proof) Covers() uint64 { return p.covers }
+// Covers returns the offset of the log before which no newer bundle came in force.
+func (p *Proof) Covers() uint64 { return p.endOffset }
 
-// Encode returns the wire forms of the bundle and its lineage.
-func (p *Proof) Encode() (signed []byte, lineage [][]byte, err error) {
-	for _, s := range p.lineage {
+// Encode encodes the bundle and the bundles that changed the operators.
+func (p *Proof) Encode() (signed []byte, operatorChanges [][]byte, err error) {
+	for _, s := range p.operatorChanges {
 		data, err := s.Encode()
 		if err != nil {
 			return nil, nil, err
 		}
-		lineage = append(lineage, data)
+		operatorChanges = append(operatorChanges, data)
 	}
 	signed, err = p.signed.Encode()
-	return signed, lineage, err
+	return signed, operatorChanges, err
 }
 
-// DecodeProof reads the wire forms of a proof that covers the log up to an offset.
-func DecodeProof(signed []byte, lineage [][]byte, covers uint64) (*Proof, error) {
-	if len(lineage) > maxLineage {
-		return nil, errors.Wrapf(ErrCorrupt, "a lineage of %d bundles, want at most %d", len(lineage), maxLineage)
+// DecodeProof decodes what Encode returned into a proof for the log before endOffset.
+func DecodeProof(signed []byte, operatorChanges [][]byte, endOffset uint64) (*Proof, error) {
+	if len(operatorChanges) > maxOperatorChanges {
+		return nil, errors.Wrapf(ErrCorrupt, "proof has too many changes of operators: got %d, want at most %d", len(operatorChanges), maxOperatorChanges)
 	}
 	s, err := DecodeSigned(signed)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proof{signed: s, covers: covers}
-	for _, data := range lineage {
-		step, err := DecodeSigned(data)
+	p := &Proof{signed: s, endOffset: endOffset}
+	for _, data := range operatorChanges {
+		change, err := DecodeSigned(data)
 		if err != nil {
 			return nil, err
 		}
-		p.lineage = append(p.lineage, step)
+		p.operatorChanges = append(p.operatorChanges, change)
 	}
 	return p, nil
 }
 
-// endsLineage reports whether the bundle itself is the last change of operators.
-func (p *Proof) endsLineage() bool {
-	n := len(p.lineage)
-	return n > 0 && Digest(p.lineage[n-1].content) == Digest(p.signed.content)
+// isLastOperatorChange reports whether the proof's bundle is itself the last one of
+// its changes of operators.
+func (p *Proof) isLastOperatorChange() bool {
+	n := len(p.operatorChanges)
+	return n > 0 && Digest(p.operatorChanges[n-1].content) == Digest(p.signed.content)
 }
 
-// step is what a lineage needs to know of a document. Other fields are not
-// read, so that documents of older formats stay usable.
-type step struct {
+// operatorChange holds the fields of a document that are needed to verify a change
+// of operators. Other fields are not read, so that documents of older formats stay
+// usable.
+type operatorChange struct {
 	Version   uint64    `yaml:"version"`
 	Operators Operators `yaml:"operators"`
 }
 
-func parseStep(content []byte) (*step, error) {
-	var s step
+func parseOperatorChange(content []byte) (*operatorChange, error) {
+	var s operatorChange
 	if err := yaml.Unmarshal(content, &s); err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "lineage"), ErrInvalid)
 	}
@@ -81,7 +83,8 @@
 	return &s, c.err
 }
 
-// equal reports whether both name the same keys and threshold.
+// equal reports whether both have the same keys, in the same order, and the same
+// threshold.
 func (o *Operators) equal(other *Operators) bool {
 	if o.Threshold != other.Threshold || len(o.Keys) != len(other.Keys) {
 		return false
--- a/pkg/bundle/schema.go
+++ b/pkg/bundle/schema.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// schema is a node of a JSON schema.
+// schema is a JSON schema.
 type schema struct {
 	Schema      string             `json:"$schema,omitempty"`
 	Title       string             `json:"title,omitempty"`
@@ -20,7 +20,7 @@
 	Items       *schema            `json:"items,omitempty"`
 }
 
-// durationPattern is the form of a Duration.
+// durationPattern is the pattern of a Duration in text form.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`
 
 // Schema returns the JSON schema of a bundle's document.
--- a/pkg/bundle/schema_test.go
+++ b/pkg/bundle/schema_test.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestPublishedSchema checks that the published schema is that of the program.
+// TestPublishedSchema checks that the schema in docs is the one that the program
+// prints.
 func TestPublishedSchema(t *testing.T) {
 	got, err := Schema()
 	if err != nil {
@@ -24,8 +25,8 @@
 	}
 }
 
-// TestErrorsNameTheirPlace checks that wrong fields are named with their lines.
-func TestErrorsNameTheirPlace(t *testing.T) {
+// TestErrorsNameFieldAndLine checks that errors name each wrong field and its line.
+func TestErrorsNameFieldAndLine(t *testing.T) {
 	text := `version: 1
 operators: {threshold: 2, keys: []}
 services:
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Errors returned by signature checks.
+// Errors returned when signed bundles are decoded and verified.
 var (
 	// ErrSignatures means that too few operators have signed.
 	ErrSignatures = errors.New("too few operators have signed the bundle")
@@ -18,13 +18,13 @@
 	ErrCorrupt = errors.New("the signed bundle is corrupt")
 )
 
-// Signed is a document's bytes with the operators' signatures over them.
+// Signed is a bundle: the bytes of a document, and operators' signatures of them.
 type Signed struct {
 	content    []byte
 	signatures []Signature
 }
 
-// Signature is one operator's signature.
+// Signature is the ed25519 signature of one operator.
 type Signature struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
@@ -36,18 +36,19 @@
 	Signatures []Signature `cbor:"2,keyasint"`
 }
 
-// NewSigned returns content without signatures.
+// NewSigned returns a bundle without signatures.
 func NewSigned(content []byte) *Signed { return &Signed{content: content} }
 
-// Content returns the document's bytes.
+// Content returns the bytes of the document.
 func (s *Signed) Content() []byte { return s.content }
 
-// Sign adds the signature of the operator called name.
+// Sign adds the signature of the operator with the given name.
 func (s *Signed) Sign(name string, key ed25519.PrivateKey) {
 	s.signatures = append(s.signatures, Signature{Name: name, Sum: ed25519.Sign(key, s.content)})
 }
 
-// Signers returns the names given with the signatures, unchecked.
+// Signers returns the names of the operators whose signatures are attached. The
+// signatures are not verified.
 func (s *Signed) Signers() []string {
 	out := make([]string, len(s.signatures))
 	for i, g := range s.signatures {
@@ -56,12 +57,12 @@
 	return out
 }
 
-// Encode returns the wire form.
+// Encode encodes the bundle.
 func (s *Signed) Encode() ([]byte, error) {
 	return cbor.Marshal(wireSigned{Content: s.content, Signatures: s.signatures})
 }
 
-// DecodeSigned reads the wire form.
+// DecodeSigned decodes a bundle without verifying its signatures.
 func DecodeSigned(data []byte) (*Signed, error) {
 	var w wireSigned
 	if err := cbor.Unmarshal(data, &w); err != nil {
@@ -70,27 +71,28 @@
 	return &Signed{content: w.Content, signatures: w.Signatures}, nil
 }
 
-// Digest returns the hex SHA-256 digest that names a document.
+// Digest returns the SHA-256 digest of a document in hex, by which it is identified.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// Verify checks that enough of the operators have signed.
+// Verify checks that at least Threshold of the operators have signed the bundle.
 func (o *Operators) Verify(s *Signed) error {
 	valid := 0
 	for _, k := range o.Keys {
-		if k.signed(s) {
+		if k.hasSigned(s) {
 			valid++
 		}
 	}
 	if valid < o.Threshold || o.Threshold < 1 {
-		return errors.Wrapf(ErrSignatures, "%d valid of %d needed", valid, o.Threshold)
+		return errors.Wrapf(ErrSignatures, "got %d valid signatures, want %d", valid, o.Threshold)
 	}
 	return nil
 }
 
-func (k *Key) signed(s *Signed) bool {
+// hasSigned reports whether the bundle has a valid signature by this key's operator.
+func (k *Key) hasSigned(s *Signed) bool {
 	public, err := base64.StdEncoding.DecodeString(k.Public)
 	if err != nil || len(public) != ed25519.PublicKeySize {
 		return false
