--- a/internal/attendant/ask.go
+++ b/internal/attendant/ask.go
@@ -7,13 +7,14 @@
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
 )
 
-// ask puts a question of the dispatcher's to the policy service and sends the answer back.
-func (a *Attendant) ask(ctx context.Context, q *dispatch.Question) {
+// answerQuestion forwards a question of the dispatcher to the placement policy
+// service and sends the answer back.
+func (a *Attendant) answerQuestion(ctx context.Context, q *dispatch.Question) {
 	answer := &peer.Advised{Seq: q.Seq}
-	advice, err := a.advise(ctx, q)
+	advice, err := a.askPolicy(ctx, q)
 	if err != nil {
 		a.count("questions-failed")
-		a.log.Warn().Err(err).Str("step", q.Step.String()).Uint64("question", q.Seq).Msg("asking for advice failed")
+		a.log.Warn().Err(err).Str("step", q.Step.String()).Uint64("question", q.Seq).Msg("placement policy question failed")
 		answer.Failed = true
 	} else {
 		a.count("questions")
@@ -26,9 +27,9 @@
 	}
 }
 
-func (a *Attendant) advise(ctx context.Context, q *dispatch.Question) (*Advice, error) {
+func (a *Attendant) askPolicy(ctx context.Context, q *dispatch.Question) (*Advice, error) {
 	if a.settings.Advise == nil {
-		return nil, errNoAdviser
+		return nil, errNoPolicyService
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
--- a/internal/attendant/ask_test.go
+++ b/internal/attendant/ask_test.go
@@ -28,13 +28,13 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}, true, ""},
-		{"nobody to ask", nil, true, ""},
+		{"no policy service", nil, true, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.agent.settings.Advise = tc.advise
 			q := dispatch.Question{Seq: 4, Step: workflow.StepID{Job: "a", Step: 1}, Instances: []string{"i-1"}, Timeout: 10 * time.Millisecond}
-			s.agent.take(context.Background(), &peer.Orders{Term: 3, Questions: []dispatch.Question{q}})
+			s.agent.handleOrders(context.Background(), &peer.Orders{Term: 3, Questions: []dispatch.Question{q}})
 			m := s.next(t, func(m *peer.Message) bool { return m.Advised != nil }).Advised
 			if m.Seq != 4 || m.Failed != tc.failed || m.Tickets["i-1"] != tc.ticket {
 				t.Errorf("got %+v, want answer 4, failed %v, ticket %q", m, tc.failed, tc.ticket)
--- a/internal/attendant/attendant.go
+++ b/internal/attendant/attendant.go
@@ -1,6 +1,10 @@
-// Package attendant is the agent beside a runner: it carries out the
-// dispatcher's orders, extends leases only as far as it was granted, and reports
-// what the runner lists.
+// Package attendant is the runner agent: the process beside the runner of a worker.
+// It carries out the dispatcher's orders and reports the runs that the runner lists.
+// It renews the leases of runs at the runner, up to the end of the worker lease,
+// which the dispatcher renews by answering the agent's pings.
+//
+// A life of a runner is the time between two restarts. It is identified by its start
+// time, since another life may have the same instance name.
 package attendant
 
 import (
@@ -20,49 +24,52 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Times of an agent.
+// Intervals and timeouts of an agent.
 const (
-	// pingEvery is how often the agent asks for more time, a tenth of a grant.
+	// pingEvery is how often the agent pings the dispatcher to renew the worker lease,
+	// less than a tenth of tenure.GrantFor.
 	pingEvery = 400 * time.Millisecond
-	// holdWait is how long one look at the runner waits for an end.
-	holdWait = time.Second
-	// callTimeout bounds a call to the runner, which is on the same machine.
+	// pollWait is how long the runner may delay its answer to a poll until a run ends.
+	pollWait = time.Second
+	// callTimeout bounds a call to the runner, which runs on the same machine.
 	callTimeout = time.Second
-	// sureFor is how long after a listing the runner is taken to be in the same
-	// life: one that ends breaks its calls off and takes longer to begin again.
-	sureFor = 250 * time.Millisecond
-	// lookGap is the least time between two looks; ends are passed on as late as this.
-	lookGap = 25 * time.Millisecond
-	// retryAfter is the delay after a call to the runner that failed.
+	// sameLifeFor is how long after a listing the runner is assumed not to have
+	// restarted: calls to a runner that ends fail, and a restart takes longer.
+	sameLifeFor = 250 * time.Millisecond
+	// minPollInterval is the minimum time between the beginnings of two polls; it delays
+	// reports of run ends.
+	minPollInterval = 25 * time.Millisecond
+	// retryAfter is the delay after a failed call to the runner.
 	retryAfter = 200 * time.Millisecond
-	// latestEffect is how long a start without an answer may still take effect: a
+	// maxStartDelay is how long a start without an answer may still take effect: a
 	// runner may carry it out up to 12 seconds late.
-	latestEffect = 13 * time.Second
-	// shortestGrant is what must be left of a grant for a start.
-	shortestGrant = 500 * time.Millisecond
-	// driftShare bounds the relative error of the runner's clock: one part in 50.
-	driftShare = 50
+	maxStartDelay = 13 * time.Second
+	// minLeaseLeft is how much of the worker lease must be left for a start.
+	minLeaseLeft = 500 * time.Millisecond
+	// clockDriftDivisor bounds the relative error of the runner's clock rate: one part in 50.
+	clockDriftDivisor = 50
 )
 
 // Settings configure an agent.
 type Settings struct {
-	// Name is the worker's name, unique among all.
+	// Name is the name of the worker, unique among all workers.
 	Name        string
 	Zone        string
 	Incarnation uint64
-	// Entries are peer addresses of entries that may be up.
+	// Entries are the peer addresses of entries to try first; some may be down.
 	Entries []string
-	// Advise asks which runners may run a step; nil if there is nobody to ask.
+	// Advise asks the placement policy service which runners may run a step; nil if there
+	// is no such service.
 	Advise func(ctx context.Context, step workflow.StepID, instances []string) (*Advice, error)
 }
 
-// runKey names one run of a task.
+// runKey identifies one run of a task.
 type runKey struct {
 	task workflow.TaskID
 	run  uint64
 }
 
-// Attendant is one running agent.
+// Attendant is one runner agent.
 type Attendant struct {
 	settings Settings
 	runner   Runner
@@ -70,47 +77,53 @@
 	log      *log.Logger
 	registry gometrics.Registry
 	group    sync.WaitGroup
-	looked   chan struct{}
+	wakePoll chan struct{}
 
 	// mu guards everything below. It is never held during I/O.
-	mu        sync.Mutex
-	announced Announcement
-	seq       uint64
-	life      uint64
-	// clockMS and clockAt are a reading of the runner's clock and when it arrived.
-	clockMS int64
-	clockAt time.Time
-	grant   tenure.Grant
-	// held is when the last lease that was asked for has ended.
-	held time.Time
-	// vacant is set once the dispatcher was told that nothing runs.
-	vacant bool
-	term   uint64
-	conn   *peer.Conn
-	rows   []dispatch.Row
-	ends   []dispatch.End
-	// told is the last end that the dispatcher was told, noted the last that it has stored.
-	told  uint64
-	noted uint64
-	// sure is until when the runner is taken to be in the life that it listed last.
-	sure time.Time
-	// orders are starts that the runner has not listed yet.
-	orders map[runKey]*dispatch.Start
-	// late are starts without an answer that may still take effect, with the time until which they may.
-	late    map[runKey]time.Time
-	entries map[string]bool
-	pings   map[uint64]time.Time
-	guard   guard
-	// beside is set while serving and filling tasks run side by side.
-	beside bool
+	mu sync.Mutex
+	// heartbeat is the newest heartbeat of the runner.
+	heartbeat Announcement
+	pingSeq   uint64
+	// life is the start time of the runner, in Unix milliseconds; 0 before the first listing.
+	life uint64
+	// runnerClockMS is the latest reading of the runner's clock, runnerClockReadAt when it arrived.
+	runnerClockMS     int64
+	runnerClockReadAt time.Time
+	workerLease       tenure.Grant
+	// lastRunLeaseEnd is the latest end of any run lease that was asked of the runner.
+	lastRunLeaseEnd time.Time
+	// reportedEmpty is set once the dispatcher was told that the worker runs nothing.
+	reportedEmpty bool
+	term          uint64
+	conn          *peer.Conn
+	// runs and runEnds are from the latest listing; runEnds leaves out acknowledged ones.
+	runs    []dispatch.Row
+	runEnds []dispatch.End
+	// reportedEnd is the number of the last run end sent to the dispatcher, ackedEnd of
+	// the last one that it has stored.
+	reportedEnd uint64
+	ackedEnd    uint64
+	// sameLifeUntil is until when the runner is assumed not to have restarted since its last listing.
+	sameLifeUntil time.Time
+	// unlistedStarts are start orders that have not appeared in a listing yet.
+	unlistedStarts map[runKey]*dispatch.Start
+	// unansweredStarts are starts that the runner did not answer, with the time until
+	// which they may take effect.
+	unansweredStarts map[runKey]time.Time
+	entries          map[string]bool
+	// pingSentAt holds when the pings without an answer were sent, by number.
+	pingSentAt map[uint64]time.Time
+	guard      guard
+	// colocated is set while the worker runs both serving and best-effort tasks.
+	colocated bool
 }
 
 // New returns an agent.
 func New(s Settings, runner Runner, port store.Port, logger *log.Logger, registry gometrics.Registry) *Attendant {
 	a := &Attendant{
-		settings: s, runner: runner, store: port, log: logger, registry: registry, looked: make(chan struct{}, 1),
-		held:   clock.Steady().Add(tenure.GrantFor), // an agent before this one may have extended leases
-		orders: make(map[runKey]*dispatch.Start), late: make(map[runKey]time.Time), entries: make(map[string]bool), pings: make(map[uint64]time.Time),
+		settings: s, runner: runner, store: port, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
+		lastRunLeaseEnd: clock.Steady().Add(tenure.GrantFor), // an earlier agent process may have renewed run leases up to then
+		unlistedStarts:  make(map[runKey]*dispatch.Start), unansweredStarts: make(map[runKey]time.Time), entries: make(map[string]bool), pingSentAt: make(map[uint64]time.Time),
 	}
 	for _, e := range s.Entries {
 		a.entries[e] = true
@@ -118,13 +131,14 @@
 	return a
 }
 
-// Run works until ctx ends. What runs goes on: the next agent takes it over.
+// Run polls the runner and serves the dispatcher until ctx ends. Runs continue at
+// the runner after that: the next agent process takes them over.
 func (a *Attendant) Run(ctx context.Context) {
-	a.log.Info().Str("worker", a.settings.Name).Uint64("incarnation", a.settings.Incarnation).Msg("attendant started")
-	a.group.Go(func() { a.look(ctx) })
+	a.log.Info().Str("worker", a.settings.Name).Uint64("incarnation", a.settings.Incarnation).Msg("runner agent started")
+	a.group.Go(func() { a.pollLoop(ctx) })
 	a.group.Go(func() { a.connect(ctx) })
 	a.group.Wait()
-	a.log.Info().Msg("attendant stopped")
+	a.log.Info().Msg("runner agent stopped")
 }
 
 // count adds to a counter.
@@ -132,167 +146,174 @@
 	gometrics.GetOrRegisterCounter(name, a.registry).Inc(1)
 }
 
-// Announce takes in a heartbeat of the runner. Older ones than the newest of the
-// same life, and those of an earlier life, change nothing.
+// Announce applies a heartbeat of the runner. It ignores heartbeats of an earlier
+// life and those that are not newer than the last one of the same life.
 func (a *Attendant) Announce(b *Announcement) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if b.Born < a.announced.Born || b.Born == a.announced.Born && b.Seq <= a.announced.Seq && a.announced.Instance != "" {
-		a.log.Info().Str("instance", b.Instance).Uint64("seq", b.Seq).Msg("an old heartbeat is skipped")
+	if b.Born < a.heartbeat.Born || b.Born == a.heartbeat.Born && b.Seq <= a.heartbeat.Seq && a.heartbeat.Instance != "" {
+		a.log.Info().Str("instance", b.Instance).Uint64("seq", b.Seq).Msg("skipped an outdated heartbeat")
 		return
 	}
-	changed := b.Draining != a.announced.Draining || b.Born != a.announced.Born
-	first := a.announced.Instance == ""
-	a.announced = *b
+	changed := b.Draining != a.heartbeat.Draining || b.Born != a.heartbeat.Born
+	first := a.heartbeat.Instance == ""
+	a.heartbeat = *b
 	if changed {
-		a.log.Info().Str("instance", b.Instance).Uint64("born", b.Born).Bool("draining", b.Draining).Msg("runner announced itself")
+		a.log.Info().Str("instance", b.Instance).Uint64("born", b.Born).Bool("draining", b.Draining).Msg("runner started or changed its draining state")
 	}
 	if changed && !first && a.conn != nil {
 		a.ping(clock.Steady())
 	}
 }
 
-// Leave notes that the runner has ended its present life.
+// Leave marks the worker as draining after the runner has deregistered, since its present life ends.
 func (a *Attendant) Leave(instance string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if instance != a.announced.Instance {
+	if instance != a.heartbeat.Instance {
 		return
 	}
-	a.log.Info().Str("instance", instance).Msg("runner left")
-	a.announced.Draining = true
+	a.log.Info().Str("instance", instance).Msg("runner deregistered")
+	a.heartbeat.Draining = true
 	if a.conn != nil {
 		a.ping(clock.Steady())
 	}
 }
 
-// beginLife forgets what belonged to the runner's earlier life. The caller holds mu.
+// beginLife resets the state that belongs to the earlier life of the runner. The caller holds mu.
 func (a *Attendant) beginLife(born uint64) {
 	if a.life != 0 {
-		a.log.Warn().Uint64("from", a.life).Uint64("to", born).Int("runs", len(a.rows)).Msg("the runner began another life")
+		a.log.Warn().Uint64("from", a.life).Uint64("to", born).Int("runs", len(a.runs)).Msg("runner restarted")
 	}
 	a.life = born
-	a.vacant = false
-	a.clockMS, a.clockAt = 0, time.Time{}
-	a.rows, a.ends = nil, nil
-	a.told, a.noted = 0, 0
+	a.reportedEmpty = false
+	a.runnerClockMS, a.runnerClockReadAt = 0, time.Time{}
+	a.runs, a.runEnds = nil, nil
+	a.reportedEnd, a.ackedEnd = 0, 0
 	a.guard = guard{}
 }
 
-// call returns what calls to the runner carry. The caller holds mu.
-func (a *Attendant) call() Call {
+// newCall returns the fields common to all calls to the runner. The caller holds mu.
+func (a *Attendant) newCall() Call {
 	c := Call{Term: a.term}
-	if a.announced.Born == a.life {
-		c.Instance = a.announced.Instance
+	if a.heartbeat.Born == a.life {
+		c.Instance = a.heartbeat.Instance
 	}
 	return c
 }
 
-// until returns the lease's end on the runner's clock, or 0. The caller holds mu.
-// A runner whose clock is slow ends the lease no later than the grant.
-func (a *Attendant) until(now time.Time) int64 {
-	left := a.grant.Left(now)
-	if left <= 0 || a.clockAt.IsZero() {
+// runLeaseEndMS returns the latest allowed end of run leases, in milliseconds on the
+// runner's clock, or 0 if there is none. It is early enough that the leases end no
+// later than the worker lease even if the runner's clock is slow. The caller holds mu.
+func (a *Attendant) runLeaseEndMS(now time.Time) int64 {
+	left := a.workerLease.Left(now)
+	if left <= 0 || a.runnerClockReadAt.IsZero() {
 		return 0
 	}
-	d := now.Add(left).Sub(a.clockAt)
-	d -= d / driftShare
-	return a.clockMS + d.Milliseconds()
+	d := now.Add(left).Sub(a.runnerClockReadAt)
+	d -= d / clockDriftDivisor
+	return a.runnerClockMS + d.Milliseconds()
 }
 
-// look keeps one look at the runner open.
-func (a *Attendant) look(ctx context.Context) {
+// pollLoop polls the runner again and again, once the agent knows a dispatcher.
+func (a *Attendant) pollLoop(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		known := a.term != 0
-		wait := holdWait
-		if a.clockAt.IsZero() {
+		wait := pollWait
+		if a.runnerClockReadAt.IsZero() {
 			wait = 0
-		} else if a.beside {
-			wait = paceWait
+		} else if a.colocated {
+			wait = colocatedPollWait
 		}
 		a.mu.Unlock()
 		if !known {
-			clock.Pause(ctx, a.looked, retryAfter)
+			clock.Pause(ctx, a.wakePoll, retryAfter)
 			continue
 		}
 		began := clock.Steady()
-		err := a.lookOnce(ctx, wait)
+		err := a.poll(ctx, wait)
 		if (err != nil) != failing {
 			failing = err != nil
-			a.log.Warn().Err(err).Bool("failing", failing).Msg("looking at the runner")
+			a.log.Warn().Err(err).Bool("failing", failing).Msg("polling the runner began or ceased to fail")
 		}
 		if err != nil {
 			clock.Pause(ctx, nil, retryAfter)
-		} else if gap := lookGap - clock.Steady().Sub(began); gap > 0 {
-			clock.Pause(ctx, nil, gap) // a look returns at once while the runner keeps ends that are not noted
+		} else if gap := minPollInterval - clock.Steady().Sub(began); gap > 0 {
+			clock.Pause(ctx, nil, gap) // a poll returns at once while the runner keeps run ends that are not acknowledged
 		}
 	}
 }
 
-// lookOnce extends leases and takes in what the runner lists.
-func (a *Attendant) lookOnce(ctx context.Context, wait time.Duration) error {
+// poll renews the leases of all runs at the runner and applies its listing. The
+// runner may delay its answer for up to wait, until a run ends.
+func (a *Attendant) poll(ctx context.Context, wait time.Duration) error {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
 	a.mu.Lock()
 	now := clock.Steady()
-	h := Hold{Call: a.call()}
-	if now.Before(a.sure) {
-		// Another life numbers its ends and counts its time anew, perhaps under the same
-		// name: it would forget what was never told, and lease longer than was granted.
-		h.Noted, h.UntilMS, h.Wait = a.noted, a.until(now), wait
+	h := Hold{Call: a.newCall()}
+	if now.Before(a.sameLifeUntil) {
+		// A restarted runner, perhaps with the same instance name, numbers its run ends
+		// and counts its clock from the beginning: given the values of an earlier life, it
+		// would forget run ends that were never reported, and its leases would exceed the
+		// worker lease.
+		h.Noted, h.UntilMS, h.Wait = a.ackedEnd, a.runLeaseEndMS(now), wait
 	}
 	if h.UntilMS > 0 {
-		a.asked(now)
+		a.noteRunLeases(now)
 	}
 	a.mu.Unlock()
 	l, err := a.runner.Hold(callCtx, h)
 	if err != nil {
-		a.unanswered(err)
+		a.handlePollFailure(err)
 		return err
 	}
-	a.listed(ctx, l)
+	a.handleListing(ctx, l)
 	return nil
 }
 
-// asked notes that a call asks for leases up to the end of the grant. The caller holds mu.
-func (a *Attendant) asked(now time.Time) {
-	if until := now.Add(a.grant.Left(now)); until.After(a.held) {
-		a.held = until
+// noteRunLeases records that a call asks the runner for leases up to the end of the
+// worker lease. The caller holds mu.
+func (a *Attendant) noteRunLeases(now time.Time) {
+	if until := now.Add(a.workerLease.Left(now)); until.After(a.lastRunLeaseEnd) {
+		a.lastRunLeaseEnd = until
 	}
 }
 
-// unanswered tells the dispatcher that nothing runs any more once that is certain.
-func (a *Attendant) unanswered(err error) {
+// handlePollFailure reports an empty worker to the dispatcher once it is certain
+// that nothing runs any more.
+func (a *Attendant) handlePollFailure(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sure = time.Time{}
-	if a.vacant || a.conn == nil || !a.ended(err) {
+	a.sameLifeUntil = time.Time{}
+	if a.reportedEmpty || a.conn == nil || !a.allRunsEnded(err) {
 		return
 	}
-	a.vacant = true
+	a.reportedEmpty = true
 	a.count("runners-lost")
 	a.log.Warn().Err(err).Uint64("life", a.life).Msg("runner lost; its runs have ended")
 	a.conn.Send(&peer.Message{Report: a.emptyReport()})
 }
 
-// ended reports whether nothing can run after a look failed: no runner listens,
-// or the last lease is over. The caller holds mu.
-func (a *Attendant) ended(err error) bool {
-	return errors.Is(err, ErrGone) || clock.Steady().After(a.held.Add(leaseSlack))
+// allRunsEnded reports whether it is certain after a failed poll that nothing runs:
+// no runner listens, or the last run lease has expired. The caller holds mu.
+func (a *Attendant) allRunsEnded(err error) bool {
+	return errors.Is(err, ErrGone) || clock.Steady().After(a.lastRunLeaseEnd.Add(leaseSlack))
 }
 
-// emptyReport says that nothing runs at the worker.
+// emptyReport returns a report of a worker without a runner.
 func (a *Attendant) emptyReport() *peer.Report {
 	return &peer.Report{Worker: dispatch.Worker{Name: a.settings.Name}}
 }
 
-// leaseSlack covers the time until a call reaches the runner.
+// leaseSlack covers the time that a call takes to reach the runner.
 const leaseSlack = 300 * time.Millisecond
 
-// listed takes in a listing and tells the dispatcher what is new.
-func (a *Attendant) listed(ctx context.Context, l *Listing) {
+// handleListing applies a listing and reports changes to the dispatcher. A new life
+// is reported only once no start sent to an earlier one can take effect in it.
+func (a *Attendant) handleListing(ctx context.Context, l *Listing) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Steady()
@@ -301,100 +322,102 @@
 			return
 		}
 		a.beginLife(l.Born)
-		strays := a.strays(now)
-		a.takeListing(now, l)
-		if len(strays) > 0 {
-			a.group.Go(func() { a.settle(ctx, l.Born, strays) })
+		unresolved := a.unresolvedStarts(now)
+		a.applyListing(now, l)
+		if len(unresolved) > 0 {
+			a.group.Go(func() { a.fenceAndReport(ctx, l.Born, unresolved) })
 			return
 		}
-		a.tellAll()
+		a.sendReport()
 		return
 	}
-	if l.ClockMS < a.clockMS {
-		return // a later answer has overtaken this one
+	if l.ClockMS < a.runnerClockMS {
+		return // a newer listing was applied before
 	}
-	a.takeListing(now, l)
-	if a.vacant && a.conn != nil {
-		a.vacant = false
-		a.tellAll()
+	a.applyListing(now, l)
+	if a.reportedEmpty && a.conn != nil {
+		a.reportedEmpty = false
+		a.sendReport()
 		return
 	}
-	a.tellEnds()
-	a.pace(ctx, now)
+	a.sendNewEnds()
+	a.setPaces(ctx, now)
 }
 
-// takeListing replaces what is known of the runner. The caller holds mu.
-func (a *Attendant) takeListing(now time.Time, l *Listing) {
-	a.clockMS, a.clockAt = l.ClockMS, now
-	a.sure = now.Add(sureFor)
-	a.rows = l.Rows
-	a.ends = a.ends[:0]
+// applyListing replaces the state of the runner by a listing. The caller holds mu.
+func (a *Attendant) applyListing(now time.Time, l *Listing) {
+	a.runnerClockMS, a.runnerClockReadAt = l.ClockMS, now
+	a.sameLifeUntil = now.Add(sameLifeFor)
+	a.runs = l.Rows
+	a.runEnds = a.runEnds[:0]
 	for _, e := range l.Ends {
-		delete(a.orders, runKey{e.Task, e.Run})
-		if e.Number > a.noted {
-			a.ends = append(a.ends, e)
+		delete(a.unlistedStarts, runKey{e.Task, e.Run})
+		if e.Number > a.ackedEnd {
+			a.runEnds = append(a.runEnds, e)
 		}
 	}
 	for _, r := range l.Rows {
-		if o := a.orders[runKey{r.Task, r.Run}]; o != nil {
-			a.guard.learn([]dispatch.Guarded{{Task: r.Task, TargetMS: o.TargetMS, Fills: o.Fills, Harm: o.Harm}})
-			delete(a.orders, runKey{r.Task, r.Run})
+		if o := a.unlistedStarts[runKey{r.Task, r.Run}]; o != nil {
+			a.guard.addTasks([]dispatch.Guarded{{Task: r.Task, TargetMS: o.TargetMS, Fills: o.Fills, Harm: o.Harm}})
+			delete(a.unlistedStarts, runKey{r.Task, r.Run})
 		}
 	}
 }
 
-func (a *Attendant) lastEnd() uint64 {
-	last := a.noted
-	for _, e := range a.ends {
+// lastEndNumber returns the number of the last run end that the runner has listed. The caller holds mu.
+func (a *Attendant) lastEndNumber() uint64 {
+	last := a.ackedEnd
+	for _, e := range a.runEnds {
 		last = max(last, e.Number)
 	}
 	return last
 }
 
-// tellAll reports the worker's whole state. The caller holds mu.
-func (a *Attendant) tellAll() {
-	a.told = a.lastEnd()
+// sendReport sends a report of the worker's whole state to the dispatcher, if
+// connected. The caller holds mu.
+func (a *Attendant) sendReport() {
+	a.reportedEnd = a.lastEndNumber()
 	if a.conn != nil {
-		a.conn.Send(&peer.Message{Report: a.report()})
+		a.conn.Send(&peer.Message{Report: a.newReport()})
 	}
 }
 
-// tellEnds sends the ends that the dispatcher has not been told. The caller holds mu.
-func (a *Attendant) tellEnds() {
+// sendNewEnds sends the run ends that have not been sent to the dispatcher yet. The caller holds mu.
+func (a *Attendant) sendNewEnds() {
 	if a.conn == nil {
 		return
 	}
-	var news []dispatch.End
-	for _, e := range a.ends {
-		if e.Number > a.told {
-			news = append(news, e)
+	var unsent []dispatch.End
+	for _, e := range a.runEnds {
+		if e.Number > a.reportedEnd {
+			unsent = append(unsent, e)
 		}
 	}
-	if len(news) > 0 && a.conn.Send(&peer.Message{Ends: &peer.Ends{Life: a.life, Ends: news}}) {
-		a.told = a.lastEnd()
+	if len(unsent) > 0 && a.conn.Send(&peer.Message{Ends: &peer.Ends{Life: a.life, Ends: unsent}}) {
+		a.reportedEnd = a.lastEndNumber()
 	}
 }
 
-// report returns the worker's whole state. The caller holds mu.
-func (a *Attendant) report() *peer.Report {
-	r := &peer.Report{Worker: a.worker(), Rows: append([]dispatch.Row(nil), a.rows...), Ends: append([]dispatch.End(nil), a.ends...)}
-	for k := range a.orders {
+// newReport returns a report of the worker's whole state. The caller holds mu.
+func (a *Attendant) newReport() *peer.Report {
+	r := &peer.Report{Worker: a.describeWorker(), Rows: append([]dispatch.Row(nil), a.runs...), Ends: append([]dispatch.End(nil), a.runEnds...)}
+	for k := range a.unlistedStarts {
 		r.Rows = append(r.Rows, dispatch.Row{Task: k.task, Run: k.run, Pending: true})
 	}
 	return r
 }
 
-// worker describes the runner. The caller holds mu.
-func (a *Attendant) worker() dispatch.Worker {
+// describeWorker returns what the agent knows of its worker. The caller holds mu.
+func (a *Attendant) describeWorker() dispatch.Worker {
 	w := dispatch.Worker{Name: a.settings.Name, Life: a.life, Draining: true, Pace: a.guard.pacer.Percent()}
-	if b := &a.announced; b.Born == a.life {
+	if b := &a.heartbeat; b.Born == a.life {
 		w.Service, w.Capacity, w.Labels, w.Draining, w.Instance = b.Service, b.Capacity, b.Labels, b.Draining, b.Instance
 	}
 	return w
 }
 
 var (
-	errNoGrant   = errors.New("too little time is granted")
-	errOtherLife = errors.New("another life of the runner")
-	errNoAdviser = errors.New("the settings name no policy service")
+	errLeaseTooShort   = errors.New("too little of the worker lease is left for a start")
+	errOtherLife       = errors.New("the order is for another life of the runner")
+	errNoPolicyService = errors.New("no policy service is configured")
 )
--- a/internal/attendant/attendant_test.go
+++ b/internal/attendant/attendant_test.go
@@ -21,28 +21,28 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// fakeRunner is a runner whose answers can be lost.
+// fakeRunner is a runner whose answers to starts can be lost.
 type fakeRunner struct {
 	mu      sync.Mutex
 	listing Listing
-	// startErr is returned by a start; it takes effect if runs.
-	startErr error
-	runs     bool
-	// fenced are runs that were stopped before they started.
-	fenced []runKey
-	holds  []Hold
-	paced  map[runKey]int
-	gone   bool
+	// startErr is returned by a start, which takes effect if startTakesEffect is set.
+	startErr         error
+	startTakesEffect bool
+	// fenced are runs that were stopped without having started.
+	fenced   []runKey
+	renewals []Hold
+	percents map[runKey]int
+	gone     bool
 }
 
 func (f *fakeRunner) port() Runner {
-	return Runner{Start: f.start, Stop: f.stop, Hold: f.hold, Pace: f.pace}
+	return Runner{Start: f.start, Stop: f.stop, Hold: f.renew, Pace: f.pace}
 }
 
 func (f *fakeRunner) start(_ context.Context, _ Call, s *dispatch.Start, _ int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.runs {
+	if f.startTakesEffect {
 		f.listing.Rows = append(f.listing.Rows, dispatch.Row{Task: s.Task, Run: s.Run})
 	}
 	return f.startErr
@@ -62,10 +62,10 @@
 	return nil
 }
 
-func (f *fakeRunner) hold(_ context.Context, h Hold) (*Listing, error) {
+func (f *fakeRunner) renew(_ context.Context, h Hold) (*Listing, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.holds = append(f.holds, h)
+	f.renewals = append(f.renewals, h)
 	if f.gone {
 		return nil, errors.Mark(errors.New("refused"), ErrGone)
 	}
@@ -78,30 +78,30 @@
 func (f *fakeRunner) pace(_ context.Context, _ Call, task workflow.TaskID, run uint64, percent int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.paced == nil {
-		f.paced = make(map[runKey]int)
+	if f.percents == nil {
+		f.percents = make(map[runKey]int)
 	}
-	f.paced[runKey{task, run}] = percent
+	f.percents[runKey{task, run}] = percent
 	return nil
 }
 
-// site is an agent that is connected to a dispatcher.
-type site struct {
-	agent  *Attendant
-	runner *fakeRunner
-	got    chan *peer.Message
+// fixture is an agent that is connected to a dispatcher.
+type fixture struct {
+	agent    *Attendant
+	runner   *fakeRunner
+	received chan *peer.Message
 }
 
-func newSite(t *testing.T) *site {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &site{runner: &fakeRunner{listing: Listing{ClockMS: 1000, Born: 7}}, got: make(chan *peer.Message, 64)}
+	s := &fixture{runner: &fakeRunner{listing: Listing{ClockMS: 1000, Born: 7}}, received: make(chan *peer.Message, 64)}
 	logger := &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 	s.agent = New(Settings{Name: "w1"}, s.runner.port(), store.Port{}, logger, gometrics.NewRegistry())
 	here, there := net.Pipe()
 	conn, dispatcher := peer.NewConn(here), peer.NewConn(there)
 	var group sync.WaitGroup
 	group.Go(func() { _ = conn.Run(&group, func(*peer.Message) {}) })
-	group.Go(func() { _ = dispatcher.Run(&group, func(m *peer.Message) { s.got <- m }) })
+	group.Go(func() { _ = dispatcher.Run(&group, func(m *peer.Message) { s.received <- m }) })
 	t.Cleanup(func() {
 		conn.Close()
 		dispatcher.Close()
@@ -109,22 +109,22 @@
 		s.agent.group.Wait()
 	})
 	s.agent.Announce(&Announcement{Instance: "i-1", Born: 7, Seq: 1, Service: "bench"})
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
 	s.agent.mu.Lock()
 	s.agent.term, s.agent.conn = 3, conn
-	s.agent.grant.Renew(clock.Steady())
+	s.agent.workerLease.Renew(clock.Steady())
 	s.agent.mu.Unlock()
 	return s
 }
 
 // next returns the next message of the wanted kind.
-func (s *site) next(t *testing.T, wanted func(*peer.Message) bool) *peer.Message {
+func (s *fixture) next(t *testing.T, wanted func(*peer.Message) bool) *peer.Message {
 	t.Helper()
 	for {
 		select {
-		case m := <-s.got:
+		case m := <-s.received:
 			if wanted(m) {
 				return m
 			}
@@ -136,16 +136,16 @@
 
 var task = workflow.TaskID{Job: "5c", Step: 1}
 
-func orders(term uint64) *peer.Orders {
+func startOrders(term uint64) *peer.Orders {
 	return &peer.Orders{Term: term, Starts: []dispatch.Start{{Worker: "w1", Life: 7, Task: task, Run: 2}}}
 }
 
-// A start without an answer that the runner does not list is made impossible
-// before the dispatcher learns that it never runs.
+// A start without an answer that the runner does not list is fenced at the runner
+// before it is reported to the dispatcher as refused.
 func TestUnansweredStartIsFenced(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.runner.startErr = ErrNoAnswer
-	s.agent.take(context.Background(), orders(3))
+	s.agent.handleOrders(context.Background(), startOrders(3))
 	m := s.next(t, func(m *peer.Message) bool { return m.Refused != nil })
 	if m.Refused.Task != task || m.Refused.Run != 2 {
 		t.Errorf("refused: got %+v, want run 2 of %s", m.Refused, task)
@@ -157,33 +157,33 @@
 	}
 }
 
-// A start without an answer that took effect goes on.
+// A start without an answer that took effect is not fenced.
 func TestUnansweredStartRuns(t *testing.T) {
-	s := newSite(t)
-	s.runner.startErr, s.runner.runs = ErrNoAnswer, true
-	s.agent.take(context.Background(), orders(3))
+	s := newFixture(t)
+	s.runner.startErr, s.runner.startTakesEffect = ErrNoAnswer, true
+	s.agent.handleOrders(context.Background(), startOrders(3))
 	s.agent.group.Wait()
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
-	if len(s.agent.orders) != 0 || len(s.agent.rows) != 1 || len(s.runner.fenced) != 0 {
-		t.Errorf("got orders %v, rows %v, fenced %v; want one run that goes on", s.agent.orders, s.agent.rows, s.runner.fenced)
+	if len(s.agent.unlistedStarts) != 0 || len(s.agent.runs) != 1 || len(s.runner.fenced) != 0 {
+		t.Errorf("got starts not listed %v, runs %v, fenced %v; want one run and nothing else", s.agent.unlistedStarts, s.agent.runs, s.runner.fenced)
 	}
 }
 
 func TestRefusedOrders(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(s *site, o *peer.Orders)
+		change func(s *fixture, o *peer.Orders)
 	}{
-		{"the runner did not take it", func(s *site, _ *peer.Orders) { s.runner.startErr = ErrNotRun }},
-		{"another life", func(_ *site, o *peer.Orders) { o.Starts[0].Life = 6 }},
-		{"no time is granted", func(s *site, _ *peer.Orders) { s.agent.grant = tenure.Grant{} }},
+		{"the runner did not carry it out", func(s *fixture, _ *peer.Orders) { s.runner.startErr = ErrNotRun }},
+		{"the order is for another life", func(_ *fixture, o *peer.Orders) { o.Starts[0].Life = 6 }},
+		{"no worker lease", func(s *fixture, _ *peer.Orders) { s.agent.workerLease = tenure.Grant{} }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSite(t)
-			o := orders(3)
+			s := newFixture(t)
+			o := startOrders(3)
 			tc.change(s, o)
-			s.agent.take(context.Background(), o)
+			s.agent.handleOrders(context.Background(), o)
 			s.next(t, func(m *peer.Message) bool { return m.Refused != nil })
 			s.agent.group.Wait()
 			if len(s.runner.listing.Rows) != 0 {
@@ -193,21 +193,21 @@
 	}
 }
 
-// Orders of an earlier dispatcher do nothing.
+// Orders of an earlier term are not carried out.
 func TestOrdersOfEarlierTerm(t *testing.T) {
-	s := newSite(t)
-	s.runner.runs = true
-	s.agent.take(context.Background(), orders(2))
+	s := newFixture(t)
+	s.runner.startTakesEffect = true
+	s.agent.handleOrders(context.Background(), startOrders(2))
 	s.agent.group.Wait()
 	if len(s.runner.listing.Rows) != 0 {
 		t.Errorf("runs: got %v, want none", s.runner.listing.Rows)
 	}
 }
 
-// An agent whose runner is gone reports so to a dispatcher that it joins: the
-// dispatcher waits for all workers before it starts earlier work again.
+// An agent without a runner must report to a new dispatcher all the same: the
+// dispatcher waits for all workers before it starts tasks of earlier terms again.
 func TestJoinWithoutRunner(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.runner.mu.Lock()
 	s.runner.gone = true
 	s.runner.mu.Unlock()
@@ -217,7 +217,7 @@
 	s.agent.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if !s.agent.join(ctx, conn, 4) {
+	if !s.agent.joinTerm(ctx, conn, 4) {
 		t.Fatal("join: got false, want true")
 	}
 	m := s.next(t, func(m *peer.Message) bool { return m.Report != nil })
@@ -226,27 +226,28 @@
 	}
 }
 
-// A runner that does not answer may still run what an earlier agent held.
+// A runner that does not answer may still have runs until the last run lease, which
+// an earlier agent process may have renewed, has expired.
 func TestSilentRunnerIsNotEmpty(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
-	if s.agent.ended(ErrNoAnswer) {
+	if s.agent.allRunsEnded(ErrNoAnswer) {
 		t.Error("within the lease: got ended, want not")
 	}
-	s.agent.held = clock.Steady().Add(-time.Second)
-	if !s.agent.ended(ErrNoAnswer) {
+	s.agent.lastRunLeaseEnd = clock.Steady().Add(-time.Second)
+	if !s.agent.allRunsEnded(ErrNoAnswer) {
 		t.Error("after the lease: got not ended, want ended")
 	}
 }
 
-// A life that announces itself before it is looked at is reported like any other.
-func TestAnnouncedLifeIsReported(t *testing.T) {
-	s := newSite(t)
+// A life whose heartbeat arrives before the first poll of it is reported as ready.
+func TestLifeWithEarlyHeartbeatIsReported(t *testing.T) {
+	s := newFixture(t)
 	s.runner.mu.Lock()
 	s.runner.gone = true
 	s.runner.mu.Unlock()
-	if err := s.agent.lookOnce(context.Background(), 0); !errors.Is(err, ErrGone) {
+	if err := s.agent.poll(context.Background(), 0); !errors.Is(err, ErrGone) {
 		t.Fatalf("got %v, want %v", err, ErrGone)
 	}
 	s.next(t, func(m *peer.Message) bool { return m.Report != nil && m.Report.Worker.Life == 0 })
@@ -254,7 +255,7 @@
 	s.runner.mu.Lock()
 	s.runner.gone, s.runner.listing = false, Listing{ClockMS: 1, Born: 8}
 	s.runner.mu.Unlock()
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
 	m := s.next(t, func(m *peer.Message) bool { return m.Report != nil })
@@ -263,29 +264,29 @@
 	}
 }
 
-// Leases end no later than the grant on the slowest clock allowed.
-func TestLeaseStaysWithinGrant(t *testing.T) {
-	s := newSite(t)
+// Run leases end no later than the worker lease on the slowest clock allowed.
+func TestRunLeaseStaysWithinWorkerLease(t *testing.T) {
+	s := newFixture(t)
 	a := s.agent
 	now := clock.Steady()
-	a.grant.Renew(now)
-	a.clockMS, a.clockAt = 50_000, now.Add(-time.Second)
-	left := a.grant.Left(now)
-	until := a.until(now)
-	slowest := time.Duration(until-a.clockMS) * time.Millisecond * 102 / 100
-	if end := a.clockAt.Add(slowest); end.After(now.Add(left)) {
-		t.Errorf("the lease ends %v after the grant, want no later", end.Sub(now.Add(left)))
+	a.workerLease.Renew(now)
+	a.runnerClockMS, a.runnerClockReadAt = 50_000, now.Add(-time.Second)
+	left := a.workerLease.Left(now)
+	until := a.runLeaseEndMS(now)
+	slowest := time.Duration(until-a.runnerClockMS) * time.Millisecond * 102 / 100
+	if end := a.runnerClockReadAt.Add(slowest); end.After(now.Add(left)) {
+		t.Errorf("the run lease ends %v after the worker lease, want no later", end.Sub(now.Add(left)))
 	}
-	if got := a.until(now.Add(left)); got != 0 {
-		t.Errorf("after the grant: got a lease until %d, want none", got)
+	if got := a.runLeaseEndMS(now.Add(left)); got != 0 {
+		t.Errorf("after the worker lease: got a run lease until %d, want none", got)
 	}
 }
 
-// Once nothing listens, the dispatcher learns that all runs have ended.
+// Once no runner listens, an empty worker is reported, and its life again once it listens.
 func TestGoneRunnerIsReported(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.runner.gone = true
-	if err := s.agent.lookOnce(context.Background(), 0); !errors.Is(err, ErrGone) {
+	if err := s.agent.poll(context.Background(), 0); !errors.Is(err, ErrGone) {
 		t.Fatalf("got %v, want %v", err, ErrGone)
 	}
 	m := s.next(t, func(m *peer.Message) bool { return m.Report != nil })
@@ -293,7 +294,7 @@
 		t.Errorf("life: got %d, want 0", m.Report.Worker.Life)
 	}
 	s.runner.gone = false
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
 	m = s.next(t, func(m *peer.Message) bool { return m.Report != nil })
@@ -302,25 +303,25 @@
 	}
 }
 
-// A heartbeat that was held up changes nothing.
+// Delayed heartbeats and heartbeats of an earlier life are ignored.
 func TestOldHeartbeat(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.agent.Announce(&Announcement{Instance: "i-1", Born: 7, Seq: 5, Service: "bench", Draining: true})
 	s.agent.Announce(&Announcement{Instance: "i-1", Born: 7, Seq: 4, Service: "bench"})
 	s.agent.Announce(&Announcement{Instance: "i-0", Born: 6, Seq: 9, Service: "bench"})
-	if got := s.agent.worker(); !got.Draining {
+	if got := s.agent.describeWorker(); !got.Draining {
 		t.Errorf("got %+v, want it draining", got)
 	}
 }
 
-// Ends are told once, and may be forgotten once they are stored.
-func TestEndsAreToldOnce(t *testing.T) {
-	s := newSite(t)
+// Run ends are sent once, and acknowledged to the runner once the dispatcher has stored them.
+func TestRunEndsAreReportedOnce(t *testing.T) {
+	s := newFixture(t)
 	s.runner.mu.Lock()
 	s.runner.listing.Ends = []dispatch.End{{Number: 1, Task: task, Run: 1, How: dispatch.HowDone}}
 	s.runner.mu.Unlock()
 	for range 3 {
-		if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+		if err := s.agent.poll(context.Background(), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -328,38 +329,38 @@
 	if len(m.Ends.Ends) != 1 {
 		t.Errorf("ends: got %v, want one", m.Ends.Ends)
 	}
-	s.agent.note(&peer.Noted{Life: 6, End: 9})
-	s.agent.note(&peer.Noted{Life: 7, End: 1})
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	s.agent.handleAck(&peer.Noted{Life: 6, End: 9})
+	s.agent.handleAck(&peer.Noted{Life: 7, End: 1})
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.runner.holds[len(s.runner.holds)-1].Noted; got != 1 {
-		t.Errorf("noted: got %d, want 1", got)
+	if got := s.runner.renewals[len(s.runner.renewals)-1].Noted; got != 1 {
+		t.Errorf("acknowledged: got %d, want 1", got)
 	}
 	select {
-	case m := <-s.got:
+	case m := <-s.received:
 		if m.Ends != nil {
-			t.Errorf("got %v again, want it told once", m.Ends)
+			t.Errorf("got %v again, want it sent once", m.Ends)
 		}
 	default:
 	}
 }
 
-// A filling run that is harmful is paced, also the first time it is seen.
+// A best-effort run with high interference is slowed down, also the first time it is seen.
 func TestGuardPacesNewRuns(t *testing.T) {
 	var g guard
 	fill := workflow.TaskID{Job: "f"}
-	g.learn([]dispatch.Guarded{{Task: task, TargetMS: 10}, {Task: fill, Fills: true, Harm: 0.9}})
+	g.addTasks([]dispatch.Guarded{{Task: task, TargetMS: 10}, {Task: fill, Fills: true, Harm: 0.9}})
 	now := clock.Steady()
 	rows := []dispatch.Row{{Task: task, Run: 1, Reading: 50}, {Task: fill, Run: 1, Reading: 1000}}
-	var last []change
+	var last []paceChange
 	for i := range 8 {
 		if changes, _ := g.decide(now.Add(time.Duration(i)*400*time.Millisecond), rows); len(changes) > 0 {
 			last = changes
 		}
 	}
 	if len(last) != 1 || last[0].percent != 0 {
-		t.Fatalf("changes: got %v, want the filling run paced to 0", last)
+		t.Fatalf("changes: got %v, want the best-effort run paced to 0", last)
 	}
 	g.percents[runKey{fill, 1}] = 0
 	rows[1].Run = 2
--- a/internal/attendant/guard.go
+++ b/internal/attendant/guard.go
@@ -9,122 +9,128 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// paceWait is how long one look waits while tasks are paced: readings cover half a second.
-const paceWait = 300 * time.Millisecond
+// colocatedPollWait replaces pollWait while the worker runs serving and best-effort
+// tasks: latency readings cover half a second.
+const colocatedPollWait = 300 * time.Millisecond
 
-// guard keeps tasks that serve below their targets by pacing those that fill.
+// guard keeps the tail latency of serving tasks below their targets by limiting the
+// pace of the best-effort tasks on the same worker.
 type guard struct {
 	pacer worker.Pacer
-	// targets are the tail latencies, in milliseconds, of tasks that serve.
-	targets map[workflow.TaskID]float64
-	// percents are what filling runs were last paced to; a run without one works at full speed or is not known.
+	// targetMS are the targets for the tail latency of serving tasks, in milliseconds.
+	targetMS map[workflow.TaskID]float64
+	// percents are the paces last set for best-effort runs. A run without one is new or
+	// works at full speed.
 	percents map[runKey]int
-	// fills holds the harm expected of filling tasks.
-	fills map[workflow.TaskID]float64
+	// interference is how much each best-effort task is expected to slow down the serving
+	// tasks of the worker, from 0 to 1.
+	interference map[workflow.TaskID]float64
 }
 
-// learn notes what the dispatcher says of tasks.
-func (g *guard) learn(tasks []dispatch.Guarded) {
-	if g.targets == nil {
-		g.targets = make(map[workflow.TaskID]float64)
-		g.fills = make(map[workflow.TaskID]float64)
+// addTasks records the targets and the expected interference of tasks.
+func (g *guard) addTasks(tasks []dispatch.Guarded) {
+	if g.targetMS == nil {
+		g.targetMS = make(map[workflow.TaskID]float64)
+		g.interference = make(map[workflow.TaskID]float64)
 		g.percents = make(map[runKey]int)
 	}
 	for _, t := range tasks {
 		if t.TargetMS > 0 {
-			g.targets[t.Task] = t.TargetMS
+			g.targetMS[t.Task] = t.TargetMS
 		}
 		if t.Fills {
-			g.fills[t.Task] = t.Harm
+			g.interference[t.Task] = t.Harm
 		}
 	}
 }
 
-// blame is the expected harm from which a filling task is paced before others.
-const blame = 0.35
+// selectiveThreshold is the expected interference from which a best-effort task is
+// slowed down before others.
+const selectiveThreshold = 0.35
 
-// blameFor is how long pacing those that are blamed is given to help, well within four seconds.
-const blameFor = 2700 * time.Millisecond
+// selectiveFor is how long a target may be missed while only the tasks from
+// selectiveThreshold on are slowed down; no target may be missed for four seconds.
+const selectiveFor = 2700 * time.Millisecond
 
-// change is one run to pace.
-type change struct {
+// paceChange is a pace to set for a best-effort run, in percent of full speed.
+type paceChange struct {
 	key     runKey
 	percent int
 }
 
-// decide returns which runs should be paced otherwise, given what runs now, and
-// whether serving and filling tasks run side by side.
-func (g *guard) decide(now time.Time, rows []dispatch.Row) (changes []change, beside bool) {
+// decide returns which runs need another pace, given all runs of the worker, and
+// whether these include both serving and best-effort tasks.
+func (g *guard) decide(now time.Time, runs []dispatch.Row) (changes []paceChange, colocated bool) {
 	pressure, serving := 0.0, 0
-	var filling []runKey
-	for i := range rows {
-		r := &rows[i]
-		if target := g.targets[r.Task]; target > 0 {
+	var bestEffort []runKey
+	for i := range runs {
+		r := &runs[i]
+		if target := g.targetMS[r.Task]; target > 0 {
 			serving++
 			pressure = max(pressure, r.Reading/target)
 		}
-		if _, ok := g.fills[r.Task]; ok {
-			filling = append(filling, runKey{r.Task, r.Run})
+		if _, ok := g.interference[r.Task]; ok {
+			bestEffort = append(bestEffort, runKey{r.Task, r.Run})
 		}
 	}
 	percent := 100
-	if serving > 0 && len(filling) > 0 {
+	if serving > 0 && len(bestEffort) > 0 {
 		percent = g.pacer.Decide(now, pressure)
 	} else if serving == 0 {
 		g.pacer = worker.Pacer{}
 	}
-	// Those that are expected to do harm are paced first, all of them if that does not help.
-	blamed := false
-	for _, k := range filling {
-		blamed = blamed || g.fills[k.task] >= blame
+	// Tasks with high expected interference are slowed down first, and all tasks if that does not help.
+	selective := false
+	for _, k := range bestEffort {
+		selective = selective || g.interference[k.task] >= selectiveThreshold
 	}
-	blamed = blamed && g.pacer.OverFor(now) < blameFor
-	kept := make(map[runKey]int, len(filling))
-	for _, k := range filling {
-		have, known := g.percents[k]
+	selective = selective && g.pacer.OverFor(now) < selectiveFor
+	kept := make(map[runKey]int, len(bestEffort))
+	for _, k := range bestEffort {
+		current, known := g.percents[k]
 		percent := percent
-		if blamed && g.fills[k.task] < blame {
+		if selective && g.interference[k.task] < selectiveThreshold {
 			percent = 100
 		}
 		if known {
-			kept[k] = have
+			kept[k] = current
 		}
-		if known && have != percent || !known && percent != 100 {
-			changes = append(changes, change{k, percent})
+		if known && current != percent || !known && percent != 100 {
+			changes = append(changes, paceChange{k, percent})
 		}
 	}
 	g.percents = kept
-	g.forget(rows)
-	return changes, serving > 0 && len(filling) > 0
+	g.forgetEnded(runs)
+	return changes, serving > 0 && len(bestEffort) > 0
 }
 
-// forget drops what is known of tasks that no longer run once they outnumber those that do.
-func (g *guard) forget(rows []dispatch.Row) {
-	const most = 256
-	if len(g.targets)+len(g.fills) < most {
+// forgetEnded removes tasks that no longer run once the recorded ones reach a limit.
+func (g *guard) forgetEnded(runs []dispatch.Row) {
+	const maxTasks = 256
+	if len(g.targetMS)+len(g.interference) < maxTasks {
 		return
 	}
-	runs := make(map[workflow.TaskID]bool, len(rows))
-	for i := range rows {
-		runs[rows[i].Task] = true
+	running := make(map[workflow.TaskID]bool, len(runs))
+	for i := range runs {
+		running[runs[i].Task] = true
 	}
-	for t := range g.targets {
-		if !runs[t] {
-			delete(g.targets, t)
+	for t := range g.targetMS {
+		if !running[t] {
+			delete(g.targetMS, t)
 		}
 	}
-	for t := range g.fills {
-		if !runs[t] {
-			delete(g.fills, t)
+	for t := range g.interference {
+		if !running[t] {
+			delete(g.interference, t)
 		}
 	}
 }
 
-// pace slows filling tasks down while a task that serves is near its target. The caller holds mu.
-func (a *Attendant) pace(ctx context.Context, now time.Time) {
-	changes, beside := a.guard.decide(now, a.rows)
-	a.beside = beside
-	c := a.call()
+// setPaces sets the paces of best-effort tasks that the guard decides on. The caller holds mu.
+func (a *Attendant) setPaces(ctx context.Context, now time.Time) {
+	changes, colocated := a.guard.decide(now, a.runs)
+	a.colocated = colocated
+	c := a.newCall()
 	for _, ch := range changes {
 		a.guard.percents[ch.key] = ch.percent
 		a.count("paces")
@@ -133,7 +139,7 @@
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			if err := a.runner.Pace(callCtx, c, ch.key.task, ch.key.run, ch.percent); err != nil {
-				a.log.Warn().Err(err).Str("task", ch.key.task.String()).Msg("pacing failed")
+				a.log.Warn().Err(err).Str("task", ch.key.task.String()).Msg("setting the pace of a best-effort task failed")
 				a.mu.Lock()
 				if a.guard.percents[ch.key] == ch.percent {
 					a.guard.percents[ch.key] = unknownPercent
@@ -144,5 +150,6 @@
 	}
 }
 
-// unknownPercent stands for a pace that may or may not have been taken; it is set again.
+// unknownPercent is the pace of a run after a failed call, which may have taken
+// effect. It differs from every wanted pace, so that the pace is set again.
 const unknownPercent = -1
--- a/internal/attendant/link.go
+++ b/internal/attendant/link.go
@@ -10,25 +10,27 @@
 )
 
 const (
-	// reconnectAfter is the delay before the next entry is tried.
+	// reconnectAfter is the delay before entries are tried again.
 	reconnectAfter = 100 * time.Millisecond
-	// askStoreAfter is how long the dispatcher is looked for at known entries before the store is asked.
+	// askStoreAfter is how long known entries are tried before the newest leadership claim
+	// is read from the store.
 	askStoreAfter = 800 * time.Millisecond
-	// storeTimeout bounds a question to the store.
+	// storeTimeout bounds a call to the store.
 	storeTimeout = 1200 * time.Millisecond
 )
 
-// connect keeps a connection to the dispatching entry.
+// connect keeps a connection to the dispatcher, which it searches among the known
+// entries and in the store.
 func (a *Attendant) connect(ctx context.Context) {
 	next := ""
-	searching := clock.Steady()
+	searchBegan := clock.Steady()
 	for ctx.Err() == nil {
-		tried := a.candidates(next)
+		addresses := a.candidates(next)
 		next = ""
-		for _, address := range tried {
-			hint, stayed := a.visit(ctx, address)
+		for _, address := range addresses {
+			hint, stayed := a.tryEntry(ctx, address)
 			if stayed {
-				searching = clock.Steady()
+				searchBegan = clock.Steady()
 			}
 			if hint != "" && hint != address {
 				next = hint
@@ -38,15 +40,15 @@
 				return
 			}
 		}
-		if next == "" && clock.Steady().Sub(searching) > askStoreAfter {
-			next = a.askStore(ctx)
-			searching = clock.Steady()
+		if next == "" && clock.Steady().Sub(searchBegan) > askStoreAfter {
+			next = a.dispatcherFromStore(ctx)
+			searchBegan = clock.Steady()
 		}
 		clock.Pause(ctx, nil, reconnectAfter)
 	}
 }
 
-// candidates returns the addresses to try, the likeliest first.
+// candidates returns the addresses of entries to try: first, if it is not empty, and then all others.
 func (a *Attendant) candidates(first string) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,22 +64,23 @@
 	return out
 }
 
-// askStore returns the address of the newest claim.
-func (a *Attendant) askStore(ctx context.Context) string {
+// dispatcherFromStore returns the address in the newest leadership claim, or "".
+func (a *Attendant) dispatcherFromStore(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	claim, _, _, err := a.store.NewestClaim(ctx)
 	if err != nil {
-		a.log.Warn().Err(err).Msg("asking the store for the dispatcher failed")
+		a.log.Warn().Err(err).Msg("reading the newest leadership claim failed")
 		return ""
 	}
-	a.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("the store names the dispatcher")
+	a.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("found the dispatcher in the store")
 	return claim.Address
 }
 
-// visit stays connected to an entry while it dispatches. It returns the address
-// of the dispatcher that the entry named.
-func (a *Attendant) visit(ctx context.Context, address string) (hint string, stayed bool) {
+// tryEntry connects to an entry and stays connected while that is the dispatcher,
+// which stayed reports. If it is not, hint is the address of the dispatcher that it
+// named.
+func (a *Attendant) tryEntry(ctx context.Context, address string) (hint string, stayed bool) {
 	conn, err := peer.Dial(ctx, address)
 	if err != nil {
 		return "", false
@@ -96,7 +99,7 @@
 		switch {
 		case m.Welcome != nil:
 			a.LearnEntries(m.Welcome.Entries)
-			if m.Welcome.Dispatches && a.join(live, conn, m.Welcome.Term) {
+			if m.Welcome.Dispatches && a.joinTerm(live, conn, m.Welcome.Term) {
 				stayed = true
 				a.log.Info().Str("dispatcher", m.Welcome.Name).Uint64("term", m.Welcome.Term).Msg("dispatcher connected")
 				return
@@ -104,11 +107,11 @@
 			hint = m.Welcome.Claim.Address
 			conn.Close()
 		case m.Pong != nil:
-			a.ponged(conn, m.Pong)
+			a.handlePong(conn, m.Pong)
 		case m.Orders != nil:
-			a.take(ctx, m.Orders)
+			a.handleOrders(ctx, m.Orders)
 		case m.Noted != nil:
-			a.note(m.Noted)
+			a.handleAck(m.Noted)
 		case m.Resigned != nil:
 			hint = ""
 			conn.Close()
@@ -125,8 +128,9 @@
 	return hint, stayed
 }
 
-// join makes conn the connection to the dispatcher of a term and reports to it.
-func (a *Attendant) join(ctx context.Context, conn *peer.Conn, term uint64) bool {
+// joinTerm begins to serve the dispatcher of a term over conn. It reports false if
+// the agent knows a later term.
+func (a *Attendant) joinTerm(ctx context.Context, conn *peer.Conn, term uint64) bool {
 	a.mu.Lock()
 	if term < a.term {
 		a.mu.Unlock()
@@ -135,26 +139,26 @@
 	a.term = term
 	a.mu.Unlock()
 	select {
-	case a.looked <- struct{}{}:
+	case a.wakePoll <- struct{}{}:
 	default:
 	}
 	a.group.Go(func() { a.serveTerm(ctx, conn) })
 	return true
 }
 
-// firstLook looks at the runner until it answers or nothing can run there any
-// more, which it reports as empty.
-func (a *Attendant) firstLook(ctx context.Context, conn *peer.Conn) (empty, ok bool) {
+// firstPoll polls the runner until it answers, or until it is certain that nothing
+// runs, which it reports as empty. ok is false if the connection or ctx ends before.
+func (a *Attendant) firstPoll(ctx context.Context, conn *peer.Conn) (empty, ok bool) {
 	for {
-		err := a.lookOnce(ctx, 0)
+		err := a.poll(ctx, 0)
 		if err == nil {
 			return false, true
 		}
 		a.mu.Lock()
-		ended := a.ended(err)
+		ended := a.allRunsEnded(err)
 		a.mu.Unlock()
 		if ended {
-			a.log.Warn().Err(err).Msg("no runner; an empty worker is reported")
+			a.log.Warn().Err(err).Msg("no runner; reporting a worker without runs")
 			return true, true
 		}
 		if !clock.Pause(ctx, conn.Done(), retryAfter) {
@@ -168,21 +172,21 @@
 	}
 }
 
-// serveTerm reports a fresh look at the runner, then pings.
+// serveTerm sends the dispatcher a report from a new poll of the runner, and then pings it.
 func (a *Attendant) serveTerm(ctx context.Context, conn *peer.Conn) {
-	empty, ok := a.firstLook(ctx, conn)
+	empty, ok := a.firstPoll(ctx, conn)
 	if !ok {
 		return
 	}
 	a.mu.Lock()
 	a.conn = conn
-	a.vacant = empty
-	a.told = a.lastEnd()
-	clear(a.pings)
+	a.reportedEmpty = empty
+	a.reportedEnd = a.lastEndNumber()
+	clear(a.pingSentAt)
 	if empty {
 		conn.Send(&peer.Message{Report: a.emptyReport()})
 	} else {
-		conn.Send(&peer.Message{Report: a.report()})
+		conn.Send(&peer.Message{Report: a.newReport()})
 	}
 	a.ping(clock.Steady())
 	a.mu.Unlock()
@@ -200,19 +204,20 @@
 	}
 }
 
-// ping asks for more time and describes the worker. The caller holds mu.
+// ping sends a ping, which asks for a longer worker lease and describes the worker.
+// The caller holds mu.
 func (a *Attendant) ping(now time.Time) {
-	a.seq++
-	if len(a.pings) > 16 {
-		clear(a.pings)
+	a.pingSeq++
+	if len(a.pingSentAt) > 16 {
+		clear(a.pingSentAt)
 	}
-	a.pings[a.seq] = now
-	w := a.worker()
-	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.seq, Worker: &w, Rows: append([]dispatch.Row(nil), a.rows...)}})
+	a.pingSentAt[a.pingSeq] = now
+	w := a.describeWorker()
+	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.pingSeq, Worker: &w, Rows: append([]dispatch.Row(nil), a.runs...)}})
 }
 
-// ponged takes in the answer to a ping.
-func (a *Attendant) ponged(conn *peer.Conn, p *peer.Pong) {
+// handlePong handles the answer to a ping, which may renew the worker lease.
+func (a *Attendant) handlePong(conn *peer.Conn, p *peer.Pong) {
 	a.LearnEntries(p.Entries)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -220,22 +225,22 @@
 		conn.Close()
 		return
 	}
-	if sent, ok := a.pings[p.Seq]; ok && p.Granted {
-		a.grant.Renew(sent)
+	if sent, ok := a.pingSentAt[p.Seq]; ok && p.Granted {
+		a.workerLease.Renew(sent)
 	}
-	delete(a.pings, p.Seq)
+	delete(a.pingSentAt, p.Seq)
 }
 
-// note takes in up to which end the dispatcher has stored.
-func (a *Attendant) note(n *peer.Noted) {
+// handleAck handles the dispatcher's message up to which number it has stored run ends.
+func (a *Attendant) handleAck(n *peer.Noted) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if n.Life == a.life {
-		a.noted = max(a.noted, n.End)
+		a.ackedEnd = max(a.ackedEnd, n.End)
 	}
 }
 
-// LearnEntries notes addresses of entries.
+// LearnEntries adds peer addresses of entries.
 func (a *Attendant) LearnEntries(addresses []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/attendant/lives_test.go
+++ b/internal/attendant/lives_test.go
@@ -12,16 +12,17 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// A start that was sent to an earlier life must not take effect in the next one.
-func TestNewLifeFencesStrayStarts(t *testing.T) {
-	s := newSite(t)
+// A start that was sent to an earlier life of the runner is fenced in the next one
+// before that is reported.
+func TestNewLifeFencesUnresolvedStarts(t *testing.T) {
+	s := newFixture(t)
 	s.agent.mu.Lock()
-	s.agent.orders[runKey{task, 2}] = &dispatch.Start{Task: task, Run: 2}
+	s.agent.unlistedStarts[runKey{task, 2}] = &dispatch.Start{Task: task, Run: 2}
 	s.agent.mu.Unlock()
 	s.runner.mu.Lock()
 	s.runner.listing = Listing{ClockMS: 1, Born: 8}
 	s.runner.mu.Unlock()
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
 	m := s.next(t, func(m *peer.Message) bool { return m.Report != nil })
@@ -34,60 +35,60 @@
 	}
 }
 
-// Starts extend leases too: nothing may be reported as ended before theirs are over.
+// A start comes with a lease too: the worker must not be reported as empty before that has expired.
 func TestStartExtendsTheLease(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.agent.mu.Lock()
-	s.agent.held = clock.Steady().Add(-time.Minute)
+	s.agent.lastRunLeaseEnd = clock.Steady().Add(-time.Minute)
 	s.agent.mu.Unlock()
-	s.agent.take(context.Background(), &peer.Orders{Term: 3, Starts: []dispatch.Start{{Worker: "w1", Life: 7, Task: workflow.TaskID{Job: "a"}, Run: 1}}})
+	s.agent.handleOrders(context.Background(), &peer.Orders{Term: 3, Starts: []dispatch.Start{{Worker: "w1", Life: 7, Task: workflow.TaskID{Job: "a"}, Run: 1}}})
 	s.agent.mu.Lock()
 	defer s.agent.mu.Unlock()
-	if got := s.agent.ended(ErrNoAnswer); got {
-		t.Error("runs have ended while the lease of a start lasts: got true, want false")
+	if got := s.agent.allRunsEnded(ErrNoAnswer); got {
+		t.Error("all runs ended while the lease of a start lasts: got true, want false")
 	}
 }
 
-// A look that may reach another life of the runner, perhaps under the same name,
-// extends no lease and notes no end.
-func TestUnsureLookExtendsNothing(t *testing.T) {
-	s := newSite(t)
+// A poll that may reach another life of the runner, perhaps with the same instance
+// name, renews no lease and acknowledges no run end.
+func TestPollOfUncertainLifeRenewsNothing(t *testing.T) {
+	s := newFixture(t)
 	s.agent.mu.Lock()
-	s.agent.sure, s.agent.noted = time.Time{}, 4
+	s.agent.sameLifeUntil, s.agent.ackedEnd = time.Time{}, 4
 	s.agent.mu.Unlock()
 	for i, want := range []bool{false, true} {
-		if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+		if err := s.agent.poll(context.Background(), 0); err != nil {
 			t.Fatal(err)
 		}
 		s.runner.mu.Lock()
-		h := s.runner.holds[len(s.runner.holds)-1]
+		h := s.runner.renewals[len(s.runner.renewals)-1]
 		s.runner.mu.Unlock()
 		if got := h.UntilMS > 0; got != want {
-			t.Errorf("look %d extends a lease: got %v, want %v", i, got, want)
+			t.Errorf("poll %d renews a lease: got %v, want %v", i, got, want)
 		}
 		if got := h.Noted > 0; got != want {
-			t.Errorf("look %d notes ends: got %v, want %v", i, got, want)
+			t.Errorf("poll %d acknowledges run ends: got %v, want %v", i, got, want)
 		}
 	}
 }
 
-// A start without an answer may take effect in another life of the runner that
-// has the same name; that life is reported only once it is fenced there.
-func TestLateStartIsFencedInTheNextLife(t *testing.T) {
-	s := newSite(t)
+// A start without an answer may take effect in another life of the runner with the
+// same instance name. That life is reported only once the start is fenced in it.
+func TestUnansweredStartIsFencedInTheNextLife(t *testing.T) {
+	s := newFixture(t)
 	k := runKey{workflow.TaskID{Job: "a"}, 1}
 	s.agent.mu.Lock()
-	s.agent.late[k] = clock.Steady().Add(time.Minute)
-	answered := runKey{workflow.TaskID{Job: "b"}, 1} // by either life
-	s.agent.orders[answered] = &dispatch.Start{Task: answered.task, Run: 1}
+	s.agent.unansweredStarts[k] = clock.Steady().Add(time.Minute)
+	answered := runKey{workflow.TaskID{Job: "b"}, 1} // either life may have answered it
+	s.agent.unlistedStarts[answered] = &dispatch.Start{Task: answered.task, Run: 1}
 	s.agent.mu.Unlock()
 	s.runner.mu.Lock()
 	s.runner.listing = Listing{ClockMS: 5, Born: 8}
 	s.runner.mu.Unlock()
-	if err := s.agent.lookOnce(context.Background(), 0); err != nil {
+	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
-	m := <-s.got
+	m := <-s.received
 	s.runner.mu.Lock()
 	defer s.runner.mu.Unlock()
 	if m.Report == nil || m.Report.Worker.Life != 8 || !slices.Contains(s.runner.fenced, k) || !slices.Contains(s.runner.fenced, answered) {
@@ -95,22 +96,22 @@
 	}
 }
 
-// A runner that may have begun another life is not told what to forget: its ends
-// are numbered anew.
-func TestNotedIsOnlyForTheSameLife(t *testing.T) {
-	s := newSite(t)
-	s.agent.note(&peer.Noted{Life: 7, End: 57})
+// A runner that may have restarted gets no acknowledgement, since its run ends are
+// numbered from the beginning.
+func TestAcknowledgementIsOnlyForTheSameLife(t *testing.T) {
+	s := newFixture(t)
+	s.agent.handleAck(&peer.Noted{Life: 7, End: 57})
 	last := func() uint64 {
 		s.runner.mu.Lock()
 		defer s.runner.mu.Unlock()
-		return s.runner.holds[len(s.runner.holds)-1].Noted
+		return s.runner.renewals[len(s.runner.renewals)-1].Noted
 	}
-	look := func(gone bool) {
+	poll := func(gone bool) {
 		s.runner.mu.Lock()
 		s.runner.gone = gone
 		s.runner.mu.Unlock()
-		if err := s.agent.lookOnce(context.Background(), 0); (err != nil) != gone {
-			t.Fatalf("look: got %v, want an error: %v", err, gone)
+		if err := s.agent.poll(context.Background(), 0); (err != nil) != gone {
+			t.Fatalf("poll: got %v, want an error: %v", err, gone)
 		}
 	}
 	for _, tc := range []struct {
@@ -120,15 +121,15 @@
 	}{
 		{"right after a listing", false, 57}, {"a call that fails", true, 57}, {"after a failure", false, 0}, {"after another listing", false, 57},
 	} {
-		look(tc.gone)
+		poll(tc.gone)
 		if got := last(); got != tc.want {
 			t.Errorf("%s: got %d, want %d", tc.name, got, tc.want)
 		}
 	}
 	s.agent.mu.Lock()
-	s.agent.sure = clock.Steady().Add(-time.Millisecond)
+	s.agent.sameLifeUntil = clock.Steady().Add(-time.Millisecond)
 	s.agent.mu.Unlock()
-	look(false)
+	poll(false)
 	if got := last(); got != 0 {
 		t.Errorf("long after a listing: got %d, want 0", got)
 	}
--- a/internal/attendant/orders.go
+++ b/internal/attendant/orders.go
@@ -12,16 +12,16 @@
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
 )
 
-// take carries the dispatcher's orders out.
-func (a *Attendant) take(ctx context.Context, o *peer.Orders) {
+// handleOrders carries out the dispatcher's orders.
+func (a *Attendant) handleOrders(ctx context.Context, o *peer.Orders) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if o.Term != a.term {
-		a.log.Warn().Uint64("term", o.Term).Uint64("newest", a.term).Msg("orders of another term are dropped")
+		a.log.Warn().Uint64("term", o.Term).Uint64("newest", a.term).Msg("dropped orders of another term")
 		return
 	}
 	now := clock.Steady()
-	a.guard.learn(o.Guarded)
+	a.guard.addTasks(o.Guarded)
 	for i := range o.Starts {
 		s := o.Starts[i]
 		k := runKey{s.Task, s.Run}
@@ -29,18 +29,18 @@
 			a.refuse(s.Life, k, errOtherLife)
 			continue
 		}
-		until := a.until(now)
-		if until == 0 || a.grant.Left(now) < shortestGrant {
-			a.refuse(s.Life, k, errNoGrant)
+		until := a.runLeaseEndMS(now)
+		if until == 0 || a.workerLease.Left(now) < minLeaseLeft {
+			a.refuse(s.Life, k, errLeaseTooShort)
 			continue
 		}
-		a.asked(now)
-		a.orders[k] = &s
-		c := a.call()
-		a.group.Go(func() { a.start(ctx, c, &s, until) })
+		a.noteRunLeases(now)
+		a.unlistedStarts[k] = &s
+		c := a.newCall()
+		a.group.Go(func() { a.startRun(ctx, c, &s, until) })
 	}
 	for _, q := range o.Questions {
-		a.group.Go(func() { a.ask(ctx, &q) })
+		a.group.Go(func() { a.answerQuestion(ctx, &q) })
 	}
 	for i := range o.Stops {
 		s := o.Stops[i]
@@ -52,9 +52,10 @@
 	}
 }
 
-// refuse tells the dispatcher that an order never runs. The caller holds mu.
+// refuse tells the dispatcher that an order is not carried out and never will be.
+// The caller holds mu.
 func (a *Attendant) refuse(life uint64, k runKey, reason error) {
-	delete(a.orders, k)
+	delete(a.unlistedStarts, k)
 	a.count("orders-refused")
 	a.log.Info().Str("task", k.task.String()).Uint64("run", k.run).Str("reason", reason.Error()).Msg("order refused")
 	if a.conn != nil {
@@ -62,8 +63,9 @@
 	}
 }
 
-// start orders the runner to start a task.
-func (a *Attendant) start(ctx context.Context, c Call, s *dispatch.Start, until int64) {
+// startRun has the runner start a run, and makes sure that it never starts later if
+// there is no answer and the next listing does not show it.
+func (a *Attendant) startRun(ctx context.Context, c Call, s *dispatch.Start, until int64) {
 	k := runKey{s.Task, s.Run}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -79,59 +81,60 @@
 		a.count("starts-unanswered")
 		a.log.Warn().Err(err).Str("task", k.task.String()).Uint64("run", k.run).Msg("start not answered")
 		a.mu.Lock()
-		a.noteLate(clock.Steady(), k)
+		a.addUnanswered(clock.Steady(), k)
 		a.mu.Unlock()
-		if a.awaitListed(ctx, k) {
+		if a.pollForRun(ctx, k) {
 			return
 		}
-		a.fence(ctx, s.Life, k, "its start was not answered")
+		a.fence(ctx, s.Life, k, "the runner did not answer the start")
 	}
 }
 
-// awaitListed looks at the runner once and reports whether it lists a run, or has ended it.
-func (a *Attendant) awaitListed(ctx context.Context, k runKey) bool {
-	if err := a.lookOnce(ctx, 0); err != nil {
+// pollForRun polls the runner once and reports whether it lists a run as running or ended.
+func (a *Attendant) pollForRun(ctx context.Context, k runKey) bool {
+	if err := a.poll(ctx, 0); err != nil {
 		return false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.orders[k] == nil
+	return a.unlistedStarts[k] == nil
 }
 
-// fence stops a run, or makes sure that it never starts, and tells the
-// dispatcher if there is nothing to end.
+// fence stops a run, or makes sure that it never starts. If the runner does not list
+// the run, there will be no run end, and the order is reported as refused.
 func (a *Attendant) fence(ctx context.Context, life uint64, k runKey, reason string) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
-		c, current := a.call(), a.life == life
+		c, current := a.newCall(), a.life == life
 		a.mu.Unlock()
 		if !current {
-			return // the new life's report settles it
+			return // the report of the new life says what runs
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := a.runner.Stop(callCtx, c, k.task, k.run)
 		cancel()
-		if err == nil && a.lookOnce(ctx, 0) == nil {
+		if err == nil && a.poll(ctx, 0) == nil {
 			break
 		}
 		clock.Pause(ctx, nil, retryAfter)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.life != life || a.lists(k) {
-		return // the end is reported once it is listed
+	if a.life != life || a.isListed(k) {
+		return // its run end is reported once it is listed
 	}
 	a.refuse(life, k, errors.New(reason))
 }
 
-// lists reports whether the runner runs k, or has ended it and not forgotten. The caller holds mu.
-func (a *Attendant) lists(k runKey) bool {
-	for _, r := range a.rows {
+// isListed reports whether the latest listing shows run k as running, or as ended and
+// not acknowledged. The caller holds mu.
+func (a *Attendant) isListed(k runKey) bool {
+	for _, r := range a.runs {
 		if r.Task == k.task && r.Run == k.run {
 			return true
 		}
 	}
-	for _, e := range a.ends {
+	for _, e := range a.runEnds {
 		if e.Task == k.task && e.Run == k.run {
 			return true
 		}
@@ -139,17 +142,17 @@
 	return false
 }
 
-// strays returns the starts that no listing has shown and that may take effect
-// in the present life, which may have the same name as the one they were sent
-// to. Those that were answered count: either life may have answered. The caller
-// holds mu.
-func (a *Attendant) strays(now time.Time) []runKey {
+// unresolvedStarts returns the starts that have not appeared in a listing and may
+// take effect in the present life of the runner, which may have the same instance
+// name as the one they were sent to. This includes starts that were answered, since
+// either life may have answered them. The caller holds mu.
+func (a *Attendant) unresolvedStarts(now time.Time) []runKey {
 	var out []runKey
-	for k := range a.orders {
-		delete(a.orders, k)
+	for k := range a.unlistedStarts {
+		delete(a.unlistedStarts, k)
 		out = append(out, k)
 	}
-	for k, until := range a.late {
+	for k, until := range a.unansweredStarts {
 		if now.Before(until) {
 			out = append(out, k)
 		}
@@ -157,21 +160,22 @@
 	return out
 }
 
-// noteLate notes a start without an answer and forgets those that are too old
-// to take effect. The caller holds mu.
-func (a *Attendant) noteLate(now time.Time, k runKey) {
-	maps.DeleteFunc(a.late, func(_ runKey, until time.Time) bool { return !now.Before(until) })
-	a.late[k] = now.Add(latestEffect)
+// addUnanswered records a start without an answer, and removes those that are too
+// old to take effect. The caller holds mu.
+func (a *Attendant) addUnanswered(now time.Time, k runKey) {
+	maps.DeleteFunc(a.unansweredStarts, func(_ runKey, until time.Time) bool { return !now.Before(until) })
+	a.unansweredStarts[k] = now.Add(maxStartDelay)
 }
 
-// settle makes sure that strays never run in a life, and reports it only then.
-func (a *Attendant) settle(ctx context.Context, life uint64, strays []runKey) {
-	for _, k := range strays {
-		if !a.stopStray(ctx, life, k) {
-			return // another life has begun
+// fenceAndReport makes sure that starts never take effect in a life of the runner,
+// and reports this life to the dispatcher only then.
+func (a *Attendant) fenceAndReport(ctx context.Context, life uint64, starts []runKey) {
+	for _, k := range starts {
+		if !a.fenceStart(ctx, life, k) {
+			return // the runner has restarted again
 		}
 	}
-	for a.lookOnce(ctx, 0) != nil {
+	for a.poll(ctx, 0) != nil {
 		if !clock.Pause(ctx, nil, retryAfter) {
 			return
 		}
@@ -179,16 +183,17 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.life == life {
-		a.log.Info().Uint64("life", life).Int("starts", len(strays)).Msg("starts sent to the runner's earlier life are fenced")
-		a.tellAll()
+		a.log.Info().Uint64("life", life).Int("starts", len(starts)).Msg("fenced starts that were sent to an earlier life of the runner")
+		a.sendReport()
 	}
 }
 
-// stopStray makes sure that a run never starts in a life; false if that life is over.
-func (a *Attendant) stopStray(ctx context.Context, life uint64, k runKey) bool {
+// fenceStart makes sure that a run never starts in a life of the runner. It reports
+// false if that life is over or ctx has ended.
+func (a *Attendant) fenceStart(ctx context.Context, life uint64, k runKey) bool {
 	for ctx.Err() == nil {
 		a.mu.Lock()
-		c, current := a.call(), a.life == life
+		c, current := a.newCall(), a.life == life
 		a.mu.Unlock()
 		if !current {
 			return false
--- a/internal/attendant/runner.go
+++ b/internal/attendant/runner.go
@@ -13,68 +13,70 @@
 
 // Errors returned by the functions of Runner.
 var (
-	// ErrNotRun means that the runner certainly did not take a start.
-	ErrNotRun = errors.New("the runner did not take the order")
-	// ErrTicket means that the runner did not accept the ticket of a start.
+	// ErrNotRun means that the runner certainly did not carry out a call: a start never runs.
+	ErrNotRun = errors.New("the runner did not carry out the call")
+	// ErrTicket means that the runner did not accept the ticket of the placement policy in a start.
 	ErrTicket = errors.New("the runner did not accept the ticket")
-	// ErrGone means that no runner listens: what it ran has ended.
+	// ErrGone means that no runner listens, so all of its runs have ended.
 	ErrGone = errors.New("no runner listens")
-	// ErrNoAnswer means that a call may have taken effect, or still may.
+	// ErrNoAnswer means that a call may have taken effect, or may do so later.
 	ErrNoAnswer = errors.New("the runner did not answer")
 )
 
-// Call is what every call to the runner carries.
+// Call holds the fields that all calls to the runner have in common.
 type Call struct {
-	// Instance is the runner's name of its present life; "" is any.
+	// Instance is the instance name of the runner that the call is for; any if empty.
 	Instance string
-	// Term is the dispatcher's; the runner does nothing for a lower one than it has seen.
+	// Term is the term of the dispatcher. The runner rejects calls with a lower term than it has seen.
 	Term uint64
 }
 
-// Hold is a call that extends the lease of everything that runs.
+// Hold is a call that renews the leases of all runs.
 type Hold struct {
 	Call
-	// Noted is up to which end the runner may forget.
+	// Noted is the number up to which the runner may forget run ends, since the dispatcher
+	// has stored them.
 	Noted uint64
-	// UntilMS is the lease's end on the runner's clock; 0 extends nothing.
+	// UntilMS is the new end of the leases, in milliseconds on the runner's clock; 0 renews nothing.
 	UntilMS int64
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the runner may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// Listing is a runner's answer to a Hold.
+// Listing is the answer of a runner to the call that renews leases.
 type Listing struct {
-	// ClockMS is the runner's steady clock.
+	// ClockMS is the reading of the runner's monotonic clock, in milliseconds.
 	ClockMS int64
-	// Born tells the runner's lives apart: when this one began, in Unix milliseconds.
+	// Born is when the runner started, in Unix milliseconds; it identifies the life.
 	Born uint64
 	Rows []dispatch.Row
 	Ends []dispatch.End
 }
 
-// Runner holds the calls to the runner beside the agent.
+// Runner holds the functions that call the runner of the agent's worker.
 type Runner struct {
-	// Start starts a task, until a time on the runner's clock.
+	// Start starts a run with a lease that ends at untilMS on the runner's clock.
 	Start func(ctx context.Context, c Call, s *dispatch.Start, untilMS int64) error
 	// Stop stops a run, or makes sure that it never starts.
 	Stop func(ctx context.Context, c Call, task workflow.TaskID, run uint64) error
+	// Hold renews the leases of all runs and lists them.
 	Hold func(ctx context.Context, h Hold) (*Listing, error)
-	// Pace lets a task work at a percentage.
+	// Pace limits a run to a percentage of full speed.
 	Pace func(ctx context.Context, c Call, task workflow.TaskID, run uint64, percent int) error
 }
 
-// Advice says which runners may run a step.
+// Advice is the answer of the placement policy service: which runners may run a step.
 type Advice struct {
-	// Tickets are what starts at the runners that are allowed must carry, by instance.
+	// Tickets are the tickets that starts at the allowed runners must carry, by instance name.
 	Tickets map[string]string
-	// Valid is how long they may be used.
+	// Valid is how long the tickets may be used.
 	Valid time.Duration
 }
 
-// Announcement is a runner's heartbeat.
+// Announcement is what a runner sends about itself at regular intervals.
 type Announcement struct {
 	Instance string
-	// Born is when this life began, in Unix milliseconds.
+	// Born is when the runner started, in Unix milliseconds.
 	Born     uint64
 	Seq      uint64
 	Service  string
