--- a/internal/attendant/attendant.go
+++ b/internal/attendant/attendant.go
@@ -89,7 +89,7 @@
 	// runnerClockMS is the latest reading of the runner's clock, runnerClockReadAt when it arrived.
 	runnerClockMS     int64
 	runnerClockReadAt time.Time
-	workerLease       tenure.Grant
+	workerLease       tenure.WorkerLease
 	// lastRunLeaseEnd is the latest end of any run lease that was asked of the runner.
 	lastRunLeaseEnd time.Time
 	// reportedEmpty is set once the dispatcher was told that the worker runs nothing.
@@ -97,8 +97,8 @@
 	term          uint64
 	conn          *peer.Conn
 	// runs and runEnds are from the latest listing; runEnds leaves out acknowledged ones.
-	runs    []dispatch.Row
-	runEnds []dispatch.End
+	runs    []dispatch.RunStatus
+	runEnds []dispatch.RunEnd
 	// reportedEnd is the number of the last run end sent to the dispatcher, ackedEnd of
 	// the last one that it has stored.
 	reportedEnd uint64
@@ -122,7 +122,7 @@
 func New(s Settings, runner Runner, port store.Port, logger *log.Logger, registry gometrics.Registry) *Attendant {
 	a := &Attendant{
 		settings: s, runner: runner, store: port, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
-		lastRunLeaseEnd: clock.Steady().Add(tenure.GrantFor), // an earlier agent process may have renewed run leases up to then
+		lastRunLeaseEnd: clock.Steady().Add(tenure.WorkerLeaseDuration), // an earlier agent process may have renewed run leases up to then
 		unlistedStarts:  make(map[runKey]*dispatch.Start), unansweredStarts: make(map[runKey]time.Time), entries: make(map[string]bool), pingSentAt: make(map[uint64]time.Time),
 	}
 	for _, e := range s.Entries {
@@ -206,7 +206,7 @@
 // runner's clock, or 0 if there is none. It is early enough that the leases end no
 // later than the worker lease even if the runner's clock is slow. The caller holds mu.
 func (a *Attendant) runLeaseEndMS(now time.Time) int64 {
-	left := a.workerLease.Left(now)
+	left := a.workerLease.Remaining(now)
 	if left <= 0 || a.runnerClockReadAt.IsZero() {
 		return 0
 	}
@@ -277,7 +277,7 @@
 // noteRunLeases records that a call asks the runner for leases up to the end of the
 // worker lease. The caller holds mu.
 func (a *Attendant) noteRunLeases(now time.Time) {
-	if until := now.Add(a.workerLease.Left(now)); until.After(a.lastRunLeaseEnd) {
+	if until := now.Add(a.workerLease.Remaining(now)); until.After(a.lastRunLeaseEnd) {
 		a.lastRunLeaseEnd = until
 	}
 }
@@ -358,7 +358,7 @@
 	}
 	for _, r := range l.Rows {
 		if o := a.unlistedStarts[runKey{r.Task, r.Run}]; o != nil {
-			a.guard.addTasks([]dispatch.Guarded{{Task: r.Task, TargetMS: o.TargetMS, Fills: o.Fills, Harm: o.Harm}})
+			a.guard.addTasks([]dispatch.GuardedTask{{Task: r.Task, TargetMS: o.TargetMS, Fills: o.Fills, Harm: o.Harm}})
 			delete(a.unlistedStarts, runKey{r.Task, r.Run})
 		}
 	}
@@ -387,7 +387,7 @@
 	if a.conn == nil {
 		return
 	}
-	var unsent []dispatch.End
+	var unsent []dispatch.RunEnd
 	for _, e := range a.runEnds {
 		if e.Number > a.reportedEnd {
 			unsent = append(unsent, e)
@@ -400,16 +400,16 @@
 
 // newReport returns a report of the worker's whole state. The caller holds mu.
 func (a *Attendant) newReport() *peer.Report {
-	r := &peer.Report{Worker: a.describeWorker(), Rows: append([]dispatch.Row(nil), a.runs...), Ends: append([]dispatch.End(nil), a.runEnds...)}
+	r := &peer.Report{Worker: a.describeWorker(), Rows: append([]dispatch.RunStatus(nil), a.runs...), Ends: append([]dispatch.RunEnd(nil), a.runEnds...)}
 	for k := range a.unlistedStarts {
-		r.Rows = append(r.Rows, dispatch.Row{Task: k.task, Run: k.run, Pending: true})
+		r.Rows = append(r.Rows, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
 	}
 	return r
 }
 
 // describeWorker returns what the agent knows of its worker. The caller holds mu.
 func (a *Attendant) describeWorker() dispatch.Worker {
-	w := dispatch.Worker{Name: a.settings.Name, Life: a.life, Draining: true, Pace: a.guard.pacer.Percent()}
+	w := dispatch.Worker{Name: a.settings.Name, Life: a.life, Draining: true, PacePercent: a.guard.pacer.Percent()}
 	if b := &a.heartbeat; b.Born == a.life {
 		w.Service, w.Capacity, w.Labels, w.Draining, w.Instance = b.Service, b.Capacity, b.Labels, b.Draining, b.Instance
 	}
--- a/internal/attendant/attendant_test.go
+++ b/internal/attendant/attendant_test.go
@@ -43,7 +43,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.startTakesEffect {
-		f.listing.Rows = append(f.listing.Rows, dispatch.Row{Task: s.Task, Run: s.Run})
+		f.listing.Rows = append(f.listing.Rows, dispatch.RunStatus{Task: s.Task, Run: s.Run})
 	}
 	return f.startErr
 }
@@ -54,7 +54,7 @@
 	for i, r := range f.listing.Rows {
 		if r.Task == task && r.Run == run {
 			f.listing.Rows = slices.Delete(f.listing.Rows, i, i+1)
-			f.listing.Ends = append(f.listing.Ends, dispatch.End{Number: uint64(len(f.listing.Ends) + 1), Task: task, Run: run, How: dispatch.HowStopped})
+			f.listing.Ends = append(f.listing.Ends, dispatch.RunEnd{Number: uint64(len(f.listing.Ends) + 1), Task: task, Run: run, How: dispatch.OutcomeStopped})
 			return nil
 		}
 	}
@@ -177,7 +177,7 @@
 	}{
 		{"the runner did not carry it out", func(s *fixture, _ *peer.Orders) { s.runner.startErr = ErrNotRun }},
 		{"the order is for another life", func(_ *fixture, o *peer.Orders) { o.Starts[0].Life = 6 }},
-		{"no worker lease", func(s *fixture, _ *peer.Orders) { s.agent.workerLease = tenure.Grant{} }},
+		{"no worker lease", func(s *fixture, _ *peer.Orders) { s.agent.workerLease = tenure.WorkerLease{} }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFixture(t)
@@ -271,7 +271,7 @@
 	now := clock.Steady()
 	a.workerLease.Renew(now)
 	a.runnerClockMS, a.runnerClockReadAt = 50_000, now.Add(-time.Second)
-	left := a.workerLease.Left(now)
+	left := a.workerLease.Remaining(now)
 	until := a.runLeaseEndMS(now)
 	slowest := time.Duration(until-a.runnerClockMS) * time.Millisecond * 102 / 100
 	if end := a.runnerClockReadAt.Add(slowest); end.After(now.Add(left)) {
@@ -318,7 +318,7 @@
 func TestRunEndsAreReportedOnce(t *testing.T) {
 	s := newFixture(t)
 	s.runner.mu.Lock()
-	s.runner.listing.Ends = []dispatch.End{{Number: 1, Task: task, Run: 1, How: dispatch.HowDone}}
+	s.runner.listing.Ends = []dispatch.RunEnd{{Number: 1, Task: task, Run: 1, How: dispatch.OutcomeDone}}
 	s.runner.mu.Unlock()
 	for range 3 {
 		if err := s.agent.poll(context.Background(), 0); err != nil {
@@ -350,9 +350,9 @@
 func TestGuardPacesNewRuns(t *testing.T) {
 	var g guard
 	fill := workflow.TaskID{Job: "f"}
-	g.addTasks([]dispatch.Guarded{{Task: task, TargetMS: 10}, {Task: fill, Fills: true, Harm: 0.9}})
+	g.addTasks([]dispatch.GuardedTask{{Task: task, TargetMS: 10}, {Task: fill, Fills: true, Harm: 0.9}})
 	now := clock.Steady()
-	rows := []dispatch.Row{{Task: task, Run: 1, Reading: 50}, {Task: fill, Run: 1, Reading: 1000}}
+	rows := []dispatch.RunStatus{{Task: task, Run: 1, Reading: 50}, {Task: fill, Run: 1, Reading: 1000}}
 	var last []paceChange
 	for i := range 8 {
 		if changes, _ := g.decide(now.Add(time.Duration(i)*400*time.Millisecond), rows); len(changes) > 0 {
--- a/internal/attendant/guard.go
+++ b/internal/attendant/guard.go
@@ -28,7 +28,7 @@
 }
 
 // addTasks records the targets and the expected interference of tasks.
-func (g *guard) addTasks(tasks []dispatch.Guarded) {
+func (g *guard) addTasks(tasks []dispatch.GuardedTask) {
 	if g.targetMS == nil {
 		g.targetMS = make(map[workflow.TaskID]float64)
 		g.interference = make(map[workflow.TaskID]float64)
@@ -60,7 +60,7 @@
 
 // decide returns which runs need another pace, given all runs of the worker, and
 // whether these include both serving and best-effort tasks.
-func (g *guard) decide(now time.Time, runs []dispatch.Row) (changes []paceChange, colocated bool) {
+func (g *guard) decide(now time.Time, runs []dispatch.RunStatus) (changes []paceChange, colocated bool) {
 	pressure, serving := 0.0, 0
 	var bestEffort []runKey
 	for i := range runs {
@@ -105,7 +105,7 @@
 }
 
 // forgetEnded removes tasks that no longer run once the recorded ones reach a limit.
-func (g *guard) forgetEnded(runs []dispatch.Row) {
+func (g *guard) forgetEnded(runs []dispatch.RunStatus) {
 	const maxTasks = 256
 	if len(g.targetMS)+len(g.interference) < maxTasks {
 		return
--- a/internal/attendant/link.go
+++ b/internal/attendant/link.go
@@ -213,7 +213,7 @@
 	}
 	a.pingSentAt[a.pingSeq] = now
 	w := a.describeWorker()
-	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.pingSeq, Worker: &w, Rows: append([]dispatch.Row(nil), a.runs...)}})
+	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.pingSeq, Worker: &w, Rows: append([]dispatch.RunStatus(nil), a.runs...)}})
 }
 
 // handlePong handles the answer to a ping, which may renew the worker lease.
--- a/internal/attendant/orders.go
+++ b/internal/attendant/orders.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		until := a.runLeaseEndMS(now)
-		if until == 0 || a.workerLease.Left(now) < minLeaseLeft {
+		if until == 0 || a.workerLease.Remaining(now) < minLeaseLeft {
 			a.refuse(s.Life, k, errLeaseTooShort)
 			continue
 		}
--- a/internal/attendant/runner.go
+++ b/internal/attendant/runner.go
@@ -49,8 +49,8 @@
 	ClockMS int64
 	// Born is when the runner started, in Unix milliseconds; it identifies the life.
 	Born uint64
-	Rows []dispatch.Row
-	Ends []dispatch.End
+	Rows []dispatch.RunStatus
+	Ends []dispatch.RunEnd
 }
 
 // Runner holds the functions that call the runner of the agent's worker.
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -68,7 +68,7 @@
 
 func (c *Coordinator) submit(ctx context.Context, sub *workflow.Submission) error {
 	c.mu.Lock()
-	e, ok := c.jobs.Entry(sub.ID)
+	e, ok := c.jobs.Job(sub.ID)
 	known := ok && e.Submission() != nil
 	sub.Term = c.candidate.Claim().Term
 	c.mu.Unlock()
@@ -215,7 +215,7 @@
 // Phase returns the phase of a job. A job counts as ended only once its end is stored.
 func (c *Coordinator) Phase(ctx context.Context, id string) (workflow.Phase, error) {
 	c.mu.Lock()
-	e, known := c.jobs.Entry(id)
+	e, known := c.jobs.Job(id)
 	known = known && e.Submission() != nil
 	phase := workflow.PhaseQueued
 	if known {
@@ -253,7 +253,7 @@
 func (c *Coordinator) localPhase(id string) (workflow.Phase, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e, ok := c.jobs.Entry(id); ok && e.Submission() != nil && e.Phase().Ended() {
+	if e, ok := c.jobs.Job(id); ok && e.Submission() != nil && e.Phase().Ended() {
 		return e.Phase(), true
 	}
 	if c.term == nil {
@@ -272,12 +272,12 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.term != nil:
-		return c.term.scheduler.Pending()[queue]
+		return c.term.scheduler.PendingJobs()[queue]
 	case c.dispatcherConn != nil && c.pendingByQueue != nil:
 		return c.pendingByQueue[queue]
 	}
 	n := 0
-	c.jobs.Each(func(_ string, e *workflow.Entry) {
+	c.jobs.Each(func(_ string, e *workflow.Job) {
 		if s := e.Submission(); s != nil && s.Queue == queue && e.Phase() == workflow.PhaseQueued {
 			n++
 		}
--- a/internal/coordinator/changes.go
+++ b/internal/coordinator/changes.go
@@ -73,15 +73,15 @@
 func (c *Coordinator) flush(ctx context.Context, t *term) {
 	c.mu.Lock()
 	now := clock.Steady()
-	idle := now.Sub(t.leaderLease.Proven()) >= leaderLeaseRenewEvery || t.renewalDue
-	due := t.scheduler.Changed() && (t.scheduler.Urgent() || now.Sub(t.lastFlush) >= flushEvery)
+	idle := now.Sub(t.leaderLease.LastRenewal()) >= leaderLeaseRenewEvery || t.renewalDue
+	due := t.scheduler.HasChange() && (t.scheduler.HasUrgentChange() || now.Sub(t.lastFlush) >= flushEvery)
 	if c.term != t || !due && !idle {
 		c.mu.Unlock()
 		return
 	}
 	change := t.scheduler.TakeChange()
 	t.lastFlush, t.renewalDue = now, false
-	expiredJobs := t.scheduler.Expired(clock.WallMS() - c.settings.StatusFor.Milliseconds())
+	expiredJobs := t.scheduler.DropExpired(clock.WallMS() - c.settings.StatusFor.Milliseconds())
 	learned := c.learnedRecord(now, t)
 	c.mu.Unlock()
 	records := append(c.encodeProgress(change), learned...)
@@ -96,7 +96,7 @@
 func (c *Coordinator) deleteJobs(ctx context.Context, ids []string) {
 	var progress, intake []store.Record
 	for _, id := range ids {
-		p, i := workflow.ForgetRecords(id)
+		p, i := workflow.TombstoneRecords(id)
 		progress, intake = append(progress, p...), append(intake, i...)
 	}
 	for topic, records := range map[store.Topic][]store.Record{store.TopicProgress: progress, store.TopicIntake: intake} {
@@ -144,7 +144,7 @@
 				t.appendSeq = seq
 			}
 			c.mu.Lock()
-			t.leaderLease.Prove(sent)
+			t.leaderLease.Renew(sent)
 			c.mu.Unlock()
 			return true
 		case errors.As(err, &wrong):
@@ -183,7 +183,7 @@
 			c.log.Info().Str("job", id).Str("phase", p.Phase.String()).Msg("job ended")
 		}
 	}
-	change.EachNote(func(worker string, life, end uint64) {
+	change.EachAck(func(worker string, life, end uint64) {
 		if a := t.agents[worker]; a != nil && a.conn != nil {
 			a.conn.Send(&peer.Message{Noted: &peer.Noted{Life: life, End: end}})
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -76,7 +76,7 @@
 	mu        sync.Mutex
 	config    *Config
 	rawConfig []byte
-	jobs      workflow.Book
+	jobs      workflow.JobTable
 	// learned is the newest record of the interference that dispatchers measured between images.
 	learned []byte
 	// tails holds the read positions in jobTopics.
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -236,7 +236,7 @@
 	if got, want := (<-stored).Key, "s/a"; got != want {
 		t.Errorf("stored: got %s, want %s", got, want)
 	}
-	if !c.term.scheduler.Known("a") {
+	if !c.term.scheduler.HasJob("a") {
 		t.Error("scheduler: got no job, want it")
 	}
 }
@@ -249,16 +249,16 @@
 	if err := a.claim(ctx, "test"); err != nil {
 		t.Fatal(err)
 	}
-	want := dispatch.Learned{Serving: "serve", Filling: "press", Share: 0.07}
-	a.term.scheduler.Teach([]dispatch.Learned{want})
-	a.term.leaderLease = tenure.Holder{} // a renewal is due, so that flush stores records
+	want := dispatch.InterferenceLimit{Serving: "serve", Filling: "press", Share: 0.07}
+	a.term.scheduler.MergeInterferenceLimits([]dispatch.InterferenceLimit{want})
+	a.term.leaderLease = tenure.LeaderLease{} // a renewal is due, so that flush stores records
 	a.flush(ctx, a.term)
 	for range 2 { // the first attempt only records the claim of the other entry
 		if err := b.claim(ctx, "test"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got := b.term.scheduler.Learned()
+	got := b.term.scheduler.InterferenceLimits()
 	if len(got) != 1 || got[0] != want {
 		t.Errorf("got %v, want %v", got, want)
 	}
@@ -278,8 +278,8 @@
 	defer group.Wait()
 	now := clock.Steady()
 	held := &term{number: 1, agents: make(map[string]*agentLink)}
-	held.scheduler.Begin(1, nil)
-	held.leaderLease.Prove(now)
+	held.scheduler.BeginTerm(1, nil)
+	held.leaderLease.Renew(now)
 	link := &agentLink{name: "w1", conn: conn, lastContact: now, leaseExpired: true}
 	held.agents["w1"] = link
 	c.mu.Lock()
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			c.mu.Lock()
-			c.candidate.Resigned(claim.Term) // nothing listens there, so the process has ended
+			c.candidate.NoteResigned(claim.Term) // nothing listens there, so the process has ended
 			c.mu.Unlock()
 			c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("the process of the dispatcher has ended")
 			notify(c.wakeLead)
@@ -153,7 +153,7 @@
 	case m.Pong != nil:
 		c.mu.Lock()
 		if m.Pong.Term == claim.Term {
-			c.candidate.Hear(now, claim.Term)
+			c.candidate.NoteContact(now, claim.Term)
 			c.pendingByQueue = m.Pong.Pending
 		}
 		c.addEntries(m.Pong.Entries)
@@ -182,16 +182,16 @@
 	c.addEntries(w.Entries)
 	switch {
 	case w.Dispatches && w.Term == claim.Term:
-		c.candidate.Hear(now, claim.Term)
+		c.candidate.NoteContact(now, claim.Term)
 		c.dispatcherConn = cc
 		c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("dispatcher connected")
 	case w.Term > claim.Term:
 		newer := w.Claim
 		newer.Term = w.Term
-		c.candidate.Learn(now, newer)
+		c.candidate.ObserveClaim(now, newer)
 		cc.conn.Close()
 	case w.Incarnation != claim.Incarnation:
-		c.candidate.Resigned(claim.Term) // the process that claimed has ended, and another one runs at its address
+		c.candidate.NoteResigned(claim.Term) // the process that claimed has ended, and another one runs at its address
 		cc.conn.Close()
 	default:
 		cc.conn.Close() // its term has not begun yet, or it has resigned
@@ -218,9 +218,9 @@
 // named claims at once; other entries wait for tenure.ClaimAfter.
 func (c *Coordinator) handleResigned(r *peer.Resigned) {
 	c.mu.Lock()
-	c.candidate.Resigned(r.Term)
+	c.candidate.NoteResigned(r.Term)
 	if r.Heir != "" && r.Heir != c.settings.Name {
-		c.successorUntil = clock.Steady().Add(tenure.ClaimAfter)
+		c.successorUntil = clock.Steady().Add(tenure.ElectionTimeout)
 	}
 	c.mu.Unlock()
 	c.log.Info().Uint64("term", r.Term).Str("heir", r.Heir).Msg("dispatcher resigned")
@@ -275,10 +275,10 @@
 				newer := w.Claim
 				newer.Term = w.Term
 				c.mu.Lock()
-				c.candidate.Learn(clock.Steady(), newer)
+				c.candidate.ObserveClaim(clock.Steady(), newer)
 				c.mu.Unlock()
 				hearing++
-			} else if w.Term == claim.Term && w.Term != 0 && !w.Resigned && w.HeardMS < tenure.ClaimAfter.Milliseconds() {
+			} else if w.Term == claim.Term && w.Term != 0 && !w.Resigned && w.HeardMS < tenure.ElectionTimeout.Milliseconds() {
 				hearing++
 			}
 		})
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -57,7 +57,7 @@
 // sendOrders sends the agents the orders and the policy questions that are due,
 // while the leadership lease is valid. The caller holds mu.
 func (c *Coordinator) sendOrders(now time.Time, t *term) {
-	for _, l := range t.scheduler.TakeLost() {
+	for _, l := range t.scheduler.TakeLostRuns() {
 		c.count("runs-lost", 1)
 		c.log.Warn().Str("task", l.Task.String()).Uint64("run", l.Run).Str("worker", l.Worker).Msg("run lost with its worker")
 	}
@@ -95,7 +95,7 @@
 			a.conn.Send(&peer.Message{Orders: o})
 		}
 	}
-	if t.scheduler.Changed() {
+	if t.scheduler.HasChange() {
 		notify(c.wakeWriter)
 	}
 }
@@ -104,7 +104,7 @@
 // from a dispatcher lately. An entry that shuts down or has no configuration does not claim.
 func (c *Coordinator) considerClaim(ctx context.Context, now time.Time) {
 	c.mu.Lock()
-	claim, reason := c.candidate.Decide(now, c.rank(), 0)
+	claim, reason := c.candidate.ShouldClaim(now, c.rank(), 0)
 	if c.leaving || c.config == nil {
 		claim = false
 	}
@@ -147,7 +147,7 @@
 	}
 	c.mu.Lock()
 	if found.Term > c.candidate.Claim().Term {
-		c.candidate.Learn(clock.Steady(), found)
+		c.candidate.ObserveClaim(clock.Steady(), found)
 		c.mu.Unlock()
 		c.log.Info().Uint64("term", found.Term).Str("dispatcher", found.Entry).Msg("another entry is the dispatcher")
 		return nil
@@ -190,7 +190,7 @@
 	t := &term{number: own.Term, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
 	sent := clock.Steady()
 	c.mu.Lock()
-	c.candidate.Learn(sent, own)
+	c.candidate.ObserveClaim(sent, own)
 	c.mu.Unlock()
 	if _, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
 		return c.store.Append(ctx, store.Append{Topic: store.TopicProgress, Term: t.number})
@@ -198,7 +198,7 @@
 		c.abandon(own.Term)
 		return errors.Wrap(err, "fence earlier terms")
 	}
-	t.leaderLease.Prove(sent)
+	t.leaderLease.Renew(sent)
 	workers, err := c.storedWorkers(ctx)
 	if err == nil {
 		err = c.catchUp(ctx)
@@ -209,14 +209,14 @@
 	}
 	now := clock.Steady()
 	if previous.Term != 0 {
-		t.predecessor.Follow(now)
+		t.predecessor.TermBegan(now)
 		if previous.Entry == c.settings.Name {
-			t.predecessor.Dead(now) // it was an earlier process of this entry, or an earlier term of this process
+			t.predecessor.NoteDead(now) // it was an earlier process of this entry, or an earlier term of this process
 		}
 	}
 	c.mu.Lock()
 	if c.candidate.Claim().Term != own.Term || c.leaving {
-		c.candidate.Resigned(own.Term)
+		c.candidate.NoteResigned(own.Term)
 		c.mu.Unlock()
 		return nil
 	}
@@ -236,7 +236,7 @@
 // abandon marks this entry's claim as resigned after its term could not begin.
 func (c *Coordinator) abandon(term uint64) {
 	c.mu.Lock()
-	c.candidate.Resigned(term)
+	c.candidate.NoteResigned(term)
 	c.mu.Unlock()
 }
 
@@ -271,7 +271,7 @@
 		stopped, why := c.hasStopped(ctx, previous)
 		if stopped {
 			c.mu.Lock()
-			t.predecessor.Dead(clock.Steady())
+			t.predecessor.NoteDead(clock.Steady())
 			c.mu.Unlock()
 			c.log.Info().Uint64("term", previous.Term).Str("entry", previous.Entry).Str("reason", why).Msg("the earlier dispatcher has stopped")
 			return
@@ -288,8 +288,8 @@
 		return
 	}
 	c.term = nil
-	c.candidate.Resigned(t.number)
-	c.successorUntil = clock.Steady().Add(tenure.ClaimAfter)
+	c.candidate.NoteResigned(t.number)
+	c.successorUntil = clock.Steady().Add(tenure.ElectionTimeout)
 	successor := c.chooseSuccessor(clock.Steady())
 	m := &peer.Message{Resigned: &peer.Resigned{Term: t.number, Heir: successor}}
 	for _, a := range t.agents {
--- a/internal/coordinator/learned.go
+++ b/internal/coordinator/learned.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	t.lastLearnedRecord = now
-	learned := t.scheduler.Learned()
+	learned := t.scheduler.InterferenceLimits()
 	if len(learned) == 0 {
 		return nil
 	}
@@ -37,7 +37,7 @@
 }
 
 // decodeLearned decodes the value of a record that learnedRecord returned.
-func decodeLearned(value []byte) ([]dispatch.Learned, error) {
-	var learned []dispatch.Learned
+func decodeLearned(value []byte) ([]dispatch.InterferenceLimit, error) {
+	var learned []dispatch.InterferenceLimit
 	return learned, errors.Wrap(cbor.Unmarshal(value, &learned), "decode interference measurements")
 }
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -81,8 +81,8 @@
 		Dispatches: c.term != nil, Entries: c.entryAddresses(),
 	}
 	if c.term == nil && w.Term != 0 {
-		w.HeardMS = now.Sub(c.candidate.Heard()).Milliseconds()
-		w.Resigned = c.candidate.Vacant()
+		w.HeardMS = now.Sub(c.candidate.LastContact()).Milliseconds()
+		w.Resigned = c.candidate.NoDispatcher()
 	}
 	conn.Send(&peer.Message{Welcome: w})
 }
@@ -112,7 +112,7 @@
 	}
 	if a := c.term.agents[h.Name]; a != nil && a.conn == conn {
 		a.conn = nil
-		c.term.scheduler.Silent(h.Name)
+		c.term.scheduler.MarkSilent(h.Name)
 		c.log.Info().Str("worker", h.Name).Err(err).Msg("agent disconnected")
 	}
 }
@@ -153,14 +153,14 @@
 			c.count("runs-"+e.How.String(), 1)
 			c.log.Info().Str("task", e.Task.String()).Uint64("run", e.Run).Str("worker", h.Name).Str("how", e.How.String()).Msg("run ended")
 		}
-		t.scheduler.Ended(now, clock.WallMS(), h.Name, m.Ends.Life, m.Ends.Ends)
+		t.scheduler.ApplyEnds(now, clock.WallMS(), h.Name, m.Ends.Life, m.Ends.Ends)
 	case m.Refused != nil:
 		c.count("orders-refused", 1)
 		c.log.Info().Str("task", m.Refused.Task.String()).Uint64("run", m.Refused.Run).Str("worker", h.Name).Str("reason", m.Refused.Reason).Msg("agent refused an order")
 		if m.Refused.Ticket {
-			t.scheduler.Unticketed(h.Name, m.Refused.Task)
+			t.scheduler.TicketRefused(h.Name, m.Refused.Task)
 		}
-		t.scheduler.Refused(now, clock.WallMS(), h.Name, m.Refused.Life, m.Refused.Task, m.Refused.Run)
+		t.scheduler.OrderRefused(now, clock.WallMS(), h.Name, m.Refused.Life, m.Refused.Task, m.Refused.Run)
 	case m.Advised != nil:
 		c.handleAnswer(now, t, h.Name, m.Advised)
 	}
@@ -171,11 +171,11 @@
 func (c *Coordinator) handleAnswer(now time.Time, t *term, asker string, a *peer.Advised) {
 	if a.Failed {
 		c.count("questions-failed", 1)
-		step, open := t.scheduler.NotAdvised(now, a.Seq)
+		step, open := t.scheduler.PolicyUnanswered(now, a.Seq)
 		c.log.Warn().Str("step", step.String()).Bool("open", open).Uint64("question", a.Seq).Str("asker", asker).Msg("placement policy question not answered")
 		return
 	}
-	step, open := t.scheduler.Advised(now, a.Seq, a.Tickets, time.Duration(a.ValidMS)*time.Millisecond)
+	step, open := t.scheduler.PolicyAnswered(now, a.Seq, a.Tickets, time.Duration(a.ValidMS)*time.Millisecond)
 	c.log.Info().Str("step", step.String()).Bool("open", open).Uint64("question", a.Seq).Str("asker", asker).Int("allowed", len(a.Tickets)).
 		Int64("valid-ms", a.ValidMS).Msg("advice received")
 }
@@ -196,7 +196,7 @@
 	}
 	if p.Worker != nil {
 		p.Worker.Name = a.name
-		t.scheduler.Describe(now, p.Worker, p.Rows)
+		t.scheduler.ApplyPing(now, p.Worker, p.Rows)
 	}
 	a.conn.Send(&peer.Message{Pong: pong})
 }
@@ -244,7 +244,7 @@
 	}
 	if c.term != nil {
 		pong.Term = c.term.number
-		pong.Pending = c.term.scheduler.Pending()
+		pong.Pending = c.term.scheduler.PendingJobs()
 	}
 	conn.Send(&peer.Message{Pong: pong})
 	if p.Config < pong.Config {
@@ -258,7 +258,7 @@
 func (c *Coordinator) endTermIfLater(other uint64, source string) {
 	if c.term != nil && other > c.term.number {
 		c.log.Warn().Uint64("term", c.term.number).Uint64("later", other).Str("peer", source).Msg("term ended: a later one has begun")
-		c.candidate.Resigned(c.term.number)
+		c.candidate.NoteResigned(c.term.number)
 		c.term = nil
 	}
 }
--- a/internal/coordinator/superseded_test.go
+++ b/internal/coordinator/superseded_test.go
@@ -25,14 +25,14 @@
 	c := newTestEntry(t, "entry-a", s)
 	held := &term{number: ownTerm, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
 	held.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", Attempts: 2}})
-	held.scheduler.Begin(ownTerm, []string{"unheard"})
-	held.leaderLease.Prove(clock.Steady())
-	c.candidate.Learn(clock.Steady(), tenure.Claim{Term: ownTerm, Entry: "entry-a"})
+	held.scheduler.BeginTerm(ownTerm, []string{"unheard"})
+	held.leaderLease.Renew(clock.Steady())
+	c.candidate.ObserveClaim(clock.Steady(), tenure.Claim{Term: ownTerm, Entry: "entry-a"})
 	c.term = held
 	return c, held
 }
 
-func reportOf(name string, ends ...dispatch.End) *peer.Report {
+func reportOf(name string, ends ...dispatch.RunEnd) *peer.Report {
 	return &peer.Report{Worker: dispatch.Worker{Name: name, Life: 1, Service: "bench", Capacity: worker.Resources{MilliCPU: 1000}}, Ends: ends}
 }
 
@@ -113,13 +113,13 @@
 func TestRunEndsOfUnknownJobsAreAcknowledgedOnceCaughtUp(t *testing.T) {
 	c, held := newDispatcher(t, &standin.Store{})
 	c.mu.Lock()
-	held.applyReport(clock.Steady().Add(-time.Second), c, reportOf("w1", dispatch.End{Number: 1, Task: workflow.TaskID{Job: "x"}, Run: 1, How: dispatch.HowDone}))
-	before := held.scheduler.Changed()
+	held.applyReport(clock.Steady().Add(-time.Second), c, reportOf("w1", dispatch.RunEnd{Number: 1, Task: workflow.TaskID{Job: "x"}, Run: 1, How: dispatch.OutcomeDone}))
+	before := held.scheduler.HasChange()
 	c.mu.Unlock()
 	if err := c.catchUp(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if after := held.scheduler.Changed(); before || !after {
+	if after := held.scheduler.HasChange(); before || !after {
 		t.Errorf("acknowledged: got %v before and %v after the read, want false and true", before, after)
 	}
 }
--- a/internal/coordinator/tail.go
+++ b/internal/coordinator/tail.go
@@ -65,7 +65,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.term != nil {
-		c.term.scheduler.CaughtUp(clock.Steady(), c.jobsCaughtUp())
+		c.term.scheduler.AllJobsKnown(clock.Steady(), c.jobsCaughtUp())
 	}
 	return nil
 }
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -13,8 +13,8 @@
 // term is the state that an entry holds only while it is the dispatcher.
 type term struct {
 	number      uint64
-	scheduler   dispatch.Board
-	leaderLease tenure.Holder
+	scheduler   dispatch.Scheduler
+	leaderLease tenure.LeaderLease
 	predecessor tenure.Predecessor
 	agents      map[string]*agentLink
 	// registered holds the workers whose names are stored, so that a later dispatcher waits for them.
@@ -45,7 +45,7 @@
 // changed anything there. A job that was submitted under a later term ends this one.
 // The caller holds mu.
 func (t *term) syncJob(now time.Time, c *Coordinator, id string) bool {
-	e, ok := c.jobs.Entry(id)
+	e, ok := c.jobs.Job(id)
 	if !ok || e.Submission() == nil {
 		return false
 	}
@@ -53,7 +53,7 @@
 		c.endTermIfLater(submitted, "the record of job "+id)
 		return false
 	}
-	changed := !t.scheduler.Known(id)
+	changed := !t.scheduler.HasJob(id)
 	if changed {
 		// If the submitting entry did not know this term yet, an earlier dispatcher may have
 		// read and started the job.
@@ -70,8 +70,8 @@
 
 // loadScheduler fills the scheduler from the job table. The caller holds mu.
 func (t *term) loadScheduler(now time.Time, c *Coordinator, workers []string) {
-	t.scheduler.Begin(t.number, workers)
-	t.scheduler.SetSpread(c.settings.SpreadFactor)
+	t.scheduler.BeginTerm(t.number, workers)
+	t.scheduler.SetRemoteRackSlowdown(c.settings.SpreadFactor)
 	if c.config != nil {
 		t.scheduler.SetQueues(c.config.queues())
 	}
@@ -79,12 +79,12 @@
 		t.registered[w] = true
 	}
 	if learned, err := decodeLearned(c.learned); err == nil {
-		t.scheduler.Teach(learned)
+		t.scheduler.MergeInterferenceLimits(learned)
 	} else if len(c.learned) > 0 {
 		c.log.Warn().Err(err).Msg("stored interference measurements cannot be decoded; starting without them")
 	}
 	wall := clock.WallMS()
-	c.jobs.Each(func(id string, e *workflow.Entry) {
+	c.jobs.Each(func(id string, e *workflow.Job) {
 		if e.Submission() == nil {
 			return
 		}
@@ -99,12 +99,12 @@
 // means that the worker has no runner. The caller holds mu.
 func (t *term) applyReport(now time.Time, c *Coordinator, r *peer.Report) {
 	if r.Worker.Life == 0 {
-		n := t.scheduler.Vacated(now, r.Worker.Name)
+		n := t.scheduler.RunnerGone(now, r.Worker.Name)
 		c.log.Warn().Str("worker", r.Worker.Name).Int("runs", n).Msg("worker has no runner; its runs have ended")
 		return
 	}
-	t.scheduler.Report(now, clock.WallMS(), &r.Worker, r.Rows, r.Ends)
-	if a, g := t.agents[r.Worker.Name], t.scheduler.Guarded(r.Worker.Name); a != nil && a.conn != nil && len(g) > 0 {
+	t.scheduler.ApplyReport(now, clock.WallMS(), &r.Worker, r.Rows, r.Ends)
+	if a, g := t.agents[r.Worker.Name], t.scheduler.GuardedTasks(r.Worker.Name); a != nil && a.conn != nil && len(g) > 0 {
 		a.conn.Send(&peer.Message{Orders: &peer.Orders{Term: t.number, Guarded: g}})
 	}
 	c.log.Info().Str("worker", r.Worker.Name).Uint64("life", r.Worker.Life).Int("runs", len(r.Rows)).Int("ends", len(r.Ends)).
@@ -120,22 +120,22 @@
 		}
 		silence := now.Sub(a.lastContact)
 		if silence > silentAfter {
-			t.scheduler.Silent(a.name)
+			t.scheduler.MarkSilent(a.name)
 		}
-		if t.expired(now, c, tenure.LapsesAt(a.lastContact)) {
+		if t.expired(now, c, tenure.WorkerLeaseEndsBy(a.lastContact)) {
 			a.leaseExpired = true
 			c.count("workers-lost", 1)
-			n := t.scheduler.Lapsed(now, a.name)
+			n := t.scheduler.WorkerLeaseExpired(now, a.name)
 			c.log.Warn().Str("worker", a.name).Dur("silent", silence).Int("runs", n).Msg("worker lost; the leases of its runs have expired")
 		}
 	}
-	if !t.earlierRunsOver && t.scheduler.Unheard() == 0 {
+	if !t.earlierRunsOver && t.scheduler.UnreportedWorkers() == 0 {
 		t.earlierRunsOver = true
 	}
-	if !t.earlierRunsOver && t.expired(now, c, t.predecessor.EndsAt()) {
+	if !t.earlierRunsOver && t.expired(now, c, t.predecessor.LeasesEndBy()) {
 		t.earlierRunsOver = true
-		c.log.Warn().Int("workers", t.scheduler.Unheard()).Msg("workers did not report in this term; the leases of their runs from earlier terms have expired")
-		t.scheduler.Settle()
+		c.log.Warn().Int("workers", t.scheduler.UnreportedWorkers()).Msg("workers did not report in this term; the leases of their runs from earlier terms have expired")
+		t.scheduler.ExpireEarlierTerms()
 	}
 }
 
@@ -144,7 +144,7 @@
 // this term since deadline; if only that is missing, such a write is requested. The
 // caller holds mu.
 func (t *term) expired(now time.Time, c *Coordinator, deadline time.Time) bool {
-	expired, needsWrite := t.leaderLease.Ended(now, deadline)
+	expired, needsWrite := t.leaderLease.ConfirmsEnd(now, deadline)
 	if needsWrite && !t.renewalDue {
 		t.renewalDue = true
 		notify(c.wakeWriter)
--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -50,9 +50,9 @@
 	life    uint64
 	clockMS int64
 	clockAt time.Time
-	grant   tenure.Grant
-	rows    []dispatch.Row
-	ends    []dispatch.End
+	grant   tenure.WorkerLease
+	rows    []dispatch.RunStatus
+	ends    []dispatch.RunEnd
 	told    uint64
 	noted   uint64
 	sure    time.Time
@@ -78,7 +78,7 @@
 
 // forget drops what a process holds in memory.
 func (a *agent) forget() {
-	a.term, a.conn, a.life, a.clockMS, a.clockAt, a.grant = 0, nil, 0, 0, time.Time{}, tenure.Grant{}
+	a.term, a.conn, a.life, a.clockMS, a.clockAt, a.grant = 0, nil, 0, 0, time.Time{}, tenure.WorkerLease{}
 	a.rows, a.ends, a.told, a.noted, a.sure, a.seq = nil, nil, 0, 0, time.Time{}, 0
 	a.unanswered = make(map[runKey]time.Time)
 	a.orders, a.fencing, a.pings = make(map[runKey]bool), make(map[runKey]time.Time), make(map[uint64]time.Time)
@@ -141,15 +141,15 @@
 }
 
 func (a *agent) worker() *dispatch.Worker {
-	return &dispatch.Worker{Name: a.name, Life: a.life, Service: "s", Capacity: worker.Resources{MilliCPU: 4000}, Pace: 100}
+	return &dispatch.Worker{Name: a.name, Life: a.life, Service: "s", Capacity: worker.Resources{MilliCPU: 4000}, PacePercent: 100}
 }
 
 // report sends the worker's whole state.
 func (a *agent) report() {
-	c, w, ends := a.conn, a.worker(), append([]dispatch.End(nil), a.ends...)
-	rows := append([]dispatch.Row(nil), a.rows...)
+	c, w, ends := a.conn, a.worker(), append([]dispatch.RunEnd(nil), a.ends...)
+	rows := append([]dispatch.RunStatus(nil), a.rows...)
 	for k := range a.orders {
-		rows = append(rows, dispatch.Row{Task: k.task, Run: k.run, Pending: true})
+		rows = append(rows, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
 	}
 	for _, e := range a.ends {
 		a.told = max(a.told, e.Number)
@@ -161,7 +161,7 @@
 	a.pinged = now
 	a.seq++
 	a.pings[a.seq] = now
-	c, w, rows, seq := a.conn, a.worker(), append([]dispatch.Row(nil), a.rows...), a.seq
+	c, w, rows, seq := a.conn, a.worker(), append([]dispatch.RunStatus(nil), a.rows...), a.seq
 	c.send(&c.e.process, func() { c.e.pinged(c, w, rows, seq) })
 }
 
@@ -206,16 +206,16 @@
 	a.clockMS, a.clockAt, a.sure = a.runner.Clock(a.w.true()), now, now.Add(sureFor)
 	a.rows, a.ends = nil, nil
 	for _, r := range runs {
-		id, _ := workflow.ParseTask(r.Task)
-		a.rows = append(a.rows, dispatch.Row{Task: id, Run: r.Run, Percent: 50})
+		id, _ := workflow.ParseTaskID(r.Task)
+		a.rows = append(a.rows, dispatch.RunStatus{Task: id, Run: r.Run, Percent: 50})
 		delete(a.orders, runKey{id, r.Run})
 	}
-	hows := map[string]dispatch.How{"done": dispatch.HowDone, "stopped": dispatch.HowStopped, "lapsed": dispatch.HowLapsed}
+	hows := map[string]dispatch.Outcome{"done": dispatch.OutcomeDone, "stopped": dispatch.OutcomeStopped, "lapsed": dispatch.OutcomeLapsed}
 	for _, e := range ends {
-		id, _ := workflow.ParseTask(e.Task)
+		id, _ := workflow.ParseTaskID(e.Task)
 		delete(a.orders, runKey{id, e.Run})
 		if e.Number > a.noted {
-			a.ends = append(a.ends, dispatch.End{Number: e.Number, Task: id, Run: e.Run, How: hows[e.How]})
+			a.ends = append(a.ends, dispatch.RunEnd{Number: e.Number, Task: id, Run: e.Run, How: hows[e.How]})
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	if a.conn == nil {
 		return
 	}
-	var news []dispatch.End
+	var news []dispatch.RunEnd
 	for _, e := range a.ends {
 		if e.Number > a.told {
 			news = append(news, e)
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -34,8 +34,8 @@
 // dispatching is what an entry holds while it dispatches.
 type dispatching struct {
 	number      uint64
-	board       dispatch.Board
-	holder      tenure.Holder
+	board       dispatch.Scheduler
+	holder      tenure.LeaderLease
 	predecessor tenure.Predecessor
 	before      tenure.Claim
 	agents      map[string]*link
@@ -76,7 +76,7 @@
 		e.followed = now
 		e.follow(now)
 	}
-	if claim, _ := e.candidate.Decide(now, e.index, 0); claim {
+	if claim, _ := e.candidate.ShouldClaim(now, e.index, 0); claim {
 		e.claim(now)
 	}
 }
@@ -97,7 +97,7 @@
 }
 
 func (e *entry) resign() {
-	e.candidate.Resigned(e.term.number)
+	e.candidate.NoteResigned(e.term.number)
 	e.term = nil
 }
 
@@ -116,14 +116,14 @@
 			continue
 		}
 		o.yield(e.candidate.Claim().Term)
-		e.candidate.Learn(now, o.candidate.Claim())
+		e.candidate.ObserveClaim(now, o.candidate.Claim())
 		claim := e.candidate.Claim()
 		switch {
 		case o.name != claim.Entry:
 		case o.term != nil && o.term.number == claim.Term:
-			e.candidate.Hear(now, claim.Term)
+			e.candidate.NoteContact(now, claim.Term)
 		case o.generation != claim.Incarnation:
-			e.candidate.Resigned(claim.Term)
+			e.candidate.NoteResigned(claim.Term)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 // claim takes the dispatch over through the store.
 func (e *entry) claim(now time.Time) {
 	found, end, _, err := e.port().NewestClaim(context.Background())
-	if err != nil || e.candidate.Learn(now, found) {
+	if err != nil || e.candidate.ObserveClaim(now, found) {
 		return
 	}
 	own := tenure.Claim{Entry: e.name, Incarnation: e.generation, Address: e.name}
@@ -153,23 +153,23 @@
 
 // begin reads the state and begins to dispatch.
 func (e *entry) begin(now time.Time, own, before tenure.Claim) {
-	e.candidate.Learn(now, own)
+	e.candidate.ObserveClaim(now, own)
 	t := &dispatching{number: own.Term, before: before, agents: make(map[string]*link), known: make(map[string]bool)}
 	if _, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number}); err != nil {
-		e.candidate.Resigned(own.Term)
+		e.candidate.NoteResigned(own.Term)
 		return
 	}
-	t.holder.Prove(now)
+	t.holder.Renew(now)
 	named, _, err := e.port().All(context.Background(), store.TopicWorkers)
 	book, readErr := e.readBook()
 	if err != nil || readErr != nil {
-		e.candidate.Resigned(own.Term)
+		e.candidate.NoteResigned(own.Term)
 		return
 	}
 	if before.Term != 0 {
-		t.predecessor.Follow(now)
+		t.predecessor.TermBegan(now)
 		if before.Entry == e.name {
-			t.predecessor.Dead(now)
+			t.predecessor.NoteDead(now)
 		}
 	}
 	var workers []string
@@ -177,9 +177,9 @@
 		workers = append(workers, r.Key)
 		t.known[r.Key] = true
 	}
-	t.board.Begin(t.number, workers)
-	t.board.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, Target: time.Second}})
-	book.Each(func(_ string, j *workflow.Entry) {
+	t.board.BeginTerm(t.number, workers)
+	t.board.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, TargetLatency: time.Second}})
+	book.Each(func(_ string, j *workflow.Job) {
 		if j.Submission() != nil {
 			t.board.Admit(now, e.wall(), j.Submission(), j.Progress(), true)
 		}
@@ -189,8 +189,8 @@
 
 func (e *entry) wall() int64 { return e.w.true().UnixMilli() }
 
-func (e *entry) readBook() (*workflow.Book, error) {
-	book := new(workflow.Book)
+func (e *entry) readBook() (*workflow.JobTable, error) {
+	book := new(workflow.JobTable)
 	for _, topic := range []store.Topic{store.TopicIntake, store.TopicProgress} {
 		records, _, err := e.port().All(context.Background(), topic)
 		if err != nil {
@@ -215,12 +215,12 @@
 	if now.Sub(t.read) >= readEvery {
 		t.read = now
 		if book, err := e.readBook(); err == nil {
-			book.Each(func(_ string, j *workflow.Entry) {
+			book.Each(func(_ string, j *workflow.Job) {
 				if j.Submission() != nil {
 					e.admit(now, t, j)
 				}
 			})
-			t.board.CaughtUp(now, now)
+			t.board.AllJobsKnown(now, now)
 		}
 	}
 	if e.term == t {
@@ -229,7 +229,7 @@
 }
 
 // admit takes in a job that was accepted while this entry dispatches.
-func (e *entry) admit(now time.Time, t *dispatching, j *workflow.Entry) {
+func (e *entry) admit(now time.Time, t *dispatching, j *workflow.Job) {
 	known := j.Submission().Term
 	if e.w.rules.AllNew {
 		known = t.number
@@ -254,21 +254,21 @@
 	t := e.term
 	for name, l := range t.agents {
 		if now.Sub(l.heard) > silentAfter {
-			t.board.Silent(name)
+			t.board.MarkSilent(name)
 		}
 		if !l.lapsed && e.over(now, e.w.rules.LapsesAt(l.heard)) {
 			l.lapsed = true
-			t.board.Lapsed(now, name)
+			t.board.WorkerLeaseExpired(now, name)
 		}
 	}
 	for _, o := range e.w.entries {
 		if o.name == t.before.Entry && e.reaches(o) && (o.generation != t.before.Incarnation || o.term == nil) {
-			t.predecessor.Dead(now)
+			t.predecessor.NoteDead(now)
 		}
 	}
-	if !t.settled && (t.board.Unheard() == 0 || e.over(now, e.w.rules.EndsAt(&t.predecessor))) {
+	if !t.settled && (t.board.UnreportedWorkers() == 0 || e.over(now, e.w.rules.EndsAt(&t.predecessor))) {
 		t.settled = true
-		t.board.Settle()
+		t.board.ExpireEarlierTerms()
 	}
 }
 
@@ -296,7 +296,7 @@
 // flush stores the board's changes; only then runners forget ends.
 func (e *entry) flush(now time.Time) {
 	t := e.term
-	if t.change == nil && t.board.Changed() {
+	if t.change == nil && t.board.HasChange() {
 		t.change = t.board.TakeChange()
 		for id, p := range t.change.Jobs() {
 			if r, err := workflow.ProgressRecord(id, p); err == nil {
@@ -307,14 +307,14 @@
 			e.noted(t.change)
 		}
 	}
-	if t.change == nil && !t.unproven && now.Sub(t.holder.Proven()) < proveEvery {
+	if t.change == nil && !t.unproven && now.Sub(t.holder.LastRenewal()) < proveEvery {
 		return
 	}
 	t.unproven = false
 	_, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Records: t.records, Term: t.number, Seq: t.seq + 1})
 	switch {
 	case err == nil:
-		t.holder.Prove(now)
+		t.holder.Renew(now)
 		if len(t.records) > 0 {
 			t.seq++
 		}
@@ -330,7 +330,7 @@
 func (e *entry) noted(change *dispatch.Change) {
 	type note struct{ life, end uint64 }
 	notes := make(map[string]note)
-	change.EachNote(func(worker string, life, end uint64) { notes[worker] = note{life, end} })
+	change.EachAck(func(worker string, life, end uint64) { notes[worker] = note{life, end} })
 	for _, a := range e.w.agents {
 		n, ok := notes[a.name]
 		if l := e.term.agents[a.name]; ok && l != nil && l.conn != nil {
--- a/internal/explore/term/messages.go
+++ b/internal/explore/term/messages.go
@@ -9,7 +9,7 @@
 )
 
 // reported takes in a worker's whole state, once the store names the worker.
-func (e *entry) reported(c *conn, w *dispatch.Worker, rows []dispatch.Row, ends []dispatch.End) {
+func (e *entry) reported(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, ends []dispatch.RunEnd) {
 	t := e.term
 	if t == nil {
 		c.broken = true
@@ -29,9 +29,9 @@
 		t.known[w.Name] = true
 	}
 	t.agents[w.Name] = &link{conn: c, heard: now}
-	t.board.Report(now, e.wall(), w, rows, ends)
+	t.board.ApplyReport(now, e.wall(), w, rows, ends)
 	if e.w.rules.DropUnknown {
-		t.board.CaughtUp(now, now.Add(time.Hour))
+		t.board.AllJobsKnown(now, now.Add(time.Hour))
 	}
 }
 
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (e *entry) pinged(c *conn, w *dispatch.Worker, rows []dispatch.Row, seq uint64) {
+func (e *entry) pinged(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, seq uint64) {
 	l := e.from(c)
 	if l == nil {
 		return
@@ -61,19 +61,19 @@
 	if granted {
 		l.heard = now
 	}
-	e.term.board.Describe(now, w, rows)
+	e.term.board.ApplyPing(now, w, rows)
 	number := e.term.number
 	c.send(&c.a.process, func() { c.a.pong(c, number, seq, granted) })
 }
 
-func (e *entry) ended(c *conn, life uint64, ends []dispatch.End) {
+func (e *entry) ended(c *conn, life uint64, ends []dispatch.RunEnd) {
 	if e.from(c) != nil {
-		e.term.board.Ended(e.clock(), e.wall(), c.a.name, life, ends)
+		e.term.board.ApplyEnds(e.clock(), e.wall(), c.a.name, life, ends)
 	}
 }
 
 func (e *entry) refused(c *conn, life uint64, k runKey) {
 	if e.from(c) != nil {
-		e.term.board.Refused(e.clock(), e.wall(), c.a.name, life, k.task, k.run)
+		e.term.board.OrderRefused(e.clock(), e.wall(), c.a.name, life, k.task, k.run)
 	}
 }
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -43,11 +43,11 @@
 	// EndsAt returns when what an earlier dispatcher ordered has ended.
 	EndsAt func(p *tenure.Predecessor) time.Time
 	// Ended reports whether what must have ended by a time has ended.
-	Ended func(h *tenure.Holder, now, by time.Time) bool
+	Ended func(h *tenure.LeaderLease, now, by time.Time) bool
 	// Valid reports whether a dispatcher may go on.
-	Valid func(h *tenure.Holder, now time.Time) bool
+	Valid func(h *tenure.LeaderLease, now time.Time) bool
 	// Left returns how long a worker may go on.
-	Left func(g *tenure.Grant, now time.Time) time.Duration
+	Left func(g *tenure.WorkerLease, now time.Time) time.Duration
 	// NoteFirst lets runners forget ends before they are stored.
 	NoteFirst bool
 	// NoFence takes a start that was not answered for one that never runs.
@@ -69,22 +69,22 @@
 
 func (r *Rules) fill() {
 	if r.LapsesAt == nil {
-		r.LapsesAt = tenure.LapsesAt
+		r.LapsesAt = tenure.WorkerLeaseEndsBy
 	}
 	if r.EndsAt == nil {
-		r.EndsAt = func(p *tenure.Predecessor) time.Time { return p.EndsAt() }
+		r.EndsAt = func(p *tenure.Predecessor) time.Time { return p.LeasesEndBy() }
 	}
 	if r.Ended == nil {
-		r.Ended = func(h *tenure.Holder, now, by time.Time) bool {
-			ended, _ := h.Ended(now, by)
+		r.Ended = func(h *tenure.LeaderLease, now, by time.Time) bool {
+			ended, _ := h.ConfirmsEnd(now, by)
 			return ended
 		}
 	}
 	if r.Valid == nil {
-		r.Valid = func(h *tenure.Holder, now time.Time) bool { return h.Valid(now) }
+		r.Valid = func(h *tenure.LeaderLease, now time.Time) bool { return h.Valid(now) }
 	}
 	if r.Left == nil {
-		r.Left = func(g *tenure.Grant, now time.Time) time.Duration { return g.Left(now) }
+		r.Left = func(g *tenure.WorkerLease, now time.Time) time.Duration { return g.Remaining(now) }
 	}
 }
 
@@ -197,14 +197,14 @@
 	if err != nil {
 		return err
 	}
-	var book workflow.Book
+	var book workflow.JobTable
 	for _, r := range records {
 		if _, err := book.Apply(r.Record); err != nil {
 			return err
 		}
 	}
 	for i := range jobs {
-		e, ok := book.Entry(jobName(i))
+		e, ok := book.Job(jobName(i))
 		if !ok || e.Phase() != workflow.PhaseCompleted {
 			return errors.Newf("%s is not completed %s after the last fault", jobName(i), endAfter-faultsFor)
 		}
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -32,11 +32,11 @@
 	}{
 		{"a lost worker is given up while its grant lasts", Rules{LapsesAt: func(heard time.Time) time.Time { return heard.Add(3 * time.Second) }}, 0},
 		{"workers that did not report are not waited for", Rules{EndsAt: func(*tenure.Predecessor) time.Time { return time.Time{} }}, 0},
-		{"a dispatcher goes on without a proof", Rules{Valid: func(*tenure.Holder, time.Time) bool { return true }}, 2940},
-		{"a worker goes on beyond its grant", Rules{Left: func(g *tenure.Grant, now time.Time) time.Duration {
-			return g.Left(now.Add(-2 * time.Second))
+		{"a dispatcher goes on without a proof", Rules{Valid: func(*tenure.LeaderLease, time.Time) bool { return true }}, 2940},
+		{"a worker goes on beyond its grant", Rules{Left: func(g *tenure.WorkerLease, now time.Time) time.Duration {
+			return g.Remaining(now.Add(-2 * time.Second))
 		}}, 0},
-		{"a worker is taken for lost though a later dispatcher may hear it", Rules{Ended: func(_ *tenure.Holder, now, by time.Time) bool {
+		{"a worker is taken for lost though a later dispatcher may hear it", Rules{Ended: func(_ *tenure.LeaderLease, now, by time.Time) bool {
 			return !now.Before(by)
 		}}, 0},
 		{"ends are forgotten before they are stored", Rules{NoteFirst: true}, 0},
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -72,8 +72,8 @@
 type Ping struct {
 	Seq uint64 `cbor:"1,keyasint"`
 	// Worker and Rows describe an agent's worker.
-	Worker *dispatch.Worker `cbor:"2,keyasint,omitempty"`
-	Rows   []dispatch.Row   `cbor:"3,keyasint,omitempty"`
+	Worker *dispatch.Worker     `cbor:"2,keyasint,omitempty"`
+	Rows   []dispatch.RunStatus `cbor:"3,keyasint,omitempty"`
 	// Term is the newest term that an entry knows.
 	Term uint64 `cbor:"4,keyasint,omitempty"`
 	// StoreMS is how long ago an entry last heard from the store, in milliseconds.
@@ -99,15 +99,15 @@
 
 // Report is a worker's whole state.
 type Report struct {
-	Worker dispatch.Worker `cbor:"1,keyasint"`
-	Rows   []dispatch.Row  `cbor:"2,keyasint,omitempty"`
-	Ends   []dispatch.End  `cbor:"3,keyasint,omitempty"`
+	Worker dispatch.Worker      `cbor:"1,keyasint"`
+	Rows   []dispatch.RunStatus `cbor:"2,keyasint,omitempty"`
+	Ends   []dispatch.RunEnd    `cbor:"3,keyasint,omitempty"`
 }
 
 // Ends are new ends at a worker.
 type Ends struct {
-	Life uint64         `cbor:"1,keyasint"`
-	Ends []dispatch.End `cbor:"2,keyasint"`
+	Life uint64            `cbor:"1,keyasint"`
+	Ends []dispatch.RunEnd `cbor:"2,keyasint"`
 }
 
 // Refused says that an order never runs.
@@ -126,7 +126,7 @@
 	Starts []dispatch.Start `cbor:"2,keyasint,omitempty"`
 	Stops  []dispatch.Stop  `cbor:"3,keyasint,omitempty"`
 	// Guarded says what the agent's guard needs to know of tasks that run already.
-	Guarded []dispatch.Guarded `cbor:"4,keyasint,omitempty"`
+	Guarded []dispatch.GuardedTask `cbor:"4,keyasint,omitempty"`
 	// Questions are about steps of queues that need advice.
 	Questions []dispatch.Question `cbor:"5,keyasint,omitempty"`
 }
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -8,9 +8,9 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Advice describes the placement policy of a queue: an external service decides which workers
+// PlacementPolicy describes the placement policy of a queue: an external service decides which workers
 // may run a step, and has to be asked.
-type Advice struct {
+type PlacementPolicy struct {
 	// Decision is how long the service takes to answer a question; PerWorker is added for each
 	// worker that the question names.
 	Decision, PerWorker time.Duration
@@ -42,7 +42,7 @@
 	replacementSilence = 4 * time.Second
 )
 
-func (a *Advice) expectedDuration(workers int) time.Duration {
+func (a *PlacementPolicy) expectedDuration(workers int) time.Duration {
 	return a.Decision + time.Duration(workers)*a.PerWorker
 }
 
@@ -90,18 +90,18 @@
 // permitted reports whether the placement policy of the step's queue lets a worker run it.
 func (s *stepState) permitted(now time.Time, q *Queue, w *workerState) bool {
 	p := s.permissions.byWorker[w]
-	return q.Advice == nil || p.life == w.life && p.allowed && now.Before(p.expiresAt)
+	return q.Policy == nil || p.life == w.life && p.allowed && now.Before(p.expiresAt)
 }
 
 // askQuestions asks about steps that need permissions now or soon, the most urgent first.
-func (sc *Board) askQuestions(now time.Time, o *Orders) {
+func (sc *Scheduler) askQuestions(now time.Time, o *Orders) {
 	sc.expireQuestions(now)
 	if !sc.anyPolicy {
 		return
 	}
 	var steps []*stepState
 	for _, j := range sc.jobs {
-		if q := sc.queues[j.submission.Queue]; q.Advice != nil && !j.phase.Ended() {
+		if q := sc.queues[j.submission.Queue]; q.Policy != nil && !j.phase.Ended() {
 			steps = sc.appendStepsToAsk(now, j, &q, steps)
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // appendStepsToAsk appends the steps of a job that need permissions now or soon.
-func (sc *Board) appendStepsToAsk(now time.Time, j *jobState, q *Queue, steps []*stepState) []*stepState {
+func (sc *Scheduler) appendStepsToAsk(now time.Time, j *jobState, q *Queue, steps []*stepState) []*stepState {
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			if !s.closed && !s.permissions.questionOpen && !now.Before(s.permissions.nextQuestionAt) && s.placesSoon(now, q) && sc.questionHelps(now, s, q) {
@@ -129,8 +129,8 @@
 // placesSoon reports whether tasks of the step are likely to be placed before a question asked
 // now would be answered.
 func (s *stepState) placesSoon(now time.Time, q *Queue) bool {
-	lead := q.Advice.expectedDuration(maxNamedWorkers) + questionLeadTime
-	return s.open && s.waitingTasks > 0 || !s.open && s.opensWithin(now, lead) || s.spec.Lasts && s.losesWorkerSoon(now)
+	lead := q.Policy.expectedDuration(maxNamedWorkers) + questionLeadTime
+	return s.open && s.waitingTasks > 0 || !s.open && s.opensWithin(now, lead) || s.spec.LongRunning && s.losesWorkerSoon(now)
 }
 
 // opensWithin reports whether all steps that this one depends on are expected to be done within
@@ -168,8 +168,8 @@
 // questionHelps reports whether a question about a step would help: there is a worker to name,
 // and either no permission stays valid long enough, or no permitted worker has room while
 // another worker has.
-func (sc *Board) questionHelps(now time.Time, s *stepState, q *Queue) bool {
-	answeredAt := now.Add(q.Advice.expectedDuration(maxNamedWorkers) + questionLeadTime)
+func (sc *Scheduler) questionHelps(now time.Time, s *stepState, q *Queue) bool {
+	answeredAt := now.Add(q.Policy.expectedDuration(maxNamedWorkers) + questionLeadTime)
 	candidate, permitted, permittedWithRoom, otherWithRoom := false, false, false, false
 	for _, w := range sc.workers {
 		if !sc.suitable(now, s, q, w) || s.denied(w) {
@@ -195,7 +195,7 @@
 }
 
 // chooseAsker returns the worker whose agent sends the next question, or nil.
-func (sc *Board) chooseAsker(now time.Time) *workerState {
+func (sc *Scheduler) chooseAsker(now time.Time) *workerState {
 	var best *workerState
 	for _, w := range sc.workers {
 		if w.silent || w.leaseExpired || w.life == 0 || w.openQuestions >= maxOpenQuestions || now.Before(w.nextQuestionAt) {
@@ -209,14 +209,14 @@
 }
 
 // ask orders a question about a step.
-func (sc *Board) ask(now time.Time, s *stepState, asker *workerState, o *Orders) {
+func (sc *Scheduler) ask(now time.Time, s *stepState, asker *workerState, o *Orders) {
 	q := sc.queues[s.occurrence.job.submission.Queue]
 	named := sc.workersToName(now, s, &q)
 	if len(named) == 0 {
 		return
 	}
 	sc.lastQuestion++
-	timeout := maxOpenQuestions*q.Advice.expectedDuration(len(named)) + answerTimeoutMargin
+	timeout := maxOpenQuestions*q.Policy.expectedDuration(len(named)) + answerTimeoutMargin
 	open := &openQuestion{step: s, asker: asker, lives: make(map[*workerState]uint64, len(named)), expiresAt: now.Add(timeout)}
 	out := Question{Seq: sc.lastQuestion, Asker: asker.name, Step: s.stepID(), Timeout: timeout}
 	for _, w := range named {
@@ -231,7 +231,7 @@
 
 // workersToName returns the workers that a question about a step names: those not known to be
 // denied, those with room first, then by score.
-func (sc *Board) workersToName(now time.Time, s *stepState, q *Queue) []*workerState {
+func (sc *Scheduler) workersToName(now time.Time, s *stepState, q *Queue) []*workerState {
 	type rated struct {
 		worker *workerState
 		full   bool
@@ -254,7 +254,7 @@
 }
 
 // expireQuestions gives up questions that were not answered in time.
-func (sc *Board) expireQuestions(now time.Time) {
+func (sc *Scheduler) expireQuestions(now time.Time) {
 	for seq, open := range sc.openQuestions {
 		if now.After(open.expiresAt) {
 			open.asker.nextQuestionAt = now.Add(askerBackoff)
@@ -263,7 +263,7 @@
 	}
 }
 
-func (sc *Board) closeQuestion(now time.Time, seq uint64, delay time.Duration) {
+func (sc *Scheduler) closeQuestion(now time.Time, seq uint64, delay time.Duration) {
 	open := sc.openQuestions[seq]
 	delete(sc.openQuestions, seq)
 	open.asker.openQuestions--
@@ -271,10 +271,10 @@
 	open.step.permissions.nextQuestionAt = now.Add(delay)
 }
 
-// Advised records the answer to a question: the tickets of the permitted workers by runner
+// PolicyAnswered records the answer to a question: the tickets of the permitted workers by runner
 // instance, and how long they are valid. It returns the step, or false if the question has
 // expired.
-func (sc *Board) Advised(now time.Time, seq uint64, tickets map[string]string, valid time.Duration) (workflow.StepID, bool) {
+func (sc *Scheduler) PolicyAnswered(now time.Time, seq uint64, tickets map[string]string, valid time.Duration) (workflow.StepID, bool) {
 	open := sc.openQuestions[seq]
 	if open == nil {
 		return workflow.StepID{}, false
@@ -294,9 +294,9 @@
 	return s.stepID(), true
 }
 
-// NotAdvised records that a question was refused or not answered. It returns the step, or false
+// PolicyUnanswered records that a question was refused or not answered. It returns the step, or false
 // if the question has expired.
-func (sc *Board) NotAdvised(now time.Time, seq uint64) (workflow.StepID, bool) {
+func (sc *Scheduler) PolicyUnanswered(now time.Time, seq uint64) (workflow.StepID, bool) {
 	open := sc.openQuestions[seq]
 	if open == nil {
 		return workflow.StepID{}, false
@@ -305,9 +305,9 @@
 	return open.step.stepID(), true
 }
 
-// Unticketed records that a runner rejected the ticket of a task, so that a new one is
+// TicketRefused records that a runner rejected the ticket of a task, so that a new one is
 // requested.
-func (sc *Board) Unticketed(worker string, task workflow.TaskID) {
+func (sc *Scheduler) TicketRefused(worker string, task workflow.TaskID) {
 	s, _ := sc.task(task)
 	w := sc.workers[worker]
 	if s != nil && w != nil {
--- a/pkg/dispatch/board.go
+++ b/pkg/dispatch/board.go
@@ -22,14 +22,14 @@
 	Attempts int
 	// Stretch and Target set the latency objective of a job: its critical path times the
 	// stretch, plus the target latency.
-	Stretch float64
-	Target  time.Duration
-	// Advice is set if an external service decides which workers may run a step.
-	Advice *Advice
+	Stretch       float64
+	TargetLatency time.Duration
+	// Policy is set if an external service decides which workers may run a step.
+	Policy *PlacementPolicy
 }
 
-// Board holds the jobs and workers of one dispatcher. The zero value is empty.
-type Board struct {
+// Scheduler holds the jobs and workers of one dispatcher. The zero value is empty.
+type Scheduler struct {
 	queues  map[string]Queue
 	workers map[string]*workerState
 	jobs    map[string]*jobState
@@ -47,7 +47,7 @@
 	// jobEnded is set if one of changedJobs has ended.
 	jobEnded           bool
 	stops              []Stop
-	lost               []Lost
+	lost               []LostRun
 	remoteRackSlowdown float64
 	// shareLimits are the fractions of a worker's processors that best-effort images may use
 	// next to serving images.
@@ -71,10 +71,10 @@
 // started more often in one term.
 const runsPerTerm = 1000
 
-// Begin starts a term. Jobs from earlier terms may still run at one of the given workers,
+// BeginTerm starts a term. Jobs from earlier terms may still run at one of the given workers,
 // until each has reported or its lease has expired.
-func (sc *Board) Begin(term uint64, workers []string) {
-	*sc = Board{queues: sc.queues, anyPolicy: sc.anyPolicy, remoteRackSlowdown: sc.remoteRackSlowdown, shareLimits: make(map[imagePair]float64), openQuestions: make(map[uint64]*openQuestion)}
+func (sc *Scheduler) BeginTerm(term uint64, workers []string) {
+	*sc = Scheduler{queues: sc.queues, anyPolicy: sc.anyPolicy, remoteRackSlowdown: sc.remoteRackSlowdown, shareLimits: make(map[imagePair]float64), openQuestions: make(map[uint64]*openQuestion)}
 	sc.workers = make(map[string]*workerState)
 	sc.jobs = make(map[string]*jobState)
 	sc.unreported = make(map[string]bool)
@@ -91,22 +91,22 @@
 }
 
 // SetQueues replaces the queues.
-func (sc *Board) SetQueues(queues map[string]Queue) {
+func (sc *Scheduler) SetQueues(queues map[string]Queue) {
 	sc.queues = queues
 	sc.anyPolicy = false
 	for _, q := range queues {
-		sc.anyPolicy = sc.anyPolicy || q.Advice != nil
+		sc.anyPolicy = sc.anyPolicy || q.Policy != nil
 	}
 }
 
-// SetSpread sets the factor by which a task takes longer on another rack than that of its data.
-func (sc *Board) SetSpread(factor float64) { sc.remoteRackSlowdown = factor }
+// SetRemoteRackSlowdown sets the factor by which a task takes longer on another rack than that of its data.
+func (sc *Scheduler) SetRemoteRackSlowdown(factor float64) { sc.remoteRackSlowdown = factor }
 
-// Unheard returns the number of workers that may still run tasks of an earlier term.
-func (sc *Board) Unheard() int { return len(sc.unreported) }
+// UnreportedWorkers returns the number of workers that may still run tasks of an earlier term.
+func (sc *Scheduler) UnreportedWorkers() int { return len(sc.unreported) }
 
-// Settle records that nothing of an earlier term can run any more.
-func (sc *Board) Settle() { clear(sc.unreported) }
+// ExpireEarlierTerms records that nothing of an earlier term can run any more.
+func (sc *Scheduler) ExpireEarlierTerms() { clear(sc.unreported) }
 
 type jobState struct {
 	submission *workflow.Submission
@@ -195,7 +195,7 @@
 }
 
 // task returns the state of a task, or nil if the job, occurrence or step is not known.
-func (sc *Board) task(id workflow.TaskID) (*stepState, *taskState) {
+func (sc *Scheduler) task(id workflow.TaskID) (*stepState, *taskState) {
 	j := sc.jobs[id.Job]
 	if j == nil {
 		return nil, nil
@@ -293,7 +293,7 @@
 }
 
 func (w *workerState) count(r *run, by int) {
-	if r.step.spec.Fills {
+	if r.step.spec.BestEffort {
 		w.countBestEffort(r, by)
 	}
 	if r.step.spec.TargetMS > 0 {
@@ -302,7 +302,7 @@
 			delete(w.servingTasksByImage, r.step.spec.Image)
 		}
 	}
-	if r.step.spec.Lasts {
+	if r.step.spec.LongRunning {
 		w.longRunningTasks += by
 		w.longRunningMilliCPU += int64(by) * r.step.spec.Size.MilliCPU
 	}
--- a/pkg/dispatch/board_test.go
+++ b/pkg/dispatch/board_test.go
@@ -86,12 +86,12 @@
 }
 
 var testQueues = map[string]Queue{
-	"fits":   {Service: "bench", Priority: 0, Attempts: 2, Stretch: 1.5, Target: 300 * time.Millisecond},
-	"shapes": {Service: "bench", Priority: 2, Attempts: 2, Stretch: 2, Target: time.Second},
-	"lasts":  {Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, Target: time.Second},
+	"fits":   {Service: "bench", Priority: 0, Attempts: 2, Stretch: 1.5, TargetLatency: 300 * time.Millisecond},
+	"shapes": {Service: "bench", Priority: 2, Attempts: 2, Stretch: 2, TargetLatency: time.Second},
+	"lasts":  {Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, TargetLatency: time.Second},
 	"advised": {
-		Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, Target: time.Second,
-		Advice: &Advice{Decision: 300 * time.Millisecond, PerWorker: 2 * time.Millisecond},
+		Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, TargetLatency: time.Second,
+		Policy: &PlacementPolicy{Decision: 300 * time.Millisecond, PerWorker: 2 * time.Millisecond},
 	},
 }
 
@@ -118,10 +118,10 @@
 
 func runScenario(t *testing.T, s *scenario) {
 	t.Helper()
-	var sc Board
+	var sc Scheduler
 	sc.SetQueues(testQueues)
-	sc.SetSpread(1.5)
-	sc.Begin(max(1, s.Term), s.Known)
+	sc.SetRemoteRackSlowdown(1.5)
+	sc.BeginTerm(max(1, s.Term), s.Known)
 	base := time.Unix(1000, 0)
 	for i := range s.Events {
 		e := &s.Events[i]
@@ -145,14 +145,14 @@
 		compareLines(t, fmt.Sprintf("event %d (%s): questions", i, e.Do), asked, e.Ask)
 		if e.Lost != nil {
 			var lost []string
-			for _, l := range sc.TakeLost() {
+			for _, l := range sc.TakeLostRuns() {
 				lost = append(lost, fmt.Sprintf("%s %d %s", l.Task, l.Run, l.Worker))
 			}
 			compareLines(t, fmt.Sprintf("event %d (%s): lost", i, e.Do), lost, e.Lost)
 		}
 		if e.Noted != nil {
 			var acked []string
-			sc.TakeChange().EachNote(func(worker string, _, end uint64) { acked = append(acked, fmt.Sprintf("%s %d ", worker, end)) })
+			sc.TakeChange().EachAck(func(worker string, _, end uint64) { acked = append(acked, fmt.Sprintf("%s %d ", worker, end)) })
 			compareLines(t, fmt.Sprintf("event %d (%s): acknowledged ends", i, e.Do), acked, e.Noted)
 		}
 		if e.Phase != "" {
@@ -187,44 +187,44 @@
 	}
 }
 
-func applyEvent(t *testing.T, sc *Board, now time.Time, wall int64, e *event) {
+func applyEvent(t *testing.T, sc *Scheduler, now time.Time, wall int64, e *event) {
 	t.Helper()
-	w := &Worker{Name: e.Worker, Life: e.Life, Service: "bench", Capacity: worker.Resources{MilliCPU: e.CPU, MemoryMB: e.MemMB}, Labels: e.Labels, Draining: e.Draining, Pace: 100, Instance: fmt.Sprintf("%s/%d", e.Worker, e.Life)}
+	w := &Worker{Name: e.Worker, Life: e.Life, Service: "bench", Capacity: worker.Resources{MilliCPU: e.CPU, MemoryMB: e.MemMB}, Labels: e.Labels, Draining: e.Draining, PacePercent: 100, Instance: fmt.Sprintf("%s/%d", e.Worker, e.Life)}
 	if e.CPU == 0 {
 		w.Capacity = worker.Resources{MilliCPU: 16000, MemoryMB: 64000}
 	}
 	switch e.Do {
 	case "report":
-		sc.Report(now, wall, w, runsOf(t, e.Runs), endsOf(t, e.Ends))
+		sc.ApplyReport(now, wall, w, runsOf(t, e.Runs), endsOf(t, e.Ends))
 	case "describe":
-		sc.Describe(now, w, runsOf(t, e.Runs))
+		sc.ApplyPing(now, w, runsOf(t, e.Runs))
 	case "ended":
-		sc.Ended(now, wall, e.Worker, e.Life, endsOf(t, e.Ends))
+		sc.ApplyEnds(now, wall, e.Worker, e.Life, endsOf(t, e.Ends))
 	case "refused":
 		for _, r := range runsOf(t, e.Runs) {
-			sc.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+			sc.OrderRefused(now, wall, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "admit":
 		sc.Admit(now, wall, jobOf(t, e), nil, e.Old)
 	case "cancel":
 		sc.Cancel(now, wall, e.Job)
 	case "advised":
-		sc.Advised(now, e.Question, e.Tickets, time.Duration(e.ValidMS)*time.Millisecond)
+		sc.PolicyAnswered(now, e.Question, e.Tickets, time.Duration(e.ValidMS)*time.Millisecond)
 	case "not-advised":
-		sc.NotAdvised(now, e.Question)
+		sc.PolicyUnanswered(now, e.Question)
 	case "ticket-refused":
 		for _, r := range runsOf(t, e.Runs) {
-			sc.Unticketed(e.Worker, r.Task)
-			sc.Refused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+			sc.TicketRefused(e.Worker, r.Task)
+			sc.OrderRefused(now, wall, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "silent":
-		sc.Silent(e.Worker)
+		sc.MarkSilent(e.Worker)
 	case "lapsed":
-		sc.Lapsed(now, e.Worker)
+		sc.WorkerLeaseExpired(now, e.Worker)
 	case "caught-up":
-		sc.CaughtUp(now, now)
+		sc.AllJobsKnown(now, now)
 	case "settle":
-		sc.Settle()
+		sc.ExpireEarlierTerms()
 	case "wait":
 	default:
 		t.Fatalf("unknown event %q", e.Do)
@@ -237,12 +237,12 @@
 	if err := json.Unmarshal(e.Steps, &steps); err != nil {
 		t.Fatal(err)
 	}
-	sub := &workflow.Submission{ID: e.Job, Queue: e.Queue, AcceptedMS: 1_000_000 + e.AtMS, Spec: workflow.Spec{Times: e.Times, FirstMS: e.First, EveryMS: e.Every}}
+	sub := &workflow.Submission{ID: e.Job, Queue: e.Queue, AcceptedMS: 1_000_000 + e.AtMS, Spec: workflow.Spec{RepeatCount: e.Times, FirstDueMS: e.First, IntervalMS: e.Every}}
 	for _, s := range steps {
 		sub.Spec.Steps = append(sub.Spec.Steps, workflow.Step{
 			Count: s.Count, Size: worker.Resources{MilliCPU: s.CPU, MemoryMB: s.MemMB}, EstimateMS: s.EstimateMS, After: s.After,
-			Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, Rack: s.Rack, MostPerWorker: s.MostPerWorker, Saves: s.Saves,
-			Copies: s.Copies, Lasts: s.Lasts, Image: s.Image, TargetMS: s.TargetMS, Fills: s.Fills,
+			Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, Rack: s.Rack, MaxPerWorker: s.MostPerWorker, Checkpointing: s.Saves,
+			Speculative: s.Copies, LongRunning: s.Lasts, Image: s.Image, TargetMS: s.TargetMS, BestEffort: s.Fills,
 		})
 	}
 	if err := sub.Spec.Validate(); err != nil {
@@ -253,19 +253,19 @@
 
 func taskOf(t *testing.T, name string) workflow.TaskID {
 	t.Helper()
-	id, ok := workflow.ParseTask(name)
+	id, ok := workflow.ParseTaskID(name)
 	if !ok {
 		t.Fatalf("invalid task ID %q", name)
 	}
 	return id
 }
 
-func runsOf(t *testing.T, lines []string) []Row {
+func runsOf(t *testing.T, lines []string) []RunStatus {
 	t.Helper()
-	var out []Row
+	var out []RunStatus
 	for _, l := range lines {
 		var name string
-		var r Row
+		var r RunStatus
 		if _, err := fmt.Sscan(l+" 0 0", &name, &r.Run, &r.Percent, &r.Reading); err != nil {
 			t.Fatalf("invalid run %q: %v", l, err)
 		}
@@ -275,17 +275,17 @@
 	return out
 }
 
-func endsOf(t *testing.T, lines []string) []End {
+func endsOf(t *testing.T, lines []string) []RunEnd {
 	t.Helper()
-	var out []End
+	var out []RunEnd
 	for _, l := range lines {
 		f := strings.Fields(l + " ")
-		var e End
+		var e RunEnd
 		if _, err := fmt.Sscan(f[0]+" "+f[2], &e.Number, &e.Run); err != nil {
 			t.Fatalf("invalid end %q: %v", l, err)
 		}
 		e.Task = taskOf(t, f[1])
-		e.How = How(slices.Index(outcomeNames[:], f[3]))
+		e.How = Outcome(slices.Index(outcomeNames[:], f[3]))
 		if len(f) > 4 {
 			e.Saved = f[4]
 		}
--- a/pkg/dispatch/copies.go
+++ b/pkg/dispatch/copies.go
@@ -20,7 +20,7 @@
 
 // startSpeculativeRuns starts speculative runs for runs that are far behind, where room is left
 // once all waiting tasks have been placed. This makes up for slow, hanging and failing workers.
-func (sc *Board) startSpeculativeRuns(now time.Time, o *Orders) {
+func (sc *Scheduler) startSpeculativeRuns(now time.Time, o *Orders) {
 	var stragglers []*run
 	for _, w := range sc.workers {
 		for _, r := range w.runs {
@@ -45,7 +45,7 @@
 // straggles reports whether a speculative run of the task would likely end before this run.
 func (r *run) straggles(now time.Time) bool {
 	s := r.step.spec
-	if !s.Copies || s.Gang || s.Lasts || r.phase != runRunning || s.EstimateMS < minMeasuredEstimateMS {
+	if !s.Speculative || s.Gang || s.LongRunning || r.phase != runRunning || s.EstimateMS < minMeasuredEstimateMS {
 		return false
 	}
 	return now.Sub(r.orderedAt) >= speculateAfterEstimates*time.Duration(s.EstimateMS)*time.Millisecond+speculateMargin
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -75,7 +75,7 @@
 func (o *Orders) Questions() []Question { return o.questions }
 
 // orderStop orders a run to stop.
-func (sc *Board) orderStop(now time.Time, r *run, reason string) {
+func (sc *Scheduler) orderStop(now time.Time, r *run, reason string) {
 	if r.phase == runStopping {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // Decide returns the orders that are due.
-func (sc *Board) Decide(now time.Time, wallMS int64) *Orders {
+func (sc *Scheduler) Decide(now time.Time, wallMS int64) *Orders {
 	for _, j := range sc.jobs {
 		if j.nextOccurrence < j.submission.Spec.Occurrences() && !j.phase.Ended() {
 			sc.createDueOccurrences(now, wallMS, j)
@@ -103,7 +103,7 @@
 }
 
 // repeatStops repeats stop orders that have had no effect.
-func (sc *Board) repeatStops(now time.Time) {
+func (sc *Scheduler) repeatStops(now time.Time) {
 	for _, w := range sc.workers {
 		for _, r := range w.runs {
 			if r.phase == runStopping && now.Sub(r.stopOrderedAt) >= stopRetryInterval {
@@ -126,7 +126,7 @@
 // placementOrder returns the steps with waiting tasks in the order in which they are placed.
 // During surges of jobs with many tasks, steps that can still meet their latency objective go
 // before those that no longer can, the least slack first.
-func (sc *Board) placementOrder(now time.Time) []*stepState {
+func (sc *Scheduler) placementOrder(now time.Time) []*stepState {
 	steps := make([]*stepState, 0, len(sc.readySteps))
 	for s := range sc.readySteps {
 		if !s.occurrence.job.fromEarlierTerm || len(sc.unreported) == 0 {
@@ -137,12 +137,12 @@
 }
 
 // sortByUrgency sorts steps by urgency.
-func (sc *Board) sortByUrgency(now time.Time, steps []*stepState) []*stepState {
+func (sc *Scheduler) sortByUrgency(now time.Time, steps []*stepState) []*stepState {
 	all := make([]placementRank, 0, len(steps))
 	for _, s := range steps {
 		q := sc.queues[s.occurrence.job.submission.Queue]
 		slack := sc.deadline(s.occurrence, q).Sub(now) - time.Duration(s.criticalPathMS)*time.Millisecond
-		all = append(all, placementRank{step: s, longRunning: s.spec.Lasts, priority: q.Priority, late: slack < 0, slack: slack})
+		all = append(all, placementRank{step: s, longRunning: s.spec.LongRunning, priority: q.Priority, late: slack < 0, slack: slack})
 	}
 	slices.SortFunc(all, func(x, y placementRank) int {
 		return cmp.Or(-compareBool(x.longRunning, y.longRunning), cmp.Compare(x.priority, y.priority), compareBool(x.late, y.late),
@@ -166,16 +166,16 @@
 }
 
 // deadline returns the time by which an occurrence has to end to meet its latency objective.
-func (sc *Board) deadline(o *occurrence, q Queue) time.Time {
+func (sc *Scheduler) deadline(o *occurrence, q Queue) time.Time {
 	chain := int64(0)
 	for _, s := range o.steps {
 		chain = max(chain, s.criticalPathMS)
 	}
-	return o.startedAt.Add(time.Duration(float64(chain)*q.Stretch)*time.Millisecond + q.Target)
+	return o.startedAt.Add(time.Duration(float64(chain)*q.Stretch)*time.Millisecond + q.TargetLatency)
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
-func (sc *Board) placeStep(now time.Time, s *stepState, o *Orders) {
+func (sc *Scheduler) placeStep(now time.Time, s *stepState, o *Orders) {
 	q, ok := sc.queues[s.occurrence.job.submission.Queue]
 	if !ok {
 		return
@@ -191,7 +191,7 @@
 		}
 		w, reason := sc.chooseWorker(now, s, t, q, nil)
 		if w == nil {
-			if s.spec.Lasts && now.Sub(t.waitingSince) >= preemptionWait {
+			if s.spec.LongRunning && now.Sub(t.waitingSince) >= preemptionWait {
 				sc.preemptFor(now, s, q)
 			}
 			return
@@ -201,7 +201,7 @@
 }
 
 // orderStart orders a run of a task.
-func (sc *Board) orderStart(now time.Time, s *stepState, index int, w *workerState, number uint64, reason string, o *Orders) {
+func (sc *Scheduler) orderStart(now time.Time, s *stepState, index int, w *workerState, number uint64, reason string, o *Orders) {
 	t := &s.tasks[index]
 	id := s.taskID(index)
 	sc.addRun(now, s, t, id, w, number)
@@ -209,26 +209,26 @@
 	sc.markStarted(s.occurrence.job)
 	o.starts = append(o.starts, Start{
 		Worker: w.name, Life: w.life, Task: id, Run: number, Text: s.occurrence.job.submission.Spec.Text,
-		Saved: t.checkpoint, Fills: s.spec.Fills, TargetMS: s.spec.TargetMS, Ticket: s.ticket(w), Harm: sc.imageInterference(w, s.spec.Image), Reason: reason,
+		Saved: t.checkpoint, Fills: s.spec.BestEffort, TargetMS: s.spec.TargetMS, Ticket: s.ticket(w), Harm: sc.imageInterference(w, s.spec.Image), Reason: reason,
 	})
 }
 
 // allowed reports whether a worker may run a step at all.
-func (sc *Board) allowed(now time.Time, s *stepState, q Queue, w *workerState) bool {
+func (sc *Scheduler) allowed(now time.Time, s *stepState, q Queue, w *workerState) bool {
 	return sc.suitable(now, s, &q, w) && s.permitted(now, &q, w)
 }
 
 // suitable reports whether a worker may run a step, apart from the placement policy.
-func (sc *Board) suitable(now time.Time, s *stepState, q *Queue, w *workerState) bool {
+func (sc *Scheduler) suitable(now time.Time, s *stepState, q *Queue, w *workerState) bool {
 	return w.life != 0 && !w.silent && !w.leaseExpired && !w.draining && w.service == q.Service &&
 		(s.spec.Label == "" || w.labels[s.spec.Label]) && w.health.usable(now)
 }
 
 // chooseWorker returns the worker that a task should run on, or nil, and the reason. Planned
 // counts the tasks of a gang that already take room at each worker.
-func (sc *Board) chooseWorker(now time.Time, s *stepState, t *taskState, q Queue, planned map[*workerState]int) (*workerState, string) {
+func (sc *Scheduler) chooseWorker(now time.Time, s *stepState, t *taskState, q Queue, planned map[*workerState]int) (*workerState, string) {
 	need := s.spec.Reserved()
-	avoidInterference := s.spec.Fills && now.Sub(t.waitingSince) < interferenceWait && sc.runsWithoutInterference(now, s, q)
+	avoidInterference := s.spec.BestEffort && now.Sub(t.waitingSince) < interferenceWait && sc.runsWithoutInterference(now, s, q)
 	var best *workerState
 	lowestScore := 0.0
 	for _, w := range sc.workers {
@@ -236,7 +236,7 @@
 		if !sc.allowed(now, s, q, w) || !need.Times(int64(reserved)+1).Fits(w.free()) {
 			continue
 		}
-		if s.spec.MostPerWorker > 0 && s.runsPerWorker[w.name]+reserved >= s.spec.MostPerWorker {
+		if s.spec.MaxPerWorker > 0 && s.runsPerWorker[w.name]+reserved >= s.spec.MaxPerWorker {
 			continue
 		}
 		if runsOn(t, w) || avoidInterference && sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU) >= overload {
@@ -264,9 +264,9 @@
 
 func (s *stepState) placementReason(w *workerState) string {
 	switch {
-	case s.spec.Lasts:
+	case s.spec.LongRunning:
 		return "long-running tasks are packed together"
-	case s.spec.Fills:
+	case s.spec.BestEffort:
 		return "most unused processor time"
 	case s.spec.Rack != "" && s.spec.Rack == w.rack:
 		return "on the rack of its data"
@@ -275,7 +275,7 @@
 }
 
 // placeGang starts all tasks of a step at once, under one run number.
-func (sc *Board) placeGang(now time.Time, s *stepState, q Queue, o *Orders) {
+func (sc *Scheduler) placeGang(now time.Time, s *stepState, q Queue, o *Orders) {
 	number := uint64(0)
 	saved := ""
 	for i := range s.tasks {
@@ -300,7 +300,7 @@
 }
 
 // racksToTry returns the racks to try for a gang; "" stands for any.
-func (sc *Board) racksToTry(s *stepState) []string {
+func (sc *Scheduler) racksToTry(s *stepState) []string {
 	if !s.spec.SameRack {
 		return []string{""}
 	}
@@ -319,7 +319,7 @@
 	return append(out, "")
 }
 
-func (sc *Board) planGang(now time.Time, s *stepState, q Queue, rack string) []*workerState {
+func (sc *Scheduler) planGang(now time.Time, s *stepState, q Queue, rack string) []*workerState {
 	planned := make(map[*workerState]int)
 	if rack != "" {
 		for _, w := range sc.workers {
--- a/pkg/dispatch/guarded.go
+++ b/pkg/dispatch/guarded.go
@@ -2,8 +2,8 @@
 
 import "savoryhoist.example/savoryhoist/pkg/workflow"
 
-// Guarded is what the latency guard of a worker has to know of a task.
-type Guarded struct {
+// GuardedTask is what the latency guard of a worker has to know of a task.
+type GuardedTask struct {
 	_    struct{} `cbor:",toarray"`
 	Task workflow.TaskID
 	// TargetMS is the limit of the tail latency of a serving task, in milliseconds.
@@ -14,16 +14,16 @@
 	Harm float64
 }
 
-// Guarded returns the serving and best-effort tasks at a worker.
-func (sc *Board) Guarded(name string) []Guarded {
+// GuardedTasks returns the serving and best-effort tasks at a worker.
+func (sc *Scheduler) GuardedTasks(name string) []GuardedTask {
 	w := sc.workers[name]
 	if w == nil {
 		return nil
 	}
-	var out []Guarded
+	var out []GuardedTask
 	for id, r := range w.runs {
-		if s := r.step.spec; s.TargetMS > 0 || s.Fills {
-			out = append(out, Guarded{Task: id, TargetMS: s.TargetMS, Fills: s.Fills, Harm: sc.imageInterference(w, s.Image)})
+		if s := r.step.spec; s.TargetMS > 0 || s.BestEffort {
+			out = append(out, GuardedTask{Task: id, TargetMS: s.TargetMS, Fills: s.BestEffort, Harm: sc.imageInterference(w, s.Image)})
 		}
 	}
 	return out
--- a/pkg/dispatch/harm.go
+++ b/pkg/dispatch/harm.go
@@ -39,7 +39,7 @@
 // imagePair names the images of a serving and of a best-effort task.
 type imagePair struct{ serving, bestEffort string }
 
-func (sc *Board) shareLimit(serving, bestEffort string) float64 {
+func (sc *Scheduler) shareLimit(serving, bestEffort string) float64 {
 	if limit, ok := sc.shareLimits[imagePair{serving, bestEffort}]; ok {
 		return limit
 	}
@@ -48,7 +48,7 @@
 
 // interferenceLoad returns how much of what a serving image tolerates is used by best-effort
 // images; it is expected to miss its target from 1 on.
-func (sc *Board) interferenceLoad(serving string, shares map[string]float64) float64 {
+func (sc *Scheduler) interferenceLoad(serving string, shares map[string]float64) float64 {
 	sum := 0.0
 	for image, share := range shares {
 		sum += share / sc.shareLimit(serving, image)
@@ -58,7 +58,7 @@
 
 // interferenceLoadWith returns the highest interference load of a worker's serving images if
 // one more best-effort task ran there.
-func (sc *Board) interferenceLoadWith(w *workerState, image string, milliCPU int64) float64 {
+func (sc *Scheduler) interferenceLoadWith(w *workerState, image string, milliCPU int64) float64 {
 	worst, share := 0.0, float64(milliCPU)/float64(max(1, w.capacity.MilliCPU))
 	for serving := range w.servingTasksByImage {
 		worst = max(worst, sc.interferenceLoad(serving, w.bestEffortShares)+share/sc.shareLimit(serving, image))
@@ -68,7 +68,7 @@
 
 // imageInterference returns the interference load that one best-effort image causes at a worker,
 // from 0 to 1.
-func (sc *Board) imageInterference(w *workerState, image string) float64 {
+func (sc *Scheduler) imageInterference(w *workerState, image string) float64 {
 	worst := 0.0
 	for serving := range w.servingTasksByImage {
 		worst = max(worst, w.bestEffortShares[image]/sc.shareLimit(serving, image))
@@ -78,10 +78,10 @@
 
 // learnInterference adjusts the share limits to the readings of a worker. It matters on days
 // when best-effort jobs have many tasks and serving tasks run on most workers.
-func (sc *Board) learnInterference(now time.Time, w *workerState) {
+func (sc *Scheduler) learnInterference(now time.Time, w *workerState) {
 	sharesInUse := make(map[string]float64)
 	for _, r := range w.runs {
-		if r.step.spec.Fills && r.phase == runRunning && now.Sub(r.orderedAt) > settleTime {
+		if r.step.spec.BestEffort && r.phase == runRunning && now.Sub(r.orderedAt) > settleTime {
 			sharesInUse[r.step.spec.Image] += r.reading / float64(max(1, w.capacity.MilliCPU))
 		}
 	}
@@ -99,7 +99,7 @@
 
 // adjustShareLimits adjusts the share limits of a serving image to one reading next to
 // best-effort images.
-func (sc *Board) adjustShareLimits(serving string, sharesInUse map[string]float64, pressure float64) {
+func (sc *Scheduler) adjustShareLimits(serving string, sharesInUse map[string]float64, pressure float64) {
 	load := sc.interferenceLoad(serving, sharesInUse)
 	if load <= 0 || pressure > metPressure && pressure <= missedPressure {
 		return
@@ -118,7 +118,7 @@
 
 // runsWithoutInterference reports whether there is a worker that could run a best-effort step
 // without interference, though it may have no room now.
-func (sc *Board) runsWithoutInterference(now time.Time, s *stepState, q Queue) bool {
+func (sc *Scheduler) runsWithoutInterference(now time.Time, s *stepState, q Queue) bool {
 	for _, w := range sc.workers {
 		if sc.allowed(now, s, q, w) && sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU) < overload {
 			return true
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -25,19 +25,19 @@
 }
 
 // recordOutcome updates the health of a run's worker after the run has ended.
-func (sc *Board) recordOutcome(now time.Time, r *run, how How) {
+func (sc *Scheduler) recordOutcome(now time.Time, r *run, how Outcome) {
 	h := &r.worker.health
 	switch how {
-	case HowDone:
+	case OutcomeDone:
 		h.outcomes.Succeeded()
-		if est := r.step.spec.EstimateMS; est >= minMeasuredEstimateMS && !r.step.spec.Fills && r.checkpoint == "" {
+		if est := r.step.spec.EstimateMS; est >= minMeasuredEstimateMS && !r.step.spec.BestEffort && r.checkpoint == "" {
 			ratio := float64(now.Sub(r.orderedAt).Milliseconds()) / float64(est)
 			if h.slowdown == 0 {
 				h.slowdown = 1
 			}
 			h.slowdown += (ratio - h.slowdown) * newestRunWeight
 		}
-	case HowFailed:
+	case OutcomeFailed:
 		h.outcomes.Failed(now, r.id.Job)
 	}
 	h.probing = false
--- a/pkg/dispatch/job.go
+++ b/pkg/dispatch/job.go
@@ -8,7 +8,7 @@
 
 // Admit adds an accepted job with its stored progress. Tasks of a job from an
 // earlier term may already run. A job that is already known is not changed.
-func (sc *Board) Admit(now time.Time, wallMS int64, submission *workflow.Submission, progress *workflow.Progress, fromEarlierTerm bool) {
+func (sc *Scheduler) Admit(now time.Time, wallMS int64, submission *workflow.Submission, progress *workflow.Progress, fromEarlierTerm bool) {
 	if _, ok := sc.jobs[submission.ID]; ok {
 		return
 	}
@@ -29,7 +29,7 @@
 }
 
 // Cancel ends a job: its runs are stopped and no task of it starts again.
-func (sc *Board) Cancel(now time.Time, wallMS int64, id string) {
+func (sc *Scheduler) Cancel(now time.Time, wallMS int64, id string) {
 	j := sc.jobs[id]
 	if j == nil || j.phase.Ended() {
 		return
@@ -37,11 +37,11 @@
 	sc.endJob(now, wallMS, j, workflow.PhaseCancelled)
 }
 
-// Known reports whether a job is known.
-func (sc *Board) Known(id string) bool { return sc.jobs[id] != nil }
+// HasJob reports whether a job is known.
+func (sc *Scheduler) HasJob(id string) bool { return sc.jobs[id] != nil }
 
 // Phase returns the phase of a job.
-func (sc *Board) Phase(id string) (workflow.Phase, bool) {
+func (sc *Scheduler) Phase(id string) (workflow.Phase, bool) {
 	j := sc.jobs[id]
 	if j == nil {
 		return 0, false
@@ -52,8 +52,8 @@
 	return j.phase, true
 }
 
-// Pending counts, for each queue, the jobs of which no task has started.
-func (sc *Board) Pending() map[string]int {
+// PendingJobs counts, for each queue, the jobs of which no task has started.
+func (sc *Scheduler) PendingJobs() map[string]int {
 	out := make(map[string]int)
 	for _, j := range sc.jobs {
 		if !j.started && !j.phase.Ended() {
@@ -63,9 +63,9 @@
 	return out
 }
 
-// Expired drops the jobs that ended before a wall-clock time and have no runs left, and returns
+// DropExpired drops the jobs that ended before a wall-clock time and have no runs left, and returns
 // their IDs.
-func (sc *Board) Expired(beforeMS int64) []string {
+func (sc *Scheduler) DropExpired(beforeMS int64) []string {
 	var out []string
 	for id, j := range sc.jobs {
 		if j.phase.Ended() && j.endedMS < beforeMS && !sc.hasRuns(j) {
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (sc *Board) hasRuns(j *jobState) bool {
+func (sc *Scheduler) hasRuns(j *jobState) bool {
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			for i := range s.tasks {
@@ -90,7 +90,7 @@
 }
 
 // createDueOccurrences creates the occurrences of a job that are due.
-func (sc *Board) createDueOccurrences(now time.Time, wallMS int64, j *jobState) {
+func (sc *Scheduler) createDueOccurrences(now time.Time, wallMS int64, j *jobState) {
 	for j.nextOccurrence < j.submission.Spec.Occurrences() && wallMS >= j.submission.Spec.DueMS(j.nextOccurrence) {
 		sc.createOccurrence(now, wallMS, j, j.nextOccurrence)
 		j.nextOccurrence++
@@ -101,9 +101,9 @@
 }
 
 // createOccurrence creates an occurrence from the job's specification and stored progress.
-func (sc *Board) createOccurrence(now time.Time, wallMS int64, j *jobState, index int) {
+func (sc *Scheduler) createOccurrence(now time.Time, wallMS int64, j *jobState, index int) {
 	o := &occurrence{job: j, index: index, startedAt: now}
-	if index == 0 && j.submission.Spec.Times == 0 {
+	if index == 0 && j.submission.Spec.RepeatCount == 0 {
 		o.startedAt = j.acceptedAt
 	}
 	j.occurrences[index] = o
@@ -114,12 +114,12 @@
 			s.tasks[t].waitingSince = now
 			s.tasks[t].lastRunNumber = sc.runNumberBase
 		}
-		if spec.MostPerWorker > 0 {
+		if spec.MaxPerWorker > 0 {
 			s.runsPerWorker = make(map[string]int)
 		}
 		o.steps = append(o.steps, s)
 	}
-	measureCriticalPaths(o, sc.queues[j.submission.Queue].Advice)
+	measureCriticalPaths(o, sc.queues[j.submission.Queue].Policy)
 	sc.restoreProgress(o)
 	for _, s := range o.steps {
 		if s.doneTasks == len(s.tasks) {
@@ -133,7 +133,7 @@
 
 // measureCriticalPaths computes the longest chain of work from each step to the end, including
 // one question to the placement policy service for each step if there is one.
-func measureCriticalPaths(o *occurrence, advice *Advice) {
+func measureCriticalPaths(o *occurrence, advice *PlacementPolicy) {
 	question := int64(0)
 	if advice != nil {
 		question = advice.expectedDuration(maxNamedWorkers).Milliseconds()
@@ -147,7 +147,7 @@
 	}
 }
 
-func (sc *Board) restoreProgress(o *occurrence) {
+func (sc *Scheduler) restoreProgress(o *occurrence) {
 	p := o.job.storedProgress
 	if p == nil {
 		return
@@ -176,7 +176,7 @@
 }
 
 // openSteps opens the steps whose dependencies are all done.
-func (sc *Board) openSteps(o *occurrence) {
+func (sc *Scheduler) openSteps(o *occurrence) {
 	for _, s := range o.steps {
 		if s.open {
 			continue
@@ -195,7 +195,7 @@
 }
 
 // checkOccurrence completes the job when all its occurrences are done.
-func (sc *Board) checkOccurrence(now time.Time, wallMS int64, o *occurrence) {
+func (sc *Scheduler) checkOccurrence(now time.Time, wallMS int64, o *occurrence) {
 	j := o.job
 	if o.doneSteps < len(o.steps) || j.phase.Ended() {
 		return
@@ -207,7 +207,7 @@
 }
 
 // endJob ends a job and stops its remaining runs.
-func (sc *Board) endJob(now time.Time, wallMS int64, j *jobState, phase workflow.Phase) {
+func (sc *Scheduler) endJob(now time.Time, wallMS int64, j *jobState, phase workflow.Phase) {
 	j.phase, j.endedMS = phase, wallMS
 	sc.changedJobs[j] = struct{}{}
 	sc.jobEnded = true
@@ -248,7 +248,7 @@
 }
 
 func (s *stepState) appendProgress(p *workflow.Progress) {
-	done := workflow.DoneStep{Occurrence: s.occurrence.index, Step: s.index}
+	done := workflow.DoneTasks{Occurrence: s.occurrence.index, Step: s.index}
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if t.done {
@@ -274,22 +274,22 @@
 // Empty reports whether there is nothing to store or acknowledge.
 func (c *Change) Empty() bool { return len(c.jobs) == 0 && len(c.acks) == 0 }
 
-// EachNote calls fn for each worker with the life of its runner and the number of the last end
+// EachAck calls fn for each worker with the life of its runner and the number of the last end
 // that it may forget.
-func (c *Change) EachNote(fn func(worker string, life, end uint64)) {
+func (c *Change) EachAck(fn func(worker string, life, end uint64)) {
 	for w, n := range c.acks {
 		fn(w, n.life, n.end)
 	}
 }
 
-// Urgent reports whether a caller waits for a change that has not been taken.
-func (sc *Board) Urgent() bool { return sc.jobEnded }
+// HasUrgentChange reports whether a caller waits for a change that has not been taken.
+func (sc *Scheduler) HasUrgentChange() bool { return sc.jobEnded }
 
-// Changed reports whether there is a change to take.
-func (sc *Board) Changed() bool { return len(sc.changedJobs) > 0 || len(sc.acks) > 0 }
+// HasChange reports whether there is a change to take.
+func (sc *Scheduler) HasChange() bool { return len(sc.changedJobs) > 0 || len(sc.acks) > 0 }
 
 // TakeChange returns what has changed since the last call.
-func (sc *Board) TakeChange() *Change {
+func (sc *Scheduler) TakeChange() *Change {
 	c := &Change{jobs: make(map[string]*workflow.Progress, len(sc.changedJobs)), acks: sc.acks}
 	for j := range sc.changedJobs {
 		c.jobs[j.submission.ID] = j.progress()
--- a/pkg/dispatch/learned.go
+++ b/pkg/dispatch/learned.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Learned is the learned limit of interference between the images of a serving and of a
+// InterferenceLimit is the learned limit of interference between the images of a serving and of a
 // best-effort task.
-type Learned struct {
+type InterferenceLimit struct {
 	_       struct{} `cbor:",toarray"`
 	Serving string
 	Filling string
@@ -20,20 +20,20 @@
 // fifty.
 const maxInterferenceLimits = 1000
 
-// Learned returns the learned limits, ordered by the names of the images.
-func (sc *Board) Learned() []Learned {
-	out := make([]Learned, 0, len(sc.shareLimits))
+// InterferenceLimits returns the learned limits, ordered by the names of the images.
+func (sc *Scheduler) InterferenceLimits() []InterferenceLimit {
+	out := make([]InterferenceLimit, 0, len(sc.shareLimits))
 	for p, share := range sc.shareLimits {
-		out = append(out, Learned{Serving: p.serving, Filling: p.bestEffort, Share: share})
+		out = append(out, InterferenceLimit{Serving: p.serving, Filling: p.bestEffort, Share: share})
 	}
-	slices.SortFunc(out, func(x, y Learned) int {
+	slices.SortFunc(out, func(x, y InterferenceLimit) int {
 		return cmp.Or(cmp.Compare(x.Serving, y.Serving), cmp.Compare(x.Filling, y.Filling))
 	})
 	return out[:min(len(out), maxInterferenceLimits)]
 }
 
-// Teach adds the limits that another dispatcher has learned.
-func (sc *Board) Teach(learned []Learned) {
+// MergeInterferenceLimits adds the limits that another dispatcher has learned.
+func (sc *Scheduler) MergeInterferenceLimits(learned []InterferenceLimit) {
 	for _, l := range learned {
 		sc.shareLimits[imagePair{l.Serving, l.Filling}] = min(max(l.Share, minShareLimit), maxShareLimit)
 	}
--- a/pkg/dispatch/lost.go
+++ b/pkg/dispatch/lost.go
@@ -7,39 +7,39 @@
 )
 
 // endAllRuns ends every run at a worker and records the runs as lost.
-func (sc *Board) endAllRuns(now time.Time, w *workerState) {
+func (sc *Scheduler) endAllRuns(now time.Time, w *workerState) {
 	w.unknownJobs = unknownJobReport{}
 	delete(sc.workersWithUnknownJobs, w)
 	for _, r := range w.runs {
-		sc.lost = append(sc.lost, Lost{Task: r.id, Run: r.number, Worker: w.name})
-		sc.endRun(now, 0, w, &End{Task: r.id, Run: r.number, How: HowGone})
+		sc.lost = append(sc.lost, LostRun{Task: r.id, Run: r.number, Worker: w.name})
+		sc.endRun(now, 0, w, &RunEnd{Task: r.id, Run: r.number, How: OutcomeGone})
 	}
 }
 
-// Lost is a run that ended because its worker did.
-type Lost struct {
+// LostRun is a run that ended because its worker did.
+type LostRun struct {
 	Task   workflow.TaskID
 	Run    uint64
 	Worker string
 }
 
-// TakeLost returns the runs that were lost since the last call.
-func (sc *Board) TakeLost() []Lost {
+// TakeLostRuns returns the runs that were lost since the last call.
+func (sc *Scheduler) TakeLostRuns() []LostRun {
 	out := sc.lost
 	sc.lost = nil
 	return out
 }
 
-// Silent records that a worker is silent; it gets no further orders.
-func (sc *Board) Silent(name string) {
+// MarkSilent records that a worker is silent; it gets no further orders.
+func (sc *Scheduler) MarkSilent(name string) {
 	if w := sc.workers[name]; w != nil {
 		w.silent = true
 	}
 }
 
-// Lapsed records that the lease of a worker has expired, so that everything there has ended. It
+// WorkerLeaseExpired records that the lease of a worker has expired, so that everything there has ended. It
 // returns the number of runs lost.
-func (sc *Board) Lapsed(now time.Time, name string) int {
+func (sc *Scheduler) WorkerLeaseExpired(now time.Time, name string) int {
 	delete(sc.unreported, name)
 	w := sc.workers[name]
 	if w == nil {
@@ -52,10 +52,10 @@
 	return n
 }
 
-// Vacated records that a worker has no runner, so that everything there has ended. It returns
+// RunnerGone records that a worker has no runner, so that everything there has ended. It returns
 // the number of runs lost.
-func (sc *Board) Vacated(now time.Time, name string) int {
-	n := sc.Lapsed(now, name)
+func (sc *Scheduler) RunnerGone(now time.Time, name string) int {
+	n := sc.WorkerLeaseExpired(now, name)
 	if w := sc.workers[name]; w != nil {
 		w.life = 0
 	}
--- a/pkg/dispatch/report.go
+++ b/pkg/dispatch/report.go
@@ -12,46 +12,46 @@
 // rackPrefix is the prefix of the label that names a worker's rack.
 const rackPrefix = "r"
 
-// How says how a run ended.
-type How uint8
+// Outcome says how a run ended.
+type Outcome uint8
 
 // The outcomes of a run.
 const (
-	// HowDone is a run that finished its work.
-	HowDone How = iota + 1
-	// HowFailed is a run that failed, through its own fault or its worker's.
-	HowFailed
-	// HowStopped is a run that was stopped by order.
-	HowStopped
-	// HowLapsed is a run whose lease expired.
-	HowLapsed
-	// HowBroken is a run of a gang that ended because another member ended.
-	HowBroken
-	// HowAlone is a run of a gang that waited in vain for the other members.
-	HowAlone
-	// HowRefused is an order that is known never to run.
-	HowRefused
-	// HowGone is a run that ended because its worker ended or the worker's lease expired.
-	HowGone
+	// OutcomeDone is a run that finished its work.
+	OutcomeDone Outcome = iota + 1
+	// OutcomeFailed is a run that failed, through its own fault or its worker's.
+	OutcomeFailed
+	// OutcomeStopped is a run that was stopped by order.
+	OutcomeStopped
+	// OutcomeLapsed is a run whose lease expired.
+	OutcomeLapsed
+	// OutcomeBroken is a run of a gang that ended because another member ended.
+	OutcomeBroken
+	// OutcomeAlone is a run of a gang that waited in vain for the other members.
+	OutcomeAlone
+	// OutcomeRefused is an order that is known never to run.
+	OutcomeRefused
+	// OutcomeGone is a run that ended because its worker ended or the worker's lease expired.
+	OutcomeGone
 )
 
 var outcomeNames = [...]string{"", "done", "failed", "stopped", "lapsed", "broken", "alone", "refused", "gone"}
 
 // String returns the name used in logs and between processes.
-func (h How) String() string { return outcomeNames[h] }
+func (h Outcome) String() string { return outcomeNames[h] }
 
-// End is the end of a run, as listed by a worker.
-type End struct {
+// RunEnd is the end of a run, as listed by a worker.
+type RunEnd struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Task   workflow.TaskID
 	Run    uint64
-	How    How
+	How    Outcome
 	Saved  string
 }
 
-// Row is the status of a run, as listed by a worker.
-type Row struct {
+// RunStatus is the status of a run, as listed by a worker.
+type RunStatus struct {
 	_    struct{} `cbor:",toarray"`
 	Task workflow.TaskID
 	Run  uint64
@@ -76,15 +76,15 @@
 	Capacity worker.Resources `cbor:"4,keyasint"`
 	Labels   []string         `cbor:"5,keyasint"`
 	Draining bool             `cbor:"6,keyasint,omitempty"`
-	// Pace is the pace of best-effort tasks there, in percent of full pace.
-	Pace int `cbor:"7,keyasint,omitempty"`
+	// PacePercent is the pace of best-effort tasks there, in percent of full pace.
+	PacePercent int `cbor:"7,keyasint,omitempty"`
 	// Instance is the instance ID of the runner.
 	Instance string `cbor:"8,keyasint,omitempty"`
 }
 
-// Report takes in the full state of a worker: its runs and the ends that it lists. Runs that it
+// ApplyReport takes in the full state of a worker: its runs and the ends that it lists. Runs that it
 // does not list are stopped, so that they can never start there.
-func (sc *Board) Report(now time.Time, wallMS int64, info *Worker, runs []Row, ends []End) {
+func (sc *Scheduler) ApplyReport(now time.Time, wallMS int64, info *Worker, runs []RunStatus, ends []RunEnd) {
 	w := sc.workerState(info.Name)
 	if w.life != info.Life {
 		sc.endAllRuns(now, w)
@@ -95,7 +95,7 @@
 	w.unknownJobs = unknownJobReport{}
 	delete(sc.workersWithUnknownJobs, w)
 	sc.setWorkerInfo(now, w, info)
-	sc.Ended(now, wallMS, info.Name, info.Life, ends)
+	sc.ApplyEnds(now, wallMS, info.Name, info.Life, ends)
 	listed := make(map[workflow.TaskID]uint64, len(runs))
 	for i := range runs {
 		listed[runs[i].Task] = runs[i].Run
@@ -113,8 +113,8 @@
 	delete(sc.unreported, info.Name)
 }
 
-// Describe takes in the state that a worker sends between two reports.
-func (sc *Board) Describe(now time.Time, info *Worker, runs []Row) {
+// ApplyPing takes in the state that a worker sends between two reports.
+func (sc *Scheduler) ApplyPing(now time.Time, info *Worker, runs []RunStatus) {
 	w := sc.workerState(info.Name)
 	if w.life != info.Life {
 		return
@@ -128,7 +128,7 @@
 	sc.learnInterference(now, w)
 }
 
-func (sc *Board) workerState(name string) *workerState {
+func (sc *Scheduler) workerState(name string) *workerState {
 	w := sc.workers[name]
 	if w == nil {
 		w = &workerState{name: name, runs: make(map[workflow.TaskID]*run), servingTasksByImage: make(map[string]int), bestEffortShares: make(map[string]float64)}
@@ -137,9 +137,9 @@
 	return w
 }
 
-func (sc *Board) setWorkerInfo(now time.Time, w *workerState, info *Worker) {
+func (sc *Scheduler) setWorkerInfo(now time.Time, w *workerState, info *Worker) {
 	w.lastContact, w.silent, w.leaseExpired = now, false, false
-	w.service, w.capacity, w.draining, w.pacePercent, w.instance = info.Service, info.Capacity, info.Draining, info.Pace, info.Instance
+	w.service, w.capacity, w.draining, w.pacePercent, w.instance = info.Service, info.Capacity, info.Draining, info.PacePercent, info.Instance
 	if w.pacePercent < fullPacePercent {
 		w.lastSlowedAt = now
 	}
@@ -154,7 +154,7 @@
 }
 
 // updateRun updates a known run from its status.
-func (sc *Board) updateRun(now time.Time, r *run, status *Row) {
+func (sc *Scheduler) updateRun(now time.Time, r *run, status *RunStatus) {
 	if status.Pending {
 		return
 	}
@@ -172,13 +172,13 @@
 
 // adoptRun takes in the status of a run from a report; the run may have been ordered in an
 // earlier term.
-func (sc *Board) adoptRun(now time.Time, w *workerState, status *Row) {
+func (sc *Scheduler) adoptRun(now time.Time, w *workerState, status *RunStatus) {
 	if r := w.runs[status.Task]; r != nil && r.number == status.Run {
 		sc.updateRun(now, r, status)
 		return
 	}
 	s, t := sc.task(status.Task)
-	if t == nil || t.done || s.occurrence.job.phase.Ended() || (len(t.runs) > 0 && !s.spec.Copies) {
+	if t == nil || t.done || s.occurrence.job.phase.Ended() || (len(t.runs) > 0 && !s.spec.Speculative) {
 		sc.stops = append(sc.stops, Stop{Worker: w.name, Life: w.life, Task: status.Task, Run: status.Run, Reason: "the run is unknown or no longer needed"})
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // addRun adds a run of a task at a worker.
-func (sc *Board) addRun(now time.Time, s *stepState, t *taskState, id workflow.TaskID, w *workerState, number uint64) *run {
+func (sc *Scheduler) addRun(now time.Time, s *stepState, t *taskState, id workflow.TaskID, w *workerState, number uint64) *run {
 	r := &run{step: s, id: id, number: number, worker: w, orderedAt: now, progressedAt: now}
 	if len(t.runs) == 0 && !t.done {
 		sc.addWaiting(s, -1)
@@ -203,7 +203,7 @@
 	return r
 }
 
-func (sc *Board) addWaiting(s *stepState, by int) {
+func (sc *Scheduler) addWaiting(s *stepState, by int) {
 	s.waitingTasks += by
 	if s.waitingTasks > 0 && s.open && !s.occurrence.job.phase.Ended() {
 		sc.readySteps[s] = struct{}{}
@@ -212,8 +212,8 @@
 	}
 }
 
-// Ended takes in the ends that a worker lists.
-func (sc *Board) Ended(now time.Time, wallMS int64, name string, life uint64, ends []End) {
+// ApplyEnds takes in the ends that a worker lists.
+func (sc *Scheduler) ApplyEnds(now time.Time, wallMS int64, name string, life uint64, ends []RunEnd) {
 	w := sc.workerState(name)
 	if w.life != life {
 		return
@@ -232,16 +232,16 @@
 	}
 }
 
-// Refused records that an order is known never to run at a worker.
-func (sc *Board) Refused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, number uint64) {
+// OrderRefused records that an order is known never to run at a worker.
+func (sc *Scheduler) OrderRefused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, number uint64) {
 	w := sc.workerState(name)
 	if w.life == life {
-		sc.endRun(now, wallMS, w, &End{Task: id, Run: number, How: HowRefused})
+		sc.endRun(now, wallMS, w, &RunEnd{Task: id, Run: number, How: OutcomeRefused})
 	}
 }
 
 // endRun takes in one end.
-func (sc *Board) endRun(now time.Time, wallMS int64, w *workerState, e *End) {
+func (sc *Scheduler) endRun(now time.Time, wallMS int64, w *workerState, e *RunEnd) {
 	s, t := sc.task(e.Task)
 	r := w.runs[e.Task]
 	if r != nil && r.number == e.Run {
@@ -261,11 +261,11 @@
 	}
 	j := s.occurrence.job
 	switch e.How {
-	case HowDone:
+	case OutcomeDone:
 		sc.completeTask(now, wallMS, s, t)
-	case HowFailed:
+	case OutcomeFailed:
 		sc.recordFailure(now, wallMS, s, t, w, e.Run)
-	case HowRefused:
+	case OutcomeRefused:
 		t.notBefore = now.Add(refusedRetryDelay)
 	}
 	if !t.done && len(t.runs) == 0 && !j.phase.Ended() {
@@ -274,10 +274,10 @@
 }
 
 // removeRun removes a run from its task and worker.
-func (sc *Board) removeRun(now time.Time, r *run) {
+func (sc *Scheduler) removeRun(now time.Time, r *run) {
 	r.worker.remove(r)
 	s := r.step
-	if s.spec.Fills {
+	if s.spec.BestEffort {
 		r.worker.bestEffortEndedAt = now
 	}
 	t := &s.tasks[r.id.Index]
@@ -296,9 +296,9 @@
 	}
 }
 
-func (sc *Board) completeTask(now time.Time, wallMS int64, s *stepState, t *taskState) {
+func (sc *Scheduler) completeTask(now time.Time, wallMS int64, s *stepState, t *taskState) {
 	j := s.occurrence.job
-	if s.spec.Lasts || j.phase.Ended() {
+	if s.spec.LongRunning || j.phase.Ended() {
 		return
 	}
 	sc.markStarted(j)
@@ -318,7 +318,7 @@
 	}
 }
 
-func (sc *Board) markTaskDone(now time.Time, s *stepState, t *taskState) {
+func (sc *Scheduler) markTaskDone(now time.Time, s *stepState, t *taskState) {
 	if t.done {
 		return
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-func (sc *Board) recordFailure(now time.Time, wallMS int64, s *stepState, t *taskState, w *workerState, number uint64) {
+func (sc *Scheduler) recordFailure(now time.Time, wallMS int64, s *stepState, t *taskState, w *workerState, number uint64) {
 	j := s.occurrence.job
 	if t.done || j.phase.Ended() || slices.Contains(t.failedRuns, number) {
 		return
@@ -343,16 +343,16 @@
 	t.failedRuns = append(t.failedRuns, number)
 	t.failedWorker = w.name
 	sc.changedJobs[j] = struct{}{}
-	if q := sc.queues[j.submission.Queue]; !s.spec.Lasts && q.Attempts > 0 && len(t.failedRuns) >= q.Attempts {
+	if q := sc.queues[j.submission.Queue]; !s.spec.LongRunning && q.Attempts > 0 && len(t.failedRuns) >= q.Attempts {
 		sc.endJob(now, wallMS, j, workflow.PhaseFailed)
 		return
 	}
-	if s.spec.Lasts {
+	if s.spec.LongRunning {
 		t.notBefore = now.Add(restartDelay(len(t.failedRuns)))
 	}
 }
 
-func (sc *Board) markStarted(j *jobState) {
+func (sc *Scheduler) markStarted(j *jobState) {
 	if !j.started {
 		j.started = true
 		sc.changedJobs[j] = struct{}{}
--- a/pkg/dispatch/score.go
+++ b/pkg/dispatch/score.go
@@ -63,7 +63,7 @@
 }
 
 // score rates a worker for a task; the worker with the lowest score is chosen.
-func (sc *Board) score(s *stepState, t *taskState, w *workerState) float64 {
+func (sc *Scheduler) score(s *stepState, t *taskState, w *workerState) float64 {
 	score := 0.0
 	if t.failedWorker == w.name {
 		score += weightFailedWorker
@@ -80,12 +80,12 @@
 	size := float64(s.spec.Size.MilliCPU)
 	displacement := weightDisplacement * max(0, size-unused) / capacity
 	switch {
-	case s.spec.Fills:
+	case s.spec.BestEffort:
 		score += weightStretching*w.relativeDelay(s.spec.Size.MilliCPU) - unused/capacity/4
 		if w.servingTasks > 0 {
 			score += weightInterference * (interferenceCost(sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU)) + float64(fullPacePercent-w.pacePercent)/fullPacePercent)
 		}
-	case s.spec.Lasts:
+	case s.spec.LongRunning:
 		score += displacement + float64(w.bestEffortMilliCPU)/capacity + float64(w.free().MilliCPU)/float64(sc.largestMilliCPU())
 		if w.longRunningTasks > 0 {
 			score -= weightPacking
@@ -100,7 +100,7 @@
 }
 
 // largestMilliCPU returns the processor time of the largest worker.
-func (sc *Board) largestMilliCPU() int64 {
+func (sc *Scheduler) largestMilliCPU() int64 {
 	most := int64(1)
 	for _, w := range sc.workers {
 		most = max(most, w.capacity.MilliCPU)
@@ -110,11 +110,11 @@
 
 // preemptFor stops tasks of lower priority so that a long-running task fits once they have
 // ended. It chooses the worker where the fewest runs have to be stopped.
-func (sc *Board) preemptFor(now time.Time, s *stepState, q Queue) {
+func (sc *Scheduler) preemptFor(now time.Time, s *stepState, q Queue) {
 	var best *workerState
 	var victims []*run
 	for _, w := range sc.workers {
-		if !sc.allowed(now, s, q, w) || s.spec.MostPerWorker > 0 && s.runsPerWorker[w.name] >= s.spec.MostPerWorker {
+		if !sc.allowed(now, s, q, w) || s.spec.MaxPerWorker > 0 && s.runsPerWorker[w.name] >= s.spec.MaxPerWorker {
 			continue
 		}
 		if v, ok := sc.preemptionVictims(w, s.spec.Reserved(), q.Priority); ok && (best == nil || len(v) < len(victims) || len(v) == len(victims) && w.name < best.name) {
@@ -129,7 +129,7 @@
 // preemptionVictims returns the runs of lower priority that have to end, the youngest first,
 // for need to fit, and reports whether that is enough. Runs that are being stopped count as
 // ended.
-func (sc *Board) preemptionVictims(w *workerState, need worker.Resources, priority int) ([]*run, bool) {
+func (sc *Scheduler) preemptionVictims(w *workerState, need worker.Resources, priority int) ([]*run, bool) {
 	free := w.free()
 	var candidates []*run
 	for _, r := range w.runs {
@@ -137,7 +137,7 @@
 			free = free.Plus(r.step.spec.Reserved())
 			continue
 		}
-		if !r.step.spec.Lasts && sc.queues[r.step.occurrence.job.submission.Queue].Priority > priority {
+		if !r.step.spec.LongRunning && sc.queues[r.step.occurrence.job.submission.Queue].Priority > priority {
 			candidates = append(candidates, r)
 		}
 	}
--- a/pkg/dispatch/stall.go
+++ b/pkg/dispatch/stall.go
@@ -13,7 +13,7 @@
 
 // stopStalled stops runs that make no progress while another worker has room. It handles
 // workers on which tasks hang although everything else looks healthy.
-func (sc *Board) stopStalled(now time.Time) {
+func (sc *Scheduler) stopStalled(now time.Time) {
 	for _, w := range sc.workers {
 		if w.silent || w.leaseExpired || w.draining {
 			continue
@@ -37,16 +37,16 @@
 // stalled reports whether a run that should make progress makes none.
 func (r *run) stalled(now time.Time, w *workerState) bool {
 	s := r.step.spec
-	slowed := s.Fills && w.pacePercent < fullPacePercent
-	return r.phase == runRunning && !s.Lasts && !s.Gang && !slowed && now.Sub(r.progressedAt) >= stalledAfter && now.Sub(w.lastSlowedAt) >= stalledAfter
+	slowed := s.BestEffort && w.pacePercent < fullPacePercent
+	return r.phase == runRunning && !s.LongRunning && !s.Gang && !slowed && now.Sub(r.progressedAt) >= stalledAfter && now.Sub(w.lastSlowedAt) >= stalledAfter
 }
 
 // roomElsewhere reports whether another worker has room for a task of a step.
-func (sc *Board) roomElsewhere(now time.Time, s *stepState, except *workerState) bool {
+func (sc *Scheduler) roomElsewhere(now time.Time, s *stepState, except *workerState) bool {
 	q := sc.queues[s.occurrence.job.submission.Queue]
 	for _, w := range sc.workers {
 		if w != except && sc.allowed(now, s, q, w) && s.spec.Reserved().Fits(w.free()) &&
-			(s.spec.MostPerWorker == 0 || s.runsPerWorker[w.name] < s.spec.MostPerWorker) {
+			(s.spec.MaxPerWorker == 0 || s.runsPerWorker[w.name] < s.spec.MaxPerWorker) {
 			return true
 		}
 	}
--- a/pkg/dispatch/unknown.go
+++ b/pkg/dispatch/unknown.go
@@ -8,8 +8,8 @@
 // unknownJobReport is what a worker has listed of jobs that this dispatcher does not know:
 // another dispatcher may have read the record of a job earlier.
 type unknownJobReport struct {
-	runs []Row
-	ends []End
+	runs []RunStatus
+	ends []RunEnd
 	// lastListedAt is when the newest of the runs and ends was listed.
 	lastListedAt time.Time
 }
@@ -26,14 +26,14 @@
 }
 
 // holdRun holds a run of an unknown job until the job is read from the store.
-func (sc *Board) holdRun(now time.Time, w *workerState, status *Row) {
+func (sc *Scheduler) holdRun(now time.Time, w *workerState, status *RunStatus) {
 	w.unknownJobs.runs = append(w.unknownJobs.runs, *status)
 	w.unknownJobs.lastListedAt = now
 	sc.workersWithUnknownJobs[w] = struct{}{}
 }
 
 // holdEnd holds an end of an unknown job until the job is read from the store.
-func (sc *Board) holdEnd(now time.Time, w *workerState, e *End) {
+func (sc *Scheduler) holdEnd(now time.Time, w *workerState, e *RunEnd) {
 	for i := range w.unknownJobs.ends {
 		if w.unknownJobs.ends[i].Number == e.Number {
 			return
@@ -46,7 +46,7 @@
 
 // acknowledge lets a worker forget its ends up to the last one processed, but none from the
 // first end of an unknown job on.
-func (sc *Board) acknowledge(w *workerState) {
+func (sc *Scheduler) acknowledge(w *workerState) {
 	upTo := min(w.lastEndNumber, w.unknownJobs.firstEndNumber()-1)
 	if n := sc.acks[w.name]; upTo > 0 && (n.life != w.life || n.end < upTo) {
 		sc.acks[w.name] = ackPosition{life: w.life, end: upTo}
@@ -54,7 +54,7 @@
 }
 
 // applyHeld applies the runs and ends held for a job that has become known.
-func (sc *Board) applyHeld(now time.Time, wallMS int64, job string) {
+func (sc *Scheduler) applyHeld(now time.Time, wallMS int64, job string) {
 	for w := range sc.workersWithUnknownJobs {
 		u := w.unknownJobs
 		w.unknownJobs = unknownJobReport{lastListedAt: u.lastListedAt}
@@ -78,16 +78,16 @@
 
 // afterHeldChange acknowledges what is possible after the held runs and ends of a worker have
 // changed.
-func (sc *Board) afterHeldChange(w *workerState) {
+func (sc *Scheduler) afterHeldChange(w *workerState) {
 	if w.unknownJobs.empty() {
 		delete(sc.workersWithUnknownJobs, w)
 	}
 	sc.acknowledge(w)
 }
 
-// CaughtUp records that every job stored before a time is known: runs and ends of unknown jobs
+// AllJobsKnown records that every job stored before a time is known: runs and ends of unknown jobs
 // that workers had listed by then belong to no job.
-func (sc *Board) CaughtUp(now, before time.Time) {
+func (sc *Scheduler) AllJobsKnown(now, before time.Time) {
 	for w := range sc.workersWithUnknownJobs {
 		if !w.unknownJobs.lastListedAt.Before(before) {
 			continue
--- a/pkg/tenure/tenure.go
+++ b/pkg/tenure/tenure.go
@@ -11,16 +11,16 @@
 
 // Durations of leases and elections.
 const (
-	// GrantFor is the length of a worker lease, counted from the sending of a ping that the
+	// WorkerLeaseDuration is the length of a worker lease, counted from the sending of a ping that the
 	// dispatcher answered. The tasks of a lost worker are restarted only after it; long-running
 	// tasks have to run again within six seconds of the loss.
-	GrantFor = 5 * time.Second
-	// ProofFor is the length of a leadership lease, counted from the sending of a write that
+	WorkerLeaseDuration = 5 * time.Second
+	// LeaderLeaseDuration is the length of a leadership lease, counted from the sending of a write that
 	// the store accepted under the dispatcher's term. It covers store outages of nine seconds.
-	ProofFor = 10 * time.Second
-	// ClaimAfter is how long the dispatcher has to be silent before another entry claims
+	LeaderLeaseDuration = 10 * time.Second
+	// ElectionTimeout is how long the dispatcher has to be silent before another entry claims
 	// leadership: four missed pings.
-	ClaimAfter = 1200 * time.Millisecond
+	ElectionTimeout = 1200 * time.Millisecond
 	// claimStagger separates the claims of entries of different rank: one claim takes about
 	// 30 ms.
 	claimStagger = 150 * time.Millisecond
@@ -34,10 +34,12 @@
 // withDrift returns how long to wait here until d has passed on any other clock.
 func withDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor + schedulingSlack }
 
-// LapsesAt returns when everything on a worker has ended because its lease has expired, if its
+// WorkerLeaseEndsBy returns when everything on a worker has ended because its lease has expired, if its
 // last ping that was answered arrived at lastContact and no later dispatcher has answered another
 // since.
-func LapsesAt(lastContact time.Time) time.Time { return lastContact.Add(withDrift(GrantFor)) }
+func WorkerLeaseEndsBy(lastContact time.Time) time.Time {
+	return lastContact.Add(withDrift(WorkerLeaseDuration))
+}
 
 // Claim is the record of an entry's claim to leadership.
 type Claim struct {
@@ -62,11 +64,11 @@
 // Claim returns the newest claim known; its term is 0 if there is none.
 func (c *Candidate) Claim() Claim { return c.claim }
 
-// Heard returns the time of the last contact with the dispatcher.
-func (c *Candidate) Heard() time.Time { return c.lastContact }
+// LastContact returns the time of the last contact with the dispatcher.
+func (c *Candidate) LastContact() time.Time { return c.lastContact }
 
-// Learn takes in a claim and reports whether it is newer than the one known.
-func (c *Candidate) Learn(now time.Time, claim Claim) bool {
+// ObserveClaim takes in a claim and reports whether it is newer than the one known.
+func (c *Candidate) ObserveClaim(now time.Time, claim Claim) bool {
 	if claim.Term <= c.claim.Term {
 		return false
 	}
@@ -74,37 +76,37 @@
 	return true
 }
 
-// Hear records an answer of the dispatcher of a term.
-func (c *Candidate) Hear(now time.Time, term uint64) {
+// NoteContact records an answer of the dispatcher of a term.
+func (c *Candidate) NoteContact(now time.Time, term uint64) {
 	if term == c.claim.Term {
 		c.lastContact = now
 	}
 }
 
-// Resigned records that the dispatcher of a term has resigned or is known to be dead.
-func (c *Candidate) Resigned(term uint64) {
+// NoteResigned records that the dispatcher of a term has resigned or is known to be dead.
+func (c *Candidate) NoteResigned(term uint64) {
 	if term == c.claim.Term {
 		c.resigned = true
 	}
 }
 
-// Vacant reports whether no dispatcher is known.
-func (c *Candidate) Vacant() bool { return c.claim.Term == 0 || c.resigned }
+// NoDispatcher reports whether no dispatcher is known.
+func (c *Candidate) NoDispatcher() bool { return c.claim.Term == 0 || c.resigned }
 
-// Decide reports whether to claim leadership now, and why. Entries of lower rank claim first;
+// ShouldClaim reports whether to claim leadership now, and why. Entries of lower rank claim first;
 // others is the number of other entries that had contact with the dispatcher lately.
-func (c *Candidate) Decide(now time.Time, rank, others int) (claim bool, reason string) {
+func (c *Candidate) ShouldClaim(now time.Time, rank, others int) (claim bool, reason string) {
 	if !c.clockStarted {
 		c.clockStarted, c.lastContact = true, now
 	}
 	wait := time.Duration(rank) * claimStagger
 	switch {
-	case c.Vacant():
+	case c.NoDispatcher():
 		if now.Sub(c.lastContact) < wait && c.claim.Term == 0 {
 			return false, "an entry of lower rank claims first"
 		}
 		return true, "there is no dispatcher"
-	case now.Sub(c.lastContact) < ClaimAfter+wait:
+	case now.Sub(c.lastContact) < ElectionTimeout+wait:
 		return false, "the dispatcher was in contact recently"
 	case others > 0:
 		return false, "other entries are in contact with the dispatcher"
@@ -112,27 +114,27 @@
 	return true, "the dispatcher is silent"
 }
 
-// Holder is the leadership lease of a dispatcher.
-type Holder struct {
+// LeaderLease is the leadership lease of a dispatcher.
+type LeaderLease struct {
 	renewedAt time.Time
 }
 
-// Prove renews the lease with a write that was sent at the given time and that the store
+// Renew renews the lease with a write that was sent at the given time and that the store
 // accepted under the dispatcher's term.
-func (l *Holder) Prove(sent time.Time) {
+func (l *LeaderLease) Renew(sent time.Time) {
 	if sent.After(l.renewedAt) {
 		l.renewedAt = sent
 	}
 }
 
-// Proven returns when the newest such write was sent.
-func (l *Holder) Proven() time.Time { return l.renewedAt }
+// LastRenewal returns when the newest such write was sent.
+func (l *LeaderLease) LastRenewal() time.Time { return l.renewedAt }
 
-// Ended reports whether the lease of a worker, which expires no later than by, has certainly
+// ConfirmsEnd reports whether the lease of a worker, which expires no later than by, has certainly
 // expired. A later dispatcher may have extended it; a write that was sent no earlier than by and
 // accepted under this dispatcher's term shows that there was none. The second result is set if
 // only such a write is missing.
-func (l *Holder) Ended(now, by time.Time) (expired, needsWrite bool) {
+func (l *LeaderLease) ConfirmsEnd(now, by time.Time) (expired, needsWrite bool) {
 	if now.Before(by) {
 		return false, false
 	}
@@ -141,7 +143,7 @@
 }
 
 // Valid reports whether the dispatcher may still extend the leases of workers.
-func (l *Holder) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < ProofFor }
+func (l *LeaderLease) Valid(now time.Time) bool { return now.Sub(l.renewedAt) < LeaderLeaseDuration }
 
 // Predecessor computes when nothing that an earlier dispatcher ordered can run any more on
 // workers that have not reported to the present one.
@@ -150,40 +152,40 @@
 	deadSince   time.Time
 }
 
-// Follow records that a term that replaces that of another process began at now.
-func (p *Predecessor) Follow(now time.Time) { p.termBeganAt, p.deadSince = now, time.Time{} }
+// TermBegan records that a term that replaces that of another process began at now.
+func (p *Predecessor) TermBegan(now time.Time) { p.termBeganAt, p.deadSince = now, time.Time{} }
 
-// Dead records that the earlier dispatcher is known not to act since now.
-func (p *Predecessor) Dead(now time.Time) {
+// NoteDead records that the earlier dispatcher is known not to act since now.
+func (p *Predecessor) NoteDead(now time.Time) {
 	if p.deadSince.IsZero() {
 		p.deadSince = now
 	}
 }
 
-// EndsAt returns when the leases that an earlier dispatcher extended have expired on silent
+// LeasesEndBy returns when the leases that an earlier dispatcher extended have expired on silent
 // workers; zero if there was no earlier dispatcher.
-func (p *Predecessor) EndsAt() time.Time {
+func (p *Predecessor) LeasesEndBy() time.Time {
 	if p.termBeganAt.IsZero() {
 		return time.Time{}
 	}
-	at := p.termBeganAt.Add(withDrift(ProofFor + GrantFor))
-	if dead := p.deadSince.Add(withDrift(GrantFor)); !p.deadSince.IsZero() && dead.Before(at) {
+	at := p.termBeganAt.Add(withDrift(LeaderLeaseDuration + WorkerLeaseDuration))
+	if dead := p.deadSince.Add(withDrift(WorkerLeaseDuration)); !p.deadSince.IsZero() && dead.Before(at) {
 		return dead
 	}
 	return at
 }
 
-// Grant is the lease of a worker, kept at the worker. The zero value has expired.
-type Grant struct {
+// WorkerLease is the lease of a worker, kept at the worker. The zero value has expired.
+type WorkerLease struct {
 	expiresAt time.Time
 }
 
 // Renew extends the lease after a ping that was sent at the given time has been answered.
-func (l *Grant) Renew(sent time.Time) {
-	if expiry := sent.Add(GrantFor); expiry.After(l.expiresAt) {
+func (l *WorkerLease) Renew(sent time.Time) {
+	if expiry := sent.Add(WorkerLeaseDuration); expiry.After(l.expiresAt) {
 		l.expiresAt = expiry
 	}
 }
 
-// Left returns how long the lease still lasts.
-func (l *Grant) Left(now time.Time) time.Duration { return max(0, l.expiresAt.Sub(now)) }
+// Remaining returns how long the lease still lasts.
+func (l *WorkerLease) Remaining(now time.Time) time.Duration { return max(0, l.expiresAt.Sub(now)) }
--- a/pkg/tenure/tenure_test.go
+++ b/pkg/tenure/tenure_test.go
@@ -36,15 +36,15 @@
 			for i, e := range tc.Events {
 				switch e.Do {
 				case "learn":
-					if got := c.Learn(at(e.AtMS), Claim{Term: e.Term}); got != e.Want {
+					if got := c.ObserveClaim(at(e.AtMS), Claim{Term: e.Term}); got != e.Want {
 						t.Errorf("event %d: learn: got %v, want %v", i, got, e.Want)
 					}
 				case "hear":
-					c.Hear(at(e.AtMS), e.Term)
+					c.NoteContact(at(e.AtMS), e.Term)
 				case "resigned":
-					c.Resigned(e.Term)
+					c.NoteResigned(e.Term)
 				case "decide":
-					if got, reason := c.Decide(at(e.AtMS), e.Rank, e.Others); got != e.Want {
+					if got, reason := c.ShouldClaim(at(e.AtMS), e.Rank, e.Others); got != e.Want {
 						t.Errorf("event %d: claim: got %v (%s), want %v", i, got, reason, e.Want)
 					}
 				default:
@@ -56,9 +56,9 @@
 }
 
 func TestLeaderLease(t *testing.T) {
-	var leadership Holder
-	leadership.Prove(at(0))
-	leadership.Prove(at(-500)) // the reply to an earlier write arrives later
+	var leadership LeaderLease
+	leadership.Renew(at(0))
+	leadership.Renew(at(-500)) // the reply to an earlier write arrives later
 	for _, tc := range []struct {
 		ms   int64
 		want bool
@@ -72,21 +72,21 @@
 // The lease of a worker must have expired on the worker's clock before the dispatcher regards
 // it as expired, with clocks whose rates differ by one percent (a hundredth).
 func TestWorkerLeaseExpiresAtWorkerFirst(t *testing.T) {
-	var lease Grant
+	var lease WorkerLease
 	lease.Renew(at(0))
-	if got, want := lease.Left(at(1000)), 4*time.Second; got != want {
+	if got, want := lease.Remaining(at(1000)), 4*time.Second; got != want {
 		t.Errorf("remaining lease: got %v, want %v", got, want)
 	}
-	if got := lease.Left(at(5000)); got != 0 {
+	if got := lease.Remaining(at(5000)); got != 0 {
 		t.Errorf("remaining lease after its end: got %v, want 0", got)
 	}
 	workerEnd := at(5000).Add(50 * time.Millisecond) // the worker's clock is slow by one percent
-	var leadership Holder
-	leadership.Prove(at(9000))
-	if got, _ := leadership.Ended(workerEnd, LapsesAt(at(0))); got {
+	var leadership LeaderLease
+	leadership.Renew(at(9000))
+	if got, _ := leadership.ConfirmsEnd(workerEnd, WorkerLeaseEndsBy(at(0))); got {
 		t.Error("lease expired while it may still run on a slow clock: got true, want false")
 	}
-	if got, _ := leadership.Ended(at(5300), LapsesAt(at(0))); !got {
+	if got, _ := leadership.ConfirmsEnd(at(5300), WorkerLeaseEndsBy(at(0))); !got {
 		t.Error("lease expired 5.3 s after the last ping: got false, want true")
 	}
 }
@@ -95,26 +95,26 @@
 // dispatcher may have extended it: a write accepted under its own term has to show that there
 // is none.
 func TestWorkerLeaseEndNeedsWrite(t *testing.T) {
-	var leadership Holder
+	var leadership LeaderLease
 	for _, tc := range []struct {
 		now, renewed        int64
 		expired, needsWrite bool
 	}{{5000, 4900, false, false}, {5400, 5200, false, true}, {5400, 5350, true, false}, {9000, 5350, true, false}} {
-		leadership.Prove(at(tc.renewed))
-		if expired, needsWrite := leadership.Ended(at(tc.now), LapsesAt(at(0))); expired != tc.expired || needsWrite != tc.needsWrite {
+		leadership.Renew(at(tc.renewed))
+		if expired, needsWrite := leadership.ConfirmsEnd(at(tc.now), WorkerLeaseEndsBy(at(0))); expired != tc.expired || needsWrite != tc.needsWrite {
 			t.Errorf("at %d ms, newest write at %d ms: got expired %v and write needed %v, want %v and %v", tc.now, tc.renewed, expired, needsWrite, tc.expired, tc.needsWrite)
 		}
 	}
 }
 
 func TestPredecessor(t *testing.T) {
-	expired := func(p *Predecessor, ms int64) bool { return !at(ms).Before(p.EndsAt()) }
+	expired := func(p *Predecessor, ms int64) bool { return !at(ms).Before(p.LeasesEndBy()) }
 	var none Predecessor
 	if !expired(&none, 0) {
 		t.Error("without a predecessor: got leases not expired, want expired")
 	}
 	var silent Predecessor
-	silent.Follow(at(0))
+	silent.TermBegan(at(0))
 	if expired(&silent, 15000) {
 		t.Error("a silent predecessor may have renewed its leadership just before the term: got leases expired, want not expired")
 	}
@@ -122,8 +122,8 @@
 		t.Error("after leadership lease and worker lease: got leases not expired, want expired")
 	}
 	var dead Predecessor
-	dead.Follow(at(0))
-	dead.Dead(at(100))
+	dead.TermBegan(at(0))
+	dead.NoteDead(at(100))
 	if expired(&dead, 5000) {
 		t.Error("worker leases of a dead predecessor still run: got leases expired, want not expired")
 	}
--- a/pkg/workflow/book.go
+++ b/pkg/workflow/book.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrRecord means that a job record cannot be decoded.
-var ErrRecord = errors.New("the job record cannot be decoded")
+// ErrUnreadableRecord means that a job record cannot be decoded.
+var ErrUnreadableRecord = errors.New("the job record cannot be decoded")
 
 // Prefixes of the keys of a job's records. Any entry writes submissions and cancellations; only
 // the dispatcher writes progress.
@@ -41,14 +41,14 @@
 	return Record{Key: prefixCancellation + id, Value: []byte{1}}
 }
 
-// ForgetRecords returns the records that delete a job: that of its progress, and those of its
+// TombstoneRecords returns the records that delete a job: that of its progress, and those of its
 // submission and cancellation.
-func ForgetRecords(id string) (progress, intake []Record) {
+func TombstoneRecords(id string) (progress, intake []Record) {
 	return []Record{{Key: prefixProgress + id}}, []Record{{Key: prefixCancellation + id}, {Key: prefixSubmission + id}}
 }
 
-// Entry is what the records of a job say.
-type Entry struct {
+// Job is what the records of a job say.
+type Job struct {
 	submission  *Submission
 	progress    Progress
 	cancelled   bool
@@ -56,17 +56,17 @@
 }
 
 // Submission returns the accepted job, or nil if the submission has not been read.
-func (j *Entry) Submission() *Submission { return j.submission }
+func (j *Job) Submission() *Submission { return j.submission }
 
 // Progress returns the newest progress.
-func (j *Entry) Progress() *Progress { return &j.progress }
+func (j *Job) Progress() *Progress { return &j.progress }
 
 // Cancelled reports whether the job was cancelled.
-func (j *Entry) Cancelled() bool { return j.cancelled }
+func (j *Job) Cancelled() bool { return j.cancelled }
 
 // Phase returns the phase according to the records read. A stored end takes precedence over a
 // cancellation.
-func (j *Entry) Phase() Phase {
+func (j *Job) Phase() Phase {
 	switch {
 	case j.progress.Phase.Ended():
 		return j.progress.Phase
@@ -76,37 +76,37 @@
 	return j.progress.Phase
 }
 
-// Book is the table of all jobs known from the records of the store. The zero value is empty.
-type Book struct {
-	jobs map[string]*Entry
+// JobTable is the table of all jobs known from the records of the store. The zero value is empty.
+type JobTable struct {
+	jobs map[string]*Job
 }
 
 // Len returns the number of jobs.
-func (t *Book) Len() int { return len(t.jobs) }
+func (t *JobTable) Len() int { return len(t.jobs) }
 
-// Entry returns a job, and whether it is known.
-func (t *Book) Entry(id string) (*Entry, bool) {
+// Job returns a job, and whether it is known.
+func (t *JobTable) Job(id string) (*Job, bool) {
 	j, ok := t.jobs[id]
 	return j, ok
 }
 
 // Each calls fn for each job.
-func (t *Book) Each(fn func(id string, j *Entry)) {
+func (t *JobTable) Each(fn func(id string, j *Job)) {
 	for id, j := range t.jobs {
 		fn(id, j)
 	}
 }
 
 // Clear removes all jobs, so that the records can be read again from the start.
-func (t *Book) Clear() { t.jobs = nil }
+func (t *JobTable) Clear() { t.jobs = nil }
 
 // Apply applies a record and returns the ID of its job. A record that cannot be decoded changes
 // nothing; the error is marked with ErrRecord.
-func (t *Book) Apply(r Record) (id string, err error) {
+func (t *JobTable) Apply(r Record) (id string, err error) {
 	prefix, id, ok := strings.Cut(r.Key, "/")
 	prefix += "/"
 	if !ok || id == "" || (prefix != prefixSubmission && prefix != prefixProgress && prefix != prefixCancellation) {
-		return "", errors.Mark(errors.Newf("unknown key %q of a job record", r.Key), ErrRecord)
+		return "", errors.Mark(errors.Newf("unknown key %q of a job record", r.Key), ErrUnreadableRecord)
 	}
 	if len(r.Value) == 0 {
 		t.remove(prefix, id)
@@ -114,27 +114,27 @@
 	}
 	j := t.jobs[id]
 	if j == nil {
-		j = &Entry{}
+		j = &Job{}
 	}
 	if err := j.apply(prefix, id, r.Value); err != nil {
 		return "", err
 	}
 	if t.jobs == nil {
-		t.jobs = make(map[string]*Entry)
+		t.jobs = make(map[string]*Job)
 	}
 	t.jobs[id] = j
 	return id, nil
 }
 
-func (j *Entry) apply(prefix, id string, value []byte) error {
+func (j *Job) apply(prefix, id string, value []byte) error {
 	switch prefix {
 	case prefixSubmission:
 		s := new(Submission)
 		if err := cbor.Unmarshal(value, s); err != nil {
-			return errors.Mark(errors.Wrapf(err, "decode the submission of job %s", id), ErrRecord)
+			return errors.Mark(errors.Wrapf(err, "decode the submission of job %s", id), ErrUnreadableRecord)
 		}
 		if s.ID != id {
-			return errors.Mark(errors.Newf("submission of job %s has the ID of job %q", id, s.ID), ErrRecord)
+			return errors.Mark(errors.Newf("submission of job %s has the ID of job %q", id, s.ID), ErrUnreadableRecord)
 		}
 		if j.submission == nil {
 			j.submission = s
@@ -142,10 +142,10 @@
 	case prefixProgress:
 		var p Progress
 		if err := cbor.Unmarshal(value, &p); err != nil {
-			return errors.Mark(errors.Wrapf(err, "decode the progress of job %s", id), ErrRecord)
+			return errors.Mark(errors.Wrapf(err, "decode the progress of job %s", id), ErrUnreadableRecord)
 		}
 		if p.Phase > PhaseCancelled {
-			return errors.Mark(errors.Newf("progress of job %s: unknown phase %d", id, p.Phase), ErrRecord)
+			return errors.Mark(errors.Newf("progress of job %s: unknown phase %d", id, p.Phase), ErrUnreadableRecord)
 		}
 		j.progress, j.hasProgress = p, true
 	case prefixCancellation:
@@ -155,7 +155,7 @@
 }
 
 // remove removes a job when the record of its submission is deleted.
-func (t *Book) remove(prefix, id string) {
+func (t *JobTable) remove(prefix, id string) {
 	if prefix == prefixSubmission {
 		delete(t.jobs, id)
 	}
--- a/pkg/workflow/progress.go
+++ b/pkg/workflow/progress.go
@@ -39,13 +39,13 @@
 	// EndedMS is when the job ended, in Unix milliseconds on the writer's clock.
 	EndedMS int64 `cbor:"2,keyasint,omitempty"`
 	// Done has one bit for each task that is done, by occurrence and step.
-	Done []DoneStep `cbor:"3,keyasint,omitempty"`
+	Done []DoneTasks `cbor:"3,keyasint,omitempty"`
 	// Tasks holds the state of tasks that are not done.
 	Tasks []TaskProgress `cbor:"4,keyasint,omitempty"`
 }
 
-// DoneStep is the set of done tasks of one step of one occurrence.
-type DoneStep struct {
+// DoneTasks is the set of done tasks of one step of one occurrence.
+type DoneTasks struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
 	Step       int
@@ -53,12 +53,12 @@
 }
 
 // Has reports whether the task with the index is done.
-func (d *DoneStep) Has(index int) bool {
+func (d *DoneTasks) Has(index int) bool {
 	return index/8 < len(d.Bits) && d.Bits[index/8]&(1<<(index%8)) != 0
 }
 
 // Mark marks the task with the index as done.
-func (d *DoneStep) Mark(index int) {
+func (d *DoneTasks) Mark(index int) {
 	for index/8 >= len(d.Bits) {
 		d.Bits = append(d.Bits, 0)
 	}
--- a/pkg/workflow/spec.go
+++ b/pkg/workflow/spec.go
@@ -10,8 +10,8 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// ErrSpec means that the specification of a job is not valid.
-var ErrSpec = errors.New("the job specification is not valid")
+// ErrInvalidSpec means that the specification of a job is not valid.
+var ErrInvalidSpec = errors.New("the job specification is not valid")
 
 // Limits of a job's specification.
 const (
@@ -40,28 +40,28 @@
 	Label string `cbor:"7,keyasint,omitempty"`
 	// Rack is the rack of the step's data; tasks run slower on other racks.
 	Rack string `cbor:"8,keyasint,omitempty"`
-	// MostPerWorker is how many tasks of the step may run on one worker; 0 means no limit.
-	MostPerWorker int `cbor:"9,keyasint,omitempty"`
-	// Saves means that the tasks write checkpoints.
-	Saves bool `cbor:"10,keyasint,omitempty"`
-	// Copies means that several runs of one task may run at a time.
-	Copies bool `cbor:"11,keyasint,omitempty"`
-	// Lasts means that the tasks run until the job is cancelled.
-	Lasts bool   `cbor:"12,keyasint,omitempty"`
-	Image string `cbor:"13,keyasint,omitempty"`
+	// MaxPerWorker is how many tasks of the step may run on one worker; 0 means no limit.
+	MaxPerWorker int `cbor:"9,keyasint,omitempty"`
+	// Checkpointing means that the tasks write checkpoints.
+	Checkpointing bool `cbor:"10,keyasint,omitempty"`
+	// Speculative means that several runs of one task may run at a time.
+	Speculative bool `cbor:"11,keyasint,omitempty"`
+	// LongRunning means that the tasks run until the job is cancelled.
+	LongRunning bool   `cbor:"12,keyasint,omitempty"`
+	Image       string `cbor:"13,keyasint,omitempty"`
 	// TargetMS is the limit of the tail latency of a serving task, one that serves its own
 	// users, in milliseconds; 0 for other tasks.
 	TargetMS float64 `cbor:"14,keyasint,omitempty"`
-	// Fills means that the tasks use processor time that other tasks leave, and reserve none.
-	Fills bool `cbor:"15,keyasint,omitempty"`
-	// MayMiss is how many tasks of a long-running step the scheduler may stop at a time.
-	MayMiss int `cbor:"16,keyasint,omitempty"`
+	// BestEffort means that the tasks use processor time that other tasks leave, and reserve none.
+	BestEffort bool `cbor:"15,keyasint,omitempty"`
+	// MaxUnavailable is how many tasks of a long-running step the scheduler may stop at a time.
+	MaxUnavailable int `cbor:"16,keyasint,omitempty"`
 }
 
 // Reserved returns the resources that a task of the step reserves on a worker.
 func (s *Step) Reserved() worker.Resources {
 	r := s.Size
-	if s.Fills {
+	if s.BestEffort {
 		r.MilliCPU = 0
 	}
 	return r
@@ -72,29 +72,29 @@
 	// Text is passed to each task unchanged.
 	Text  string `cbor:"1,keyasint"`
 	Steps []Step `cbor:"2,keyasint"`
-	// Times is how often a repeated job runs; 0 means once, immediately.
-	Times int `cbor:"3,keyasint,omitempty"`
-	// FirstMS is when the first occurrence is due, in Unix milliseconds.
-	FirstMS int64 `cbor:"4,keyasint,omitempty"`
-	// EveryMS is the interval between two occurrences, in milliseconds.
-	EveryMS int64 `cbor:"5,keyasint,omitempty"`
+	// RepeatCount is how often a repeated job runs; 0 means once, immediately.
+	RepeatCount int `cbor:"3,keyasint,omitempty"`
+	// FirstDueMS is when the first occurrence is due, in Unix milliseconds.
+	FirstDueMS int64 `cbor:"4,keyasint,omitempty"`
+	// IntervalMS is the interval between two occurrences, in milliseconds.
+	IntervalMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Occurrences returns how often the job runs.
-func (s *Spec) Occurrences() int { return max(1, s.Times) }
+func (s *Spec) Occurrences() int { return max(1, s.RepeatCount) }
 
 // DueMS returns when an occurrence is due, in Unix milliseconds; 0 means immediately.
 func (s *Spec) DueMS(occurrence int) int64 {
-	if s.Times == 0 {
+	if s.RepeatCount == 0 {
 		return 0
 	}
-	return s.FirstMS + int64(occurrence)*s.EveryMS
+	return s.FirstDueMS + int64(occurrence)*s.IntervalMS
 }
 
-// Lasts reports whether a step of the job is long-running.
-func (s *Spec) Lasts() bool {
+// LongRunning reports whether a step of the job is long-running.
+func (s *Spec) LongRunning() bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasts {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 func invalid(format string, args ...any) error {
-	return errors.Mark(errors.Newf(format, args...), ErrSpec)
+	return errors.Mark(errors.Newf(format, args...), ErrInvalidSpec)
 }
 
 // Validate returns an error, marked with ErrSpec, that names the first invalid field.
@@ -113,16 +113,16 @@
 	if len(s.Steps) == 0 || len(s.Steps) > MaxSteps {
 		return invalid("steps: want 1 to %d, got %d", MaxSteps, len(s.Steps))
 	}
-	if s.Times < 0 || s.Times > MaxOccurrences {
-		return invalid("occurrences: want 0 to %d, got %d", MaxOccurrences, s.Times)
+	if s.RepeatCount < 0 || s.RepeatCount > MaxOccurrences {
+		return invalid("occurrences: want 0 to %d, got %d", MaxOccurrences, s.RepeatCount)
 	}
-	if s.Times > 0 && (s.FirstMS <= 0 || s.EveryMS < 0) {
+	if s.RepeatCount > 0 && (s.FirstDueMS <= 0 || s.IntervalMS < 0) {
 		return invalid("occurrences: want a first time after 1970 and no negative interval")
 	}
 	tasks := 0
 	for i := range s.Steps {
 		if err := s.Steps[i].validate(i); err != nil {
-			return errors.Mark(errors.Wrapf(err, "step %d", i), ErrSpec)
+			return errors.Mark(errors.Wrapf(err, "step %d", i), ErrInvalidSpec)
 		}
 		if tasks += s.Steps[i].Count; tasks > MaxTasks {
 			return invalid("steps: want at most %d tasks", MaxTasks)
@@ -139,9 +139,9 @@
 		return errors.New("size: amounts must not be negative")
 	case s.EstimateMS < 0:
 		return errors.New("estimate: must not be negative")
-	case s.MostPerWorker < 0:
+	case s.MaxPerWorker < 0:
 		return errors.New("tasks per worker: must not be negative")
-	case s.MayMiss < 0:
+	case s.MaxUnavailable < 0:
 		return errors.New("may miss: must not be negative")
 	}
 	for _, a := range s.After {
--- a/pkg/workflow/task.go
+++ b/pkg/workflow/task.go
@@ -8,8 +8,8 @@
 // taskIDParts is the number of dot-separated parts of a task ID.
 const taskIDParts = 4
 
-// ParseTask parses what TaskID.String returned.
-func ParseTask(name string) (TaskID, bool) {
+// ParseTaskID parses what TaskID.String returned.
+func ParseTaskID(name string) (TaskID, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != taskIDParts || parts[0] == "" {
 		return TaskID{}, false
--- a/pkg/workflow/workflow_test.go
+++ b/pkg/workflow/workflow_test.go
@@ -27,8 +27,8 @@
 		{"a later step", func(s *Spec) { s.Steps[0].After = []int{1} }, "step 0: after"},
 		{"negative size", func(s *Spec) { s.Steps[0].Size.MemoryMB = -1 }, "step 0: size"},
 		{"negative estimate", func(s *Spec) { s.Steps[0].EstimateMS = -1 }, "step 0: estimate"},
-		{"negative repetition", func(s *Spec) { s.Times = -1 }, "occurrences"},
-		{"no first time", func(s *Spec) { s.Times = 2 }, "occurrences"},
+		{"negative repetition", func(s *Spec) { s.RepeatCount = -1 }, "occurrences"},
+		{"no first time", func(s *Spec) { s.RepeatCount = 2 }, "occurrences"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := validSpec()
@@ -40,7 +40,7 @@
 				}
 				return
 			}
-			if !errors.Is(err, ErrSpec) || !strings.Contains(err.Error(), tc.want) {
+			if !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want an ErrSpec that names %q", err, tc.want)
 			}
 		})
@@ -49,11 +49,11 @@
 
 func TestParseTask(t *testing.T) {
 	id := TaskID{Job: "5c0e", Occurrence: 3, Step: 1, Index: 17}
-	if got, ok := ParseTask(id.String()); !ok || got != id {
+	if got, ok := ParseTaskID(id.String()); !ok || got != id {
 		t.Errorf("got %v %v, want %v", got, ok, id)
 	}
 	for _, name := range []string{"", "a", "a.0.0", "a.0.0.x", "a.0.0.-1", ".0.0.0", "a.0.0.0.0"} {
-		if got, ok := ParseTask(name); ok {
+		if got, ok := ParseTaskID(name); ok {
 			t.Errorf("%q: got %v, want it refused", name, got)
 		}
 	}
@@ -73,7 +73,7 @@
 func TestJobTable(t *testing.T) {
 	must := mustRecord(t)
 	sub := &Submission{ID: "a", Queue: "q", Spec: *validSpec()}
-	var table Book
+	var table JobTable
 	for _, r := range []Record{
 		must(ProgressRecord("a", &Progress{Phase: PhaseRunning})), // may be read before the submission
 		must(SubmissionRecord(sub)),
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 	}
-	job, ok := table.Entry("a")
+	job, ok := table.Job("a")
 	if !ok || job.Submission().Queue != "q" || job.Phase() != PhaseRunning {
 		t.Fatalf("got %+v, want the first submission and phase running", job)
 	}
@@ -93,13 +93,13 @@
 	if _, err := table.Apply(must(ProgressRecord("a", &Progress{Phase: PhaseCompleted}))); err != nil || job.Phase() != PhaseCompleted {
 		t.Errorf("phase after a cancellation and a stored end: got %v %v, want %v", job.Phase(), err, PhaseCompleted)
 	}
-	progress, intake := ForgetRecords("a")
+	progress, intake := TombstoneRecords("a")
 	for _, r := range append(progress, intake...) {
 		if _, err := table.Apply(r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, ok := table.Entry("a"); ok {
+	if _, ok := table.Job("a"); ok {
 		t.Error("after its records were deleted: got the job, want none")
 	}
 }
@@ -107,7 +107,7 @@
 // Records that cannot be decoded, such as those of another writer, change nothing.
 func TestJobTableSkipsInvalidRecords(t *testing.T) {
 	must := mustRecord(t)
-	var table Book
+	var table JobTable
 	if _, err := table.Apply(must(SubmissionRecord(&Submission{ID: "a", Queue: "q"}))); err != nil {
 		t.Fatal(err)
 	}
@@ -120,8 +120,8 @@
 		must(ProgressRecord("a", &Progress{Phase: PhaseCancelled + 1})),
 		{Key: "s/c", Value: must(SubmissionRecord(&Submission{ID: "d"})).Value},
 	} {
-		if _, err := table.Apply(r); !errors.Is(err, ErrRecord) {
-			t.Errorf("%q: got %v, want %v", r.Key, err, ErrRecord)
+		if _, err := table.Apply(r); !errors.Is(err, ErrUnreadableRecord) {
+			t.Errorf("%q: got %v, want %v", r.Key, err, ErrUnreadableRecord)
 		}
 	}
 	if got := table.Len(); got != 1 {
@@ -130,7 +130,7 @@
 }
 
 func TestDoneTasks(t *testing.T) {
-	var d DoneStep
+	var d DoneTasks
 	for _, i := range []int{0, 9, 30} {
 		d.Mark(i)
 	}
