--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -99,7 +99,7 @@
 		flights:     make(map[endpoint.AttemptID]*flight),
 		waiting:     make(map[*endpoint.Ticket]*flight),
 	}
-	a.holder.Ledger().AdmitFrom(now.Add(predecessorSettles))
+	a.holder.Ledger().RequireListingSince(now.Add(predecessorSettles))
 	id.OnRefused(func(err error) { logger.Warn().Err(err).Str("decision", "refuse-peer").Msg("") })
 	server, err := link.Listen(s.Listen, id, a.peerHandler(), link.RoleEntry)
 	if err != nil {
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -17,7 +17,7 @@
 // guard protects the service beside the worker from the batch tasks on it.
 type guard struct {
 	// tail is guarded by Agent.mu, the rest by Agent.tasksMu.
-	tail     worker.Tail
+	tail     worker.LatencyWindow
 	decide   worker.Guard
 	looked   time.Time
 	pressure float64
@@ -57,16 +57,16 @@
 }
 
 // reading returns the pressure on the service and its load.
-func (a *Agent) reading(now time.Time) worker.Reading {
+func (a *Agent) reading(now time.Time) worker.ServiceReading {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	r := worker.Reading{Service: a.settings.Service}
+	r := worker.ServiceReading{Service: a.settings.Service}
 	s, ok := a.service()
 	if !ok {
 		return r
 	}
 	r.Load = min(float64(a.load().InFlight)/float64(s.Slots), 1)
-	if tail, ok := a.guard.tail.Read(now); ok {
+	if tail, ok := a.guard.tail.TailLatency(now); ok {
 		r.Pressure = float64(tail) / float64(s.Objective.Std())
 	}
 	return r
@@ -82,7 +82,7 @@
 		if t.State != services.TaskRunning {
 			continue
 		}
-		g := worker.GuardTask{Key: taskKey(t.Hold()), Class: t.Class, Share: t.Size.Dominant(worker.Resources{MilliCPU: listing.Total.MilliCPU})}
+		g := worker.GuardTask{Key: taskKey(t.Hold()), Class: t.Class, Share: t.Size.DominantShare(worker.Resources{MilliCPU: listing.Total.MilliCPU})}
 		if document != nil {
 			if class, ok := document.BatchClass(t.Class); ok {
 				g.Urgent = class.Urgent
@@ -121,22 +121,22 @@
 	var err error
 	switch action.Kind() {
 	case worker.ActionThrottle:
-		err = a.worker.Throttle(ctx, key, action.Percent())
+		err = a.worker.Throttle(ctx, key, action.CPUPercent())
 	case worker.ActionCheckpoint:
 		_, err = a.worker.Checkpoint(ctx, key)
 	case worker.ActionMove:
 		err = a.moveTask(ctx, key)
 	}
 	if err != nil {
-		a.guard.decide.Forget(key)
+		a.guard.decide.ForgetTask(key)
 		a.log.Warn().Err(err).Str("decision", action.Kind().String()).Str("task", key).Msg("the worker did not follow")
 		return
 	}
 	gometrics.GetOrRegisterCounter("guard-"+action.Kind().String(), a.registry).Inc(1)
 	if action.Kind() == worker.ActionCheckpoint {
-		a.guard.decide.Saved(now, key)
+		a.guard.decide.CheckpointSaved(now, key)
 	}
-	a.log.Info().Str("decision", action.Kind().String()).Str("task", key).Int("percent", action.Percent()).
+	a.log.Info().Str("decision", action.Kind().String()).Str("task", key).Int("percent", action.CPUPercent()).
 		Str("reason", action.Reason()).Float64("pressure", a.guard.pressure).Msg("")
 }
 
--- a/internal/agent/guard_test.go
+++ b/internal/agent/guard_test.go
@@ -87,7 +87,7 @@
 		g.listing.Tasks = append(g.listing.Tasks, services.WorkerTask{
 			Job: id, Epoch: 1, Size: worker.Resources{MilliCPU: 500}, State: services.TaskRunning, Class: "archive",
 		})
-		g.agent.guard.decide.Started(g.now, id+".0@1")
+		g.agent.guard.decide.TaskStarted(g.now, id+".0@1")
 	}
 	return g
 }
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -81,7 +81,7 @@
 		if err := a.worker.Start(ctx, startOrder(c)); err != nil {
 			return err
 		}
-		a.guard.decide.Started(time.Now(), key)
+		a.guard.decide.TaskStarted(time.Now(), key)
 		return nil
 	case lease.ActCheckpoint:
 		_, err := a.worker.Checkpoint(ctx, key)
--- a/internal/attendant/guard.go
+++ b/internal/attendant/guard.go
@@ -84,7 +84,7 @@
 	for _, k := range bestEffort {
 		selective = selective || g.interference[k.task] >= selectiveThreshold
 	}
-	selective = selective && g.pacer.OverFor(now) < selectiveFor
+	selective = selective && g.pacer.TargetMissedFor(now) < selectiveFor
 	kept := make(map[runKey]int, len(bestEffort))
 	for _, k := range bestEffort {
 		current, known := g.percents[k]
--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -159,7 +159,7 @@
 		}
 		r.Free = r.Total
 		d.fold.Held(r.Name, func(_ record.Hold, j *job.Job, _ *job.Task) { r.Free = r.Free.Minus(j.Spec().Size) })
-		d.scheduler.Heard(d.now, &r, []queue.ClassUse{{Class: "shaping", Granted: d.size, Used: d.size}})
+		d.scheduler.ApplyReport(d.now, &r, []queue.ClassUse{{Class: "shaping", Granted: d.size, Used: d.size}})
 	}
 }
 
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -147,7 +147,7 @@
 			Name: h.name, Rack: fmt.Sprint("rack-", i/workersARack), Service: "lastbench", Total: workerSize, Free: h.ledger.Free(),
 			Ready: true, Load: h.load, Pressure: h.reading(),
 		}
-		s.scheduler.Heard(s.now, &r, h.uses())
+		s.scheduler.ApplyReport(s.now, &r, h.uses())
 	}
 	for s.scheduler.Queue().Len() < waiting {
 		s.submit()
@@ -209,7 +209,7 @@
 		h.runs[p.Task.Job] = &runner{
 			hold: hold, class: spec.Class, percent: 100, left: s.remaining[p.Task.Job], saved: s.now, ready: s.now.Add(restartTime),
 		}
-		h.guard.Started(s.now, p.Task.Job)
+		h.guard.TaskStarted(s.now, p.Task.Job)
 	}
 	return checkSizes(s.hosts)
 }
@@ -266,7 +266,7 @@
 	r.unsaved = 0
 	r.saved = s.now
 	s.remaining[id] = max(r.left, 0)
-	h.guard.Saved(s.now, id)
+	h.guard.CheckpointSaved(s.now, id)
 }
 
 func cores(class string, d time.Duration) time.Duration {
@@ -355,11 +355,11 @@
 			Key: id, Class: class, Share: float64(sizes[class].MilliCPU) / float64(workerSize.MilliCPU),
 		})
 	}
-	r := worker.Reading{Service: "lastbench", Pressure: h.reading(), Load: h.load}
+	r := worker.ServiceReading{Service: "lastbench", Pressure: h.reading(), Load: h.load}
 	for _, a := range h.guard.Decide(s.now, &r, running) {
 		switch a.Kind() {
 		case worker.ActionThrottle:
-			h.runs[a.Key()].percent = a.Percent()
+			h.runs[a.Key()].percent = a.CPUPercent()
 		case worker.ActionCheckpoint:
 			s.save(h, a.Key())
 		case worker.ActionMove:
--- a/internal/bench/batch/urgent.go
+++ b/internal/bench/batch/urgent.go
@@ -169,5 +169,5 @@
 			s.runs[h] = true
 		}
 	})
-	s.scheduler.Heard(s.now, &r, nil)
+	s.scheduler.ApplyReport(s.now, &r, nil)
 }
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -40,7 +40,7 @@
 	}
 	s.scheduler.Configure(epoch, d, &s.fold)
 	for i := range workers {
-		s.scheduler.Heard(epoch, &worker.Report{
+		s.scheduler.ApplyReport(epoch, &worker.Report{
 			Name: workerName(i), Rack: fmt.Sprint("rack-", i/3), Service: "lastbench", Total: workerSize, Free: workerSize, Ready: true,
 		}, nil)
 	}
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -81,7 +81,7 @@
 	}
 	j.workers[h.Worker] = &workerView{heartbeat: *h, heard: now}
 	said, uses := report(h)
-	j.scheduler.Heard(now, said, uses)
+	j.scheduler.ApplyReport(now, said, uses)
 	j.taker.Heard(h.Worker, now)
 	reading.PaceMS = lease.Pace(j.live(now)).Milliseconds()
 	answer, records := j.relay.Answer(now, &j.fold, &job.Beat{
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -230,7 +230,7 @@
 // explainWaiting fills in why pending tasks wait; jobs.mu is held.
 func (e *Entry) explainWaiting(j *job.Job, v *JobView) {
 	for i := range v.Tasks {
-		if reason, ok := e.jobs.scheduler.Waiting(j, uint32(i)); ok {
+		if reason, ok := e.jobs.scheduler.WaitReason(j, uint32(i)); ok {
 			v.Tasks[i].Waiting = reason
 		}
 	}
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -165,7 +165,7 @@
 	for name, v := range e.jobs.workers {
 		silent := now.Sub(v.heard)
 		if silent > workerLostAfter {
-			e.jobs.scheduler.Fleet().Lost(name)
+			e.jobs.scheduler.Fleet().MarkLost(name)
 		}
 		if silent > forgetWorkerAfter && !e.jobs.scheduler.Fleet().Knows(name) {
 			delete(e.jobs.workers, name)
@@ -178,13 +178,13 @@
 	q := e.jobs.scheduler.Queue()
 	gometrics.GetOrRegisterGauge("queue-waiting", e.registry).Update(int64(q.Len()))
 	gometrics.GetOrRegisterGauge("queue-parked", e.registry).Update(int64(q.Parked()))
-	gometrics.GetOrRegisterGauge("tasks-held", e.registry).Update(int64(e.jobs.scheduler.Fleet().Holds()))
+	gometrics.GetOrRegisterGauge("tasks-held", e.registry).Update(int64(e.jobs.scheduler.Fleet().AllocationCount()))
 }
 
 func (e *Entry) logDecision(d *queue.Decision) {
 	spec := d.Job().Spec()
 	gometrics.GetOrRegisterCounter("decisions-"+d.Kind().String(), e.registry).Inc(1)
-	if len(d.Placements()) == 0 && len(d.Holds()) == 0 {
+	if len(d.Placements()) == 0 && len(d.Revoked()) == 0 {
 		e.log.Info().Str("decision", d.Kind().String()).Str("job", spec.ID).Str("class", spec.Class).
 			Str("reason", d.Reason()).Msg("")
 	}
@@ -192,7 +192,7 @@
 		e.log.Info().Str("decision", d.Kind().String()).Str("task", p.Task.String()).Str("worker", p.Worker).
 			Str("class", spec.Class).Str("reason", d.Reason()).Msg("")
 	}
-	for _, h := range d.Holds() {
+	for _, h := range d.Revoked() {
 		e.log.Info().Str("decision", d.Kind().String()).Str("task", h.Task.String()).Str("for-job", spec.ID).
 			Str("reason", d.Reason()).Msg("")
 	}
@@ -201,7 +201,7 @@
 // report returns what the scheduler needs to know of a heartbeat.
 func report(h *link.Heartbeat) (*worker.Report, []queue.ClassUse) {
 	r := &worker.Report{
-		Name: h.Worker, Rack: h.Rack, Service: h.Service, Total: h.Total, Free: h.Free, Ready: h.Ready, Leaving: h.Leaving,
+		Name: h.Worker, Rack: h.Rack, Service: h.Service, Total: h.Total, Free: h.Free, Ready: h.Ready, Draining: h.Leaving,
 		Pressure: h.Pressure,
 	}
 	if h.Slots > 0 {
--- a/internal/explore/batch/agent.go
+++ b/internal/explore/batch/agent.go
@@ -38,7 +38,7 @@
 	a.leaving = false
 	a.holder = new(lease.Holder)
 	a.holder.SetRules(a.w.rules.Holder)
-	a.holder.Ledger().AdmitFrom(a.host.clock().Add(startsSettle))
+	a.holder.Ledger().RequireListingSince(a.host.clock().Add(startsSettle))
 	a.host.after(a.w.upTo(roundEvery), a.round)
 }
 
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -29,7 +29,7 @@
 	h := &r.worker.health
 	switch how {
 	case OutcomeDone:
-		h.outcomes.Succeeded()
+		h.outcomes.RecordSuccess()
 		if est := r.step.spec.EstimateMS; est >= minMeasuredEstimateMS && !r.step.spec.BestEffort && r.checkpoint == "" {
 			ratio := float64(now.Sub(r.orderedAt).Milliseconds()) / float64(est)
 			if h.slowdown == 0 {
@@ -38,7 +38,7 @@
 			h.slowdown += (ratio - h.slowdown) * newestRunWeight
 		}
 	case OutcomeFailed:
-		h.outcomes.Failed(now, r.id.Job)
+		h.outcomes.RecordFailure(now, r.id.Job)
 	}
 	h.probing = false
 }
--- a/pkg/dispatch/score.go
+++ b/pkg/dispatch/score.go
@@ -74,7 +74,7 @@
 	if w.health.slowdown > toleratedSlowdown {
 		score += weightSlowWorker * (w.health.slowdown - toleratedSlowdown)
 	}
-	score += w.health.outcomes.Failing()
+	score += w.health.outcomes.FailureRate()
 	capacity := float64(max(1, w.capacity.MilliCPU))
 	unused := w.unusedMilliCPU()
 	size := float64(s.spec.Size.MilliCPU)
--- a/pkg/queue/change.go
+++ b/pkg/queue/change.go
@@ -55,8 +55,8 @@
 // after a success also the run-time estimate of the team and class.
 func (s *Scheduler) recordOutcome(now time.Time, id record.TaskID, t *job.Task) {
 	if t.Phase() == job.Succeeded {
-		if h, ok := s.fleet.Held(taskKey(id)); ok && !h.Tentative {
-			s.fleet.Health(t.Worker()).Succeeded()
+		if h, ok := s.fleet.Allocation(taskKey(id)); ok && !h.Tentative {
+			s.fleet.Health(t.Worker()).RecordSuccess()
 			if !h.Since.IsZero() {
 				s.stats.addRun(h.Team, h.Class, now.Sub(h.Since))
 			}
@@ -76,8 +76,8 @@
 		f = new(worker.JobFailures)
 		s.jobFailures[id.Job] = f
 	}
-	if f.Failed(t.Worker()) {
-		s.fleet.Health(t.Worker()).Failed(now, id.Job)
+	if f.RecordFailure(t.Worker()) {
+		s.fleet.Health(t.Worker()).RecordFailure(now, id.Job)
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	if spec.NeededBy != 0 {
 		expected := time.Duration(spec.ExpectedMS) * time.Millisecond
-		d.NeededBy = time.UnixMilli(spec.NeededBy).Add(-s.stats.runTime(spec.Team, spec.Class, expected))
+		d.LatestStart = time.UnixMilli(spec.NeededBy).Add(-s.stats.runTime(spec.Team, spec.Class, expected))
 	}
 	return d
 }
@@ -164,12 +164,12 @@
 	if s.lastHousekeeping.IsZero() {
 		since = time.Time{} // replayed from the log before the first decision: the actual start time is unknown
 	}
-	if h, ok := s.fleet.Held(key); ok && !h.Tentative {
+	if h, ok := s.fleet.Allocation(key); ok && !h.Tentative {
 		since = h.Since
 	}
 	s.release(id)
 	spec := j.Spec()
-	s.fleet.Hold(key, worker.Hold{
+	s.fleet.Allocate(key, worker.Allocation{
 		Worker: t.Worker(), Team: spec.Team, Size: spec.Size, Class: spec.Class, Urgent: s.class(spec.Class).Urgent,
 		Epoch: uint64(t.Epoch()), Since: since, Ending: t.Phase() == job.Revoked,
 	})
@@ -179,12 +179,12 @@
 // release ends a task's allocation and unblocks queued work that may fit the
 // capacity that it frees.
 func (s *Scheduler) release(id record.TaskID) {
-	h, ok := s.fleet.Drop(taskKey(id))
+	h, ok := s.fleet.Release(taskKey(id))
 	if !ok {
 		return
 	}
 	s.queue.Refund(h.Team, h.Size)
-	s.queue.RoomFor(s.fleet.Free(h.Worker))
+	s.queue.UnblockFitting(s.fleet.Free(h.Worker))
 }
 
 func taskKey(id record.TaskID) worker.TaskKey { return worker.TaskKey{Job: id.Job, Index: id.Index} }
--- a/pkg/queue/decision.go
+++ b/pkg/queue/decision.go
@@ -51,8 +51,8 @@
 // Placements returns the tasks placed and their workers.
 func (d *Decision) Placements() []record.Placement { return d.placements }
 
-// Holds returns the assignments that are revoked by a preemption.
-func (d *Decision) Holds() []record.Hold { return d.revoked }
+// Revoked returns the assignments that are revoked by a preemption.
+func (d *Decision) Revoked() []record.Hold { return d.revoked }
 
 // Reason returns the reason in words, for logs.
 func (d *Decision) Reason() string { return d.reason }
@@ -71,14 +71,14 @@
 	placements := make([]record.Placement, len(tasks))
 	for i := range tasks {
 		id := taskID(tasks[i].Key)
-		s.fleet.Hold(tasks[i].Key, worker.Hold{
+		s.fleet.Allocate(tasks[i].Key, worker.Allocation{
 			Worker: choices[i].Worker(), Team: item.demand.Team, Size: item.demand.Size, Class: owner.Spec().Class,
 			Urgent: item.demand.Urgent, Since: now, Tentative: true,
 		})
 		s.queue.Charge(item.demand.Team, item.demand.Size)
 		placements[i] = record.Placement{Task: id, Worker: choices[i].Worker(), Attempt: owner.Task(int(id.Index)).Attempt()}
 	}
-	s.queue.Delay(item.key, now.Add(PlacementPending), ReasonPlacing)
+	s.queue.Delay(item.key, now.Add(PlacementTimeout), ReasonPlacing)
 	return Decision{
 		kind: KindPlace, job: owner, message: &record.Assign{Placements: placements}, placements: placements, reason: choices[0].Reason(),
 	}, true
@@ -97,10 +97,10 @@
 	spec := owner.Spec()
 	base := worker.Task{
 		Key: worker.TaskKey{Job: item.key.Job, Index: item.key.Task}, Size: spec.Size,
-		Expected: s.stats.expectedUse(spec.Class, spec.Size), Class: spec.Class, Failures: s.jobFailures[item.key.Job],
+		ExpectedUse: s.stats.expectedUse(spec.Class, spec.Size), Class: spec.Class, Failures: s.jobFailures[item.key.Job],
 	}
 	if item.key.Task != WholeGang {
-		base.Racks = s.tasksPerRack(owner)
+		base.TasksPerRack = s.tasksPerRack(owner)
 		return []worker.Task{base}
 	}
 	out := make([]worker.Task, 0, item.demand.Count)
@@ -126,7 +126,7 @@
 	}
 	out := make(map[string]int)
 	for i := range owner.Tasks() {
-		if h, ok := s.fleet.Held(worker.TaskKey{Job: owner.Spec().ID, Index: uint32(i)}); ok {
+		if h, ok := s.fleet.Allocation(worker.TaskKey{Job: owner.Spec().ID, Index: uint32(i)}); ok {
 			out[s.fleet.Rack(h.Worker)]++
 		}
 	}
@@ -137,7 +137,7 @@
 // that exceeds every known worker, preempts other tasks for an urgent one, and
 // blocks any other.
 func (s *Scheduler) handleNoPlacement(now time.Time, item *Item, owner *job.Job, err error, random *rand.Rand) Decision {
-	if s.fleet.FitsNone(item.demand.Size) {
+	if s.fleet.ExceedsAllWorkers(item.demand.Size) {
 		s.queue.Park(item.key)
 		return Decision{kind: KindPark, job: owner, reason: err.Error()}
 	}
@@ -170,7 +170,7 @@
 		return Decision{}, true
 	}
 	key := worker.TaskKey{Job: item.key.Job, Index: item.key.Task}
-	name, victims := s.fleet.Preempt(now, key, item.demand.Size, random.IntN(s.fleet.Len()))
+	name, victims := s.fleet.FindPreemption(now, key, item.demand.Size, random.IntN(s.fleet.Len()))
 	if name == "" {
 		return Decision{}, false
 	}
@@ -192,7 +192,7 @@
 func (s *Scheduler) revocation(owner *job.Job, victims []worker.TaskKey) Decision {
 	d := Decision{kind: KindPreempt, job: owner, reason: preemptReason}
 	for _, v := range victims {
-		h, _ := s.fleet.Held(v)
+		h, _ := s.fleet.Allocation(v)
 		d.revoked = append(d.revoked, record.Hold{Task: taskID(v), Epoch: record.Position(h.Epoch)})
 	}
 	d.message = &record.Revoke{Holds: d.revoked, Reason: preemptReason}
--- a/pkg/queue/item.go
+++ b/pkg/queue/item.go
@@ -33,9 +33,9 @@
 	Priority int
 	// Submitted is when the job was accepted.
 	Submitted time.Time
-	// NeededBy is the latest start time that meets the job's deadline; zero if
+	// LatestStart is the latest start time that meets the job's deadline; zero if
 	// it has no deadline.
-	NeededBy time.Time
+	LatestStart time.Time
 }
 
 // MaxPriority is the highest priority of a batch class.
@@ -51,8 +51,8 @@
 func (d *Demand) dueMS() int64 {
 	priority := min(max(d.Priority, 0), MaxPriority)
 	due := d.Submitted.Add(time.Duration(MaxPriority+1-priority) * waitPerPriority)
-	if !d.NeededBy.IsZero() && d.NeededBy.Before(due) {
-		due = d.NeededBy
+	if !d.LatestStart.IsZero() && d.LatestStart.Before(due) {
+		due = d.LatestStart
 	}
 	return due.UnixMilli()
 }
@@ -93,8 +93,8 @@
 // Demand returns what the item asks for.
 func (i *Item) Demand() *Demand { return &i.demand }
 
-// Since returns when the item could first be placed.
-func (i *Item) Since() time.Time { return time.UnixMilli(i.eligibleMS) }
+// EligibleAt returns when the item could first be placed.
+func (i *Item) EligibleAt() time.Time { return time.UnixMilli(i.eligibleMS) }
 
 // Reason is the reason for which an item waits.
 type Reason uint8
--- a/pkg/queue/learned.go
+++ b/pkg/queue/learned.go
@@ -23,17 +23,17 @@
 // affect the order of the queue and placement scores, never the amounts
 // granted.
 type usageStats struct {
-	runSeconds map[teamClass]*worker.Estimate
-	cpuRatio   map[string]*worker.Estimate
+	runSeconds map[teamClass]*worker.RunningMean
+	cpuRatio   map[string]*worker.RunningMean
 }
 
 func (s *usageStats) addRun(team, class string, took time.Duration) {
 	if s.runSeconds == nil {
-		s.runSeconds = make(map[teamClass]*worker.Estimate)
+		s.runSeconds = make(map[teamClass]*worker.RunningMean)
 	}
 	k := teamClass{team: team, class: class}
 	if s.runSeconds[k] == nil {
-		s.runSeconds[k] = new(worker.Estimate)
+		s.runSeconds[k] = new(worker.RunningMean)
 	}
 	s.runSeconds[k].Add(took.Seconds())
 }
@@ -51,10 +51,10 @@
 		return
 	}
 	if s.cpuRatio == nil {
-		s.cpuRatio = make(map[string]*worker.Estimate)
+		s.cpuRatio = make(map[string]*worker.RunningMean)
 	}
 	if s.cpuRatio[u.Class] == nil {
-		s.cpuRatio[u.Class] = new(worker.Estimate)
+		s.cpuRatio[u.Class] = new(worker.RunningMean)
 	}
 	s.cpuRatio[u.Class].Add(float64(u.Used.MilliCPU) / float64(u.Granted.MilliCPU))
 }
@@ -71,11 +71,11 @@
 // learnFromReport updates the estimates of CPU use and the interference model
 // from a worker's report.
 func (s *Scheduler) learnFromReport(r *worker.Report, uses []ClassUse) {
-	parts := make([]worker.Part, 0, len(uses))
+	parts := make([]worker.ClassShare, 0, len(uses))
 	for i := range uses {
 		s.stats.addUsage(&uses[i])
 		if r.Total.MilliCPU > 0 {
-			parts = append(parts, worker.Part{
+			parts = append(parts, worker.ClassShare{
 				Class: uses[i].Class, Share: float64(uses[i].Used.MilliCPU) / float64(r.Total.MilliCPU),
 			})
 		}
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -185,9 +185,9 @@
 	q.parked[key] = item
 }
 
-// RoomFor records that a worker now has the given free capacity, and unblocks
+// UnblockFitting records that a worker now has the given free capacity, and unblocks
 // the shapes that may fit there.
-func (q *Queue) RoomFor(free worker.Resources) {
+func (q *Queue) UnblockFitting(free worker.Resources) {
 	remaining := q.blocked[:0]
 	for _, s := range q.blocked {
 		if s.blockedSize.Fits(free) {
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -36,7 +36,7 @@
 
 func TestQueueOrder(t *testing.T) {
 	late := func(d queue.Demand) queue.Demand { d.Submitted = epoch.Add(time.Minute); return d }
-	needed := func(d queue.Demand) queue.Demand { d.NeededBy = epoch.Add(time.Hour); return d }
+	needed := func(d queue.Demand) queue.Demand { d.LatestStart = epoch.Add(time.Hour); return d }
 	urgent := func(d queue.Demand) queue.Demand { d.Urgent = true; return d }
 	a, b := demand("a", cpu(100)), demand("b", cpu(100))
 	cases := []struct {
@@ -123,11 +123,11 @@
 	if got, ok := q.Next(epoch); ok {
 		t.Errorf("got %s next, want none", got.Key().Job)
 	}
-	q.RoomFor(cpu(15000))
+	q.UnblockFitting(cpu(15000))
 	if _, ok := q.Next(epoch); ok {
 		t.Error("got a large item while no worker has room for it, want none")
 	}
-	q.RoomFor(cpu(16000))
+	q.UnblockFitting(cpu(16000))
 	if _, ok := q.Next(epoch); !ok {
 		t.Error("got no item after a worker had room, want a large one")
 	}
@@ -137,7 +137,7 @@
 	var q queue.Queue
 	q.Add(epoch, key("huge"), demand("a", cpu(1<<40)), epoch, queue.ReasonQueued)
 	q.Park(key("huge"))
-	q.RoomFor(cpu(1 << 50))
+	q.UnblockFitting(cpu(1 << 50))
 	if _, ok := q.Next(epoch); ok {
 		t.Error("got the parked item, want none")
 	}
--- a/pkg/queue/scheduler.go
+++ b/pkg/queue/scheduler.go
@@ -13,9 +13,9 @@
 
 // Times of scheduling.
 const (
-	// PlacementPending is how long a placement may take to show in the log
+	// PlacementTimeout is how long a placement may take to show in the log
 	// before it is taken for lost and repeated.
-	PlacementPending = 2 * time.Second
+	PlacementTimeout = 2 * time.Second
 	// BackupDelay is how long an entry waits for the entry that ranks just
 	// above it for a job before it schedules the job itself.
 	BackupDelay = 1200 * time.Millisecond
@@ -56,9 +56,9 @@
 // Fleet returns the scheduler's view of the workers.
 func (s *Scheduler) Fleet() *worker.Fleet { return &s.fleet }
 
-// Waiting returns in words why a task of j waits, and whether it waits in the
+// WaitReason returns in words why a task of j waits, and whether it waits in the
 // queue.
-func (s *Scheduler) Waiting(j *job.Job, index uint32) (string, bool) {
+func (s *Scheduler) WaitReason(j *job.Job, index uint32) (string, bool) {
 	if j.Task(int(index)).Phase() != job.Pending {
 		return "", false
 	}
@@ -116,14 +116,14 @@
 	})
 }
 
-// Heard applies a worker's report. The use by class lets the scheduler learn how
+// ApplyReport applies a worker's report. The use by class lets the scheduler learn how
 // much the classes use and how they slow down the service on the worker.
-func (s *Scheduler) Heard(now time.Time, r *worker.Report, uses []ClassUse) {
+func (s *Scheduler) ApplyReport(now time.Time, r *worker.Report, uses []ClassUse) {
 	before := s.fleet.Free(r.Name)
-	free := s.fleet.Heard(now, r)
+	free := s.fleet.ApplyReport(now, r)
 	s.learnFromReport(r, uses)
 	if !free.Fits(before) {
-		s.queue.RoomFor(free)
+		s.queue.UnblockFitting(free)
 	}
 	if s.fleetVersion != s.fleet.Version() {
 		s.fleetVersion = s.fleet.Version()
@@ -131,21 +131,21 @@
 	}
 }
 
-// Backup returns how long this entry leaves a job to the entries that rank
+// BackupDelayFunc returns how long this entry leaves a job to the entries that rank
 // higher for it.
-type Backup func(jobID string) time.Duration
+type BackupDelayFunc func(jobID string) time.Duration
 
 // Decide returns the placements, preemptions and parked jobs that are due now.
-func (s *Scheduler) Decide(now time.Time, jobs *job.Fold, backup Backup, random *rand.Rand) []Decision {
+func (s *Scheduler) Decide(now time.Time, jobs *job.Fold, backup BackupDelayFunc, random *rand.Rand) []Decision {
 	s.housekeep(now)
 	var out []Decision
 	for failedPlacements := 0; failedPlacements < maxFailedPlacements && len(out) < maxPlacements; {
 		item, ok := s.queue.Next(now)
 		if !ok {
-			s.fleet.ForgetGrown()
+			s.fleet.ResetRecentlyFreed()
 			break
 		}
-		if ready := item.Since().Add(backup(item.key.Job)); ready.After(now) {
+		if ready := item.EligibleAt().Add(backup(item.key.Job)); ready.After(now) {
 			s.queue.Delay(item.key, ready, ReasonOtherEntry)
 			continue
 		}
@@ -154,13 +154,13 @@
 			s.queue.Remove(item.key)
 			continue
 		}
-		if item.bucket.shape.recentlyUnblocked && !s.fleet.FitsGrown(item.demand.Size) {
+		if item.bucket.shape.recentlyUnblocked && !s.fleet.FitsRecentlyFreed(item.demand.Size) {
 			s.queue.Block(item.key)
 			continue
 		}
 		d, placed := s.place(now, item, owner, random)
 		if placed {
-			s.queue.Reblock(s.fleet.FitsGrown)
+			s.queue.Reblock(s.fleet.FitsRecentlyFreed)
 		} else {
 			failedPlacements++
 		}
@@ -184,7 +184,7 @@
 	s.lastHousekeeping = now
 	if item, ok := s.queue.Starving(now, starvingThreshold); ok && item.demand.Count == 1 {
 		key := worker.TaskKey{Job: item.key.Job, Index: item.key.Task}
-		if name, ok := s.fleet.ReserveFor(now, key, item.demand.Size); ok {
+		if name, ok := s.fleet.FindReservation(now, key, item.demand.Size); ok {
 			s.fleet.Reserve(name, key, now.Add(2*housekeepingInterval))
 		}
 	}
--- a/pkg/queue/scheduler_test.go
+++ b/pkg/queue/scheduler_test.go
@@ -44,7 +44,7 @@
 	for i, name := range s.names {
 		free := s.total
 		s.jobs.Held(name, func(_ record.Hold, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
-		s.scheduler.Heard(s.now, &worker.Report{
+		s.scheduler.ApplyReport(s.now, &worker.Report{
 			Name: name, Rack: fmt.Sprint("rack-", i/3), Total: s.total, Free: free, Ready: true,
 		}, nil)
 	}
@@ -129,10 +129,10 @@
 		t.Errorf("got the small job in phase %s behind the parked one, want assigned", got)
 	}
 	j, _ := s.jobs.Job("huge")
-	if got, _ := s.scheduler.Waiting(j, 0); !strings.Contains(got, "more than any known worker") {
+	if got, _ := s.scheduler.WaitReason(j, 0); !strings.Contains(got, "more than any known worker") {
 		t.Errorf("got reason %q, want that no worker is large enough", got)
 	}
-	s.scheduler.Heard(s.now, &worker.Report{Name: "large", Total: cpu(8000), Free: cpu(8000), Ready: true}, nil)
+	s.scheduler.ApplyReport(s.now, &worker.Report{Name: "large", Total: cpu(8000), Free: cpu(8000), Ready: true}, nil)
 	s.tick()
 	if got := s.task("huge", 0).Worker(); got != "large" {
 		t.Errorf("got worker %q after a large worker was added, want large", got)
@@ -155,7 +155,7 @@
 			t.Fatalf("got %v while the preempted task stops, want no decision", got)
 		}
 	}
-	victim := decisions[0].Holds()[0]
+	victim := decisions[0].Revoked()[0]
 	s.apply(&record.Released{Hold: victim})
 	for range 3 {
 		s.tick()
@@ -299,7 +299,7 @@
 	if got := s.tick(); len(got) != 0 {
 		t.Fatalf("got %d decisions while the first may still appear in the log, want 0", len(got))
 	}
-	s.now = s.now.Add(queue.PlacementPending)
+	s.now = s.now.Add(queue.PlacementTimeout)
 	if got := s.tick(); len(got) != 1 {
 		t.Errorf("got %d decisions after the first was lost, want 1", len(got))
 	}
--- a/pkg/worker/fleet.go
+++ b/pkg/worker/fleet.go
@@ -25,16 +25,16 @@
 	Free Resources
 	// Ready is false while the worker's Ledger refuses all grants.
 	Ready bool
-	// Leaving is set while the worker is being drained; it gets no new tasks.
-	Leaving bool
+	// Draining is set while the worker is being drained; it gets no new tasks.
+	Draining bool
 	// Load is the fraction of the service's request slots in use, from 0 to 1.
 	Load float64
 	// Pressure is the service's tail latency divided by its latency objective.
 	Pressure float64
 }
 
-// Hold is the resources that one task occupies on a worker.
-type Hold struct {
+// Allocation is the resources that one task occupies on a worker.
+type Allocation struct {
 	// Worker is the worker's name.
 	Worker string
 	// Team is the team whose quota is charged.
@@ -89,7 +89,7 @@
 	// recentlyFreed holds the indexes of the workers whose free capacity has
 	// grown since the scheduler last tried all waiting work.
 	recentlyFreed []int
-	allocations   map[TaskKey]Hold
+	allocations   map[TaskKey]Allocation
 	interference  Interference
 	// largestAmounts is, for each resource, the largest amount that any one
 	// reporting worker has. The amounts may come from different workers.
@@ -119,9 +119,9 @@
 // services.
 func (f *Fleet) Interference() *Interference { return &f.interference }
 
-// Heard updates a worker from its report and returns the worker's free
+// ApplyReport updates a worker from its report and returns the worker's free
 // capacity.
-func (f *Fleet) Heard(now time.Time, r *Report) Resources {
+func (f *Fleet) ApplyReport(now time.Time, r *Report) Resources {
 	i := f.ensureIndex(r.Name)
 	w := &f.workers[i]
 	capacityChanged := !w.hasReport || w.report.Total != r.Total
@@ -140,10 +140,10 @@
 	return f.free[i]
 }
 
-// Lost discards the report of a worker that no longer reports. The worker's
+// MarkLost discards the report of a worker that no longer reports. The worker's
 // allocations remain until the log ends them; a worker without allocations is
 // removed from the fleet.
-func (f *Fleet) Lost(name string) {
+func (f *Fleet) MarkLost(name string) {
 	i, ok := f.index[name]
 	if !ok {
 		return
@@ -172,7 +172,7 @@
 
 // remove deletes the worker at index i and moves the last worker to i.
 func (f *Fleet) remove(i int) {
-	f.ForgetGrown()
+	f.ResetRecentlyFreed()
 	last := len(f.workers) - 1
 	delete(f.index, f.workers[i].report.Name)
 	if i != last {
@@ -183,12 +183,12 @@
 	f.workers, f.free = f.workers[:last], f.free[:last]
 }
 
-// Hold records the allocation of a task and replaces the task's previous one,
+// Allocate records the allocation of a task and replaces the task's previous one,
 // if any.
-func (f *Fleet) Hold(key TaskKey, h Hold) {
-	f.Drop(key)
+func (f *Fleet) Allocate(key TaskKey, h Allocation) {
+	f.Release(key)
 	if f.allocations == nil {
-		f.allocations = make(map[TaskKey]Hold)
+		f.allocations = make(map[TaskKey]Allocation)
 	}
 	i := f.ensureIndex(h.Worker)
 	w := &f.workers[i]
@@ -201,11 +201,11 @@
 	f.updateFree(i)
 }
 
-// Drop removes and returns a task's allocation.
-func (f *Fleet) Drop(key TaskKey) (Hold, bool) {
+// Release removes and returns a task's allocation.
+func (f *Fleet) Release(key TaskKey) (Allocation, bool) {
 	h, ok := f.allocations[key]
 	if !ok {
-		return Hold{}, false
+		return Allocation{}, false
 	}
 	delete(f.allocations, key)
 	i := f.index[h.Worker]
@@ -216,14 +216,14 @@
 	return h, true
 }
 
-// Held returns a task's allocation.
-func (f *Fleet) Held(key TaskKey) (Hold, bool) {
+// Allocation returns a task's allocation.
+func (f *Fleet) Allocation(key TaskKey) (Allocation, bool) {
 	h, ok := f.allocations[key]
 	return h, ok
 }
 
-// Holds returns the number of allocations.
-func (f *Fleet) Holds() int { return len(f.allocations) }
+// AllocationCount returns the number of allocations.
+func (f *Fleet) AllocationCount() int { return len(f.allocations) }
 
 // Free returns a worker's free capacity, or zero for an unknown worker.
 func (f *Fleet) Free(name string) Resources {
@@ -247,9 +247,9 @@
 	return f.workers[i].report.Rack
 }
 
-// FitsNone reports whether size exceeds the total capacity of every reporting
+// ExceedsAllWorkers reports whether size exceeds the total capacity of every reporting
 // worker. It returns false while no worker has reported.
-func (f *Fleet) FitsNone(size Resources) bool {
+func (f *Fleet) ExceedsAllWorkers(size Resources) bool {
 	if f.reportingCount == 0 {
 		return false
 	}
@@ -296,9 +296,9 @@
 	}
 }
 
-// FitsGrown reports whether size fits any worker whose free capacity has grown
+// FitsRecentlyFreed reports whether size fits any worker whose free capacity has grown
 // since the scheduler last tried all waiting work.
-func (f *Fleet) FitsGrown(size Resources) bool {
+func (f *Fleet) FitsRecentlyFreed(size Resources) bool {
 	for _, i := range f.recentlyFreed {
 		if size.Fits(f.free[i]) {
 			return true
@@ -307,10 +307,10 @@
 	return false
 }
 
-// ForgetGrown clears the set of workers whose free capacity has grown. It is
+// ResetRecentlyFreed clears the set of workers whose free capacity has grown. It is
 // called once all waiting work has been tried against the current free
 // capacity.
-func (f *Fleet) ForgetGrown() {
+func (f *Fleet) ResetRecentlyFreed() {
 	for _, i := range f.recentlyFreed {
 		f.workers[i].freed = false
 	}
--- a/pkg/worker/fleet_test.go
+++ b/pkg/worker/fleet_test.go
@@ -25,16 +25,16 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		total := worker.Resources{MilliCPU: 8000, MemoryMB: 8000, Accelerators: 2}
 		allocated := make(map[string]worker.Resources)
-		allocations := make(map[worker.TaskKey]worker.Hold)
+		allocations := make(map[worker.TaskKey]worker.Allocation)
 		for i := range 4 {
-			f.Heard(epoch, report(fmt.Sprint("w", i), total))
+			f.ApplyReport(epoch, report(fmt.Sprint("w", i), total))
 		}
 		place := func(t *rapid.T) (worker.TaskKey, worker.Resources) {
 			size := worker.Resources{MilliCPU: rapid.Int64Range(1, 6000).Draw(t, "cpu"), Accelerators: rapid.Int64Range(0, 1).Draw(t, "acc")}
 			return worker.TaskKey{Job: "j", Index: rapid.Uint32Range(0, 20).Draw(t, "index")}, size
 		}
 		end := func(key worker.TaskKey) {
-			h, ok := f.Drop(key)
+			h, ok := f.Release(key)
 			if _, want := allocations[key]; ok != want {
 				t.Fatalf("got allocation found %v, want %v", ok, want)
 			}
@@ -43,7 +43,7 @@
 				delete(allocations, key)
 			}
 		}
-		begin := func(key worker.TaskKey, h worker.Hold) {
+		begin := func(key worker.TaskKey, h worker.Allocation) {
 			allocated[h.Worker] = allocated[h.Worker].Plus(h.Size)
 			allocations[key] = h
 		}
@@ -55,8 +55,8 @@
 				if err != nil {
 					return
 				}
-				h := worker.Hold{Worker: c.Worker(), Size: size}
-				f.Hold(key, h)
+				h := worker.Allocation{Worker: c.Worker(), Size: size}
+				f.Allocate(key, h)
 				begin(key, h)
 			},
 			"gang": func(t *rapid.T) {
@@ -71,7 +71,7 @@
 					return
 				}
 				for i := range tasks {
-					begin(tasks[i].Key, worker.Hold{Worker: choices[i].Worker(), Size: size})
+					begin(tasks[i].Key, worker.Allocation{Worker: choices[i].Worker(), Size: size})
 				}
 			},
 			"drop": func(t *rapid.T) { key, _ := place(t); end(key) },
@@ -85,7 +85,7 @@
 						t.Fatalf("got %+v free on %s, want no negative amount", got, name)
 					}
 				}
-				if got, want := f.Holds(), len(allocations); got != want {
+				if got, want := f.AllocationCount(), len(allocations); got != want {
 					t.Fatalf("got %d allocations, want %d", got, want)
 				}
 			},
@@ -95,7 +95,7 @@
 
 func TestPlaceFilters(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	later := epoch.Add(worker.SilentAfter + 1)
+	later := epoch.Add(worker.MaxReportAge + 1)
 	cases := []struct {
 		name    string
 		prepare func(f *worker.Fleet)
@@ -103,27 +103,27 @@
 	}{
 		{"a worker being drained", func(f *worker.Fleet) {
 			r := report("w", cpu(1000))
-			r.Leaving = true
-			f.Heard(later, r)
+			r.Draining = true
+			f.ApplyReport(later, r)
 		}, worker.ErrFleetFull},
 		{"a worker whose ledger is not ready", func(f *worker.Fleet) {
 			r := report("w", cpu(1000))
 			r.Ready = false
-			f.Heard(later, r)
+			f.ApplyReport(later, r)
 		}, worker.ErrFleetFull},
-		{"a worker whose last report is too old", func(f *worker.Fleet) { f.Heard(epoch, report("w", cpu(1000))) }, worker.ErrFleetFull},
-		{"a lost worker", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(1000))); f.Lost("w") }, worker.ErrFleetFull},
-		{"a small worker", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(10))) }, worker.ErrTooLarge},
+		{"a worker whose last report is too old", func(f *worker.Fleet) { f.ApplyReport(epoch, report("w", cpu(1000))) }, worker.ErrFleetFull},
+		{"a lost worker", func(f *worker.Fleet) { f.ApplyReport(later, report("w", cpu(1000))); f.MarkLost("w") }, worker.ErrFleetFull},
+		{"a small worker", func(f *worker.Fleet) { f.ApplyReport(later, report("w", cpu(10))) }, worker.ErrTooLarge},
 		{"grants without a known allocation", func(f *worker.Fleet) {
 			r := report("w", cpu(1000))
 			r.Free = cpu(10)
-			f.Heard(later, r)
+			f.ApplyReport(later, r)
 		}, worker.ErrFleetFull},
 		{"a worker reserved for another task", func(f *worker.Fleet) {
-			f.Heard(later, report("w", cpu(1000)))
+			f.ApplyReport(later, report("w", cpu(1000)))
 			f.Reserve("w", worker.TaskKey{Job: "other"}, later.Add(1))
 		}, worker.ErrFleetFull},
-		{"a worker with enough free capacity", func(f *worker.Fleet) { f.Heard(later, report("w", cpu(1000))) }, nil},
+		{"a worker with enough free capacity", func(f *worker.Fleet) { f.ApplyReport(later, report("w", cpu(1000))) }, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -144,15 +144,15 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 1000 {
 		name := fmt.Sprint("w", i)
-		f.Heard(epoch, report(name, cpu(1000)))
-		f.Hold(worker.TaskKey{Job: name}, worker.Hold{Worker: name, Size: cpu(600)})
+		f.ApplyReport(epoch, report(name, cpu(1000)))
+		f.Allocate(worker.TaskKey{Job: name}, worker.Allocation{Worker: name, Size: cpu(600)})
 		if i < 3 {
 			continue
 		}
 		old := fmt.Sprint("w", i-3)
-		f.Lost(old)
-		f.Drop(worker.TaskKey{Job: old})
-		f.Lost(old)
+		f.MarkLost(old)
+		f.Release(worker.TaskKey{Job: old})
+		f.MarkLost(old)
 		if got, want := f.Len(), 3; got != want {
 			t.Fatalf("got %d workers, want %d", got, want)
 		}
@@ -174,10 +174,10 @@
 	}{
 		{"a worker without a slow service", func(r *worker.Report) { r.Service, r.Pressure = "planner", 1.5 }, worker.Task{}, nil},
 		{"a worker without accelerators", func(r *worker.Report) { r.Total.Accelerators, r.Free.Accelerators = 2, 2 }, worker.Task{}, nil},
-		{"a rack without tasks of the job", func(r *worker.Report) { r.Rack = "crowded" }, worker.Task{Racks: map[string]int{"crowded": 3}}, nil},
+		{"a rack without tasks of the job", func(r *worker.Report) { r.Rack = "crowded" }, worker.Task{TasksPerRack: map[string]int{"crowded": 3}}, nil},
 		{"a service that the class does not slow down", func(r *worker.Report) { r.Service, r.Load = "planner", 1 }, worker.Task{Class: "archive"}, func(f *worker.Fleet) {
 			for range 200 {
-				f.Interference().Observe("planner", 1, []worker.Part{{Class: "archive", Share: 1}}, 10)
+				f.Interference().Observe("planner", 1, []worker.ClassShare{{Class: "archive", Share: 1}}, 10)
 			}
 		}},
 		{"a worker on which the job has not failed", func(*worker.Report) {}, worker.Task{Failures: failedOn("worse")}, nil},
@@ -190,8 +190,8 @@
 			}
 			bad := report("worse", cpu(4000))
 			c.worse(bad)
-			f.Heard(epoch, bad)
-			f.Heard(epoch, report("zz-better", cpu(4000)))
+			f.ApplyReport(epoch, bad)
+			f.ApplyReport(epoch, report("zz-better", cpu(4000)))
 			c.task.Size = cpu(1000)
 			got, err := f.Place(epoch, &c.task, rand.New(rand.NewPCG(1, 1)))
 			if want := "zz-better"; err != nil || got.Worker() != want {
@@ -203,7 +203,7 @@
 
 func failedOn(name string) *worker.JobFailures {
 	f := new(worker.JobFailures)
-	f.Failed(name)
+	f.RecordFailure(name)
 	return f
 }
 
@@ -212,7 +212,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 5000 {
 		load := random.Float64()
-		parts := []worker.Part{{Class: "noisy", Share: random.Float64() / 2}, {Class: "quiet", Share: random.Float64() / 2}}
+		parts := []worker.ClassShare{{Class: "noisy", Share: random.Float64() / 2}, {Class: "quiet", Share: random.Float64() / 2}}
 		m.Observe("planner", load, parts, 0.3+load*(3*parts[0].Share+0.1*parts[1].Share))
 	}
 	noisy, quiet := m.Slope("planner", "noisy"), m.Slope("planner", "quiet")
--- a/pkg/worker/gang.go
+++ b/pkg/worker/gang.go
@@ -14,15 +14,15 @@
 	racks := make(map[string]int)
 	for i := range tasks {
 		t := &tasks[i]
-		t.Racks = racks
+		t.TasksPerRack = racks
 		c, err := f.Place(now, t, random)
 		if err != nil {
 			for k := range out {
-				f.Drop(tasks[k].Key)
+				f.Release(tasks[k].Key)
 			}
 			return nil, err
 		}
-		f.Hold(t.Key, Hold{Worker: c.worker, Size: t.Size, Class: t.Class, Since: now, Tentative: true})
+		f.Allocate(t.Key, Allocation{Worker: c.worker, Size: t.Size, Class: t.Class, Since: now, Tentative: true})
 		racks[f.Rack(c.worker)]++
 		out = append(out, c)
 	}
--- a/pkg/worker/guard.go
+++ b/pkg/worker/guard.go
@@ -73,14 +73,14 @@
 // Key returns the worker's identifier of the task.
 func (a *Action) Key() string { return a.key }
 
-// Percent returns the CPU limit of an ActionThrottle.
-func (a *Action) Percent() int { return a.percent }
+// CPUPercent returns the CPU limit of an ActionThrottle.
+func (a *Action) CPUPercent() int { return a.percent }
 
 // Reason returns the reason in words, for logs.
 func (a *Action) Reason() string { return a.reason }
 
-// Reading is a measurement of the latency-critical service beside the worker.
-type Reading struct {
+// ServiceReading is a measurement of the latency-critical service beside the worker.
+type ServiceReading struct {
 	// Pressure is the tail latency divided by its objective; 0 if there are too
 	// few requests to measure it.
 	Pressure float64
@@ -132,28 +132,28 @@
 	refilledAt        time.Time
 }
 
-// Started records that the worker has just started the task, without a CPU
+// TaskStarted records that the worker has just started the task, without a CPU
 // limit.
-func (g *Guard) Started(now time.Time, key string) {
+func (g *Guard) TaskStarted(now time.Time, key string) {
 	if g.tasks == nil {
 		g.tasks = make(map[string]*guardedTask)
 	}
 	g.tasks[key] = &guardedTask{firstSeenAt: now, savedAt: now}
 }
 
-// Saved records that the task's progress up to now has been saved.
-func (g *Guard) Saved(now time.Time, key string) {
+// CheckpointSaved records that the task's progress up to now has been saved.
+func (g *Guard) CheckpointSaved(now time.Time, key string) {
 	if t, ok := g.tasks[key]; ok {
 		t.savedAt = now
 	}
 }
 
-// Forget discards the state of a task whose actual CPU limit is uncertain. If
+// ForgetTask discards the state of a task whose actual CPU limit is uncertain. If
 // the task still runs, the next Decide sets its limit anew.
-func (g *Guard) Forget(key string) { delete(g.tasks, key) }
+func (g *Guard) ForgetTask(key string) { delete(g.tasks, key) }
 
-// Percent returns the task's CPU limit, in percent.
-func (g *Guard) Percent(key string) int {
+// CPUPercent returns the task's CPU limit, in percent.
+func (g *Guard) CPUPercent(key string) int {
 	if t, ok := g.tasks[key]; ok {
 		return throttlePercents[t.step]
 	}
@@ -162,7 +162,7 @@
 
 // Decide takes a reading and the tasks that run, and returns the actions to
 // take.
-func (g *Guard) Decide(now time.Time, r *Reading, running []GuardTask) []Action {
+func (g *Guard) Decide(now time.Time, r *ServiceReading, running []GuardTask) []Action {
 	out := g.syncTasks(now, running)
 	g.updateModel(r, running)
 	g.refillMoveTokens(now)
@@ -194,7 +194,7 @@
 		if _, ok := g.tasks[key]; ok {
 			continue
 		}
-		g.Started(now, key)
+		g.TaskStarted(now, key)
 		out = append(out, Action{kind: ActionThrottle, key: key, percent: throttlePercents[0], reason: "CPU limit unknown; removing it"})
 	}
 	for key, t := range g.tasks {
@@ -205,20 +205,20 @@
 	return out
 }
 
-func (g *Guard) updateModel(r *Reading, running []GuardTask) {
+func (g *Guard) updateModel(r *ServiceReading, running []GuardTask) {
 	if r.Service == "" || r.Pressure <= 0 {
 		return
 	}
-	parts := make([]Part, 0, len(running))
+	parts := make([]ClassShare, 0, len(running))
 	for i := range running {
 		t := &running[i]
-		parts = append(parts, Part{Class: t.Class, Share: t.Share * g.cpuFraction(t.Key)})
+		parts = append(parts, ClassShare{Class: t.Class, Share: t.Share * g.cpuFraction(t.Key)})
 	}
 	g.model.Observe(r.Service, r.Load, parts, r.Pressure)
 }
 
 func (g *Guard) cpuFraction(key string) float64 {
-	return float64(g.Percent(key)) / float64(throttlePercents[0])
+	return float64(g.CPUPercent(key)) / float64(throttlePercents[0])
 }
 
 func (g *Guard) refillMoveTokens(now time.Time) {
@@ -230,7 +230,7 @@
 }
 
 // trackPressure records since when pressure has been high or low.
-func (g *Guard) trackPressure(now time.Time, r *Reading) {
+func (g *Guard) trackPressure(now time.Time, r *ServiceReading) {
 	if r.Pressure <= highPressure {
 		g.highPressureSince = time.Time{}
 	} else if g.highPressureSince.IsZero() {
@@ -246,7 +246,7 @@
 // throttle lowers the CPU limits, first of the tasks that contribute most,
 // until the model predicts targetPressure. If all tasks are at the lowest
 // limit, it moves one.
-func (g *Guard) throttle(now time.Time, r *Reading, running []GuardTask) []Action {
+func (g *Guard) throttle(now time.Time, r *ServiceReading, running []GuardTask) []Action {
 	excess := r.Pressure - targetPressure
 	var out []Action
 	for _, t := range g.throttleOrder(r, running) {
@@ -282,10 +282,10 @@
 // throttleOrder returns the tasks in the order in which to throttle them:
 // non-urgent before urgent ones, then by their contribution to the pressure,
 // largest first.
-func (g *Guard) throttleOrder(r *Reading, running []GuardTask) []throttledTask {
+func (g *Guard) throttleOrder(r *ServiceReading, running []GuardTask) []throttledTask {
 	out := make([]throttledTask, len(running))
 	for i := range running {
-		out[i] = throttledTask{GuardTask: running[i], percent: g.Percent(running[i].Key)}
+		out[i] = throttledTask{GuardTask: running[i], percent: g.CPUPercent(running[i].Key)}
 	}
 	sort.SliceStable(out, func(i, k int) bool {
 		if out[i].Urgent != out[k].Urgent {
@@ -302,7 +302,7 @@
 
 // predictedPressure returns the task's contribution to the pressure, as the
 // model predicts it at the task's current CPU limit.
-func (g *Guard) predictedPressure(r *Reading, t throttledTask) float64 {
+func (g *Guard) predictedPressure(r *ServiceReading, t throttledTask) float64 {
 	return r.Load * t.Share * g.cpuFraction(t.Key) * g.model.Slope(r.Service, t.Class)
 }
 
@@ -358,7 +358,7 @@
 // throttling order, and only as far as the model predicts at most
 // targetPressure. If no limit can be raised, it moves a task that has been at
 // the lowest limit for too long.
-func (g *Guard) unthrottle(now time.Time, r *Reading, running []GuardTask) []Action {
+func (g *Guard) unthrottle(now time.Time, r *ServiceReading, running []GuardTask) []Action {
 	var out []Action
 	headroom := targetPressure - r.Pressure
 	order := g.throttleOrder(r, running)
--- a/pkg/worker/guard_test.go
+++ b/pkg/worker/guard_test.go
@@ -57,7 +57,7 @@
 	case "run":
 		share, err := strconv.ParseFloat(words[3], 64)
 		s.running = append(s.running, worker.GuardTask{Key: words[1], Class: words[2], Share: share, Urgent: words[2] == "urgent"})
-		s.guard.Started(s.now, words[1])
+		s.guard.TaskStarted(s.now, words[1])
 		return err
 	case "end":
 		for i := range s.running {
@@ -90,10 +90,10 @@
 	}
 	for range int(v[0]) {
 		s.now = s.now.Add(time.Second)
-		for _, a := range s.guard.Decide(s.now, &worker.Reading{Service: "planner", Pressure: v[1], Load: v[2]}, s.running) {
+		for _, a := range s.guard.Decide(s.now, &worker.ServiceReading{Service: "planner", Pressure: v[1], Load: v[2]}, s.running) {
 			text := a.Key() + ":" + a.Kind().String()
 			if a.Kind() == worker.ActionThrottle {
-				text += "=" + strconv.Itoa(a.Percent())
+				text += "=" + strconv.Itoa(a.CPUPercent())
 			}
 			s.actions = append(s.actions, text)
 		}
@@ -103,8 +103,8 @@
 
 func TestGuardRemovesUnknownCPULimit(t *testing.T) {
 	var g worker.Guard
-	got := g.Decide(epoch, &worker.Reading{}, []worker.GuardTask{{Key: "a"}})
-	if len(got) != 1 || got[0].Kind() != worker.ActionThrottle || got[0].Percent() != 100 {
+	got := g.Decide(epoch, &worker.ServiceReading{}, []worker.GuardTask{{Key: "a"}})
+	if len(got) != 1 || got[0].Kind() != worker.ActionThrottle || got[0].CPUPercent() != 100 {
 		t.Errorf("got %v, want one throttle action with 100 percent", got)
 	}
 }
@@ -117,7 +117,7 @@
 	running := make([]worker.GuardTask, 8)
 	for i := range running {
 		running[i] = worker.GuardTask{Key: fmt.Sprint(i), Class: "archive", Share: 0.1}
-		g.Started(epoch, running[i].Key)
+		g.TaskStarted(epoch, running[i].Key)
 	}
 	moves := 0
 	for second := range 3600 {
@@ -125,7 +125,7 @@
 		if second/60%2 == 0 {
 			pressure = 1.2
 		}
-		r := worker.Reading{Service: "planner", Pressure: pressure, Load: 0.9}
+		r := worker.ServiceReading{Service: "planner", Pressure: pressure, Load: 0.9}
 		for _, a := range g.Decide(epoch.Add(time.Duration(second)*time.Second), &r, running) {
 			if a.Kind() == worker.ActionMove {
 				moves++
@@ -154,14 +154,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var tail worker.Tail
+			var tail worker.LatencyWindow
 			for range c.fast {
 				tail.Add(epoch, time.Millisecond)
 			}
 			for range c.slow {
 				tail.Add(epoch, time.Second)
 			}
-			got, ok := tail.Read(epoch.Add(c.age))
+			got, ok := tail.TailLatency(epoch.Add(c.age))
 			if got != c.want || ok != c.wantOK {
 				t.Errorf("got %v, %v, want %v, %v", got, ok, c.want, c.wantOK)
 			}
--- a/pkg/worker/health.go
+++ b/pkg/worker/health.go
@@ -38,9 +38,9 @@
 	probeAt      time.Time
 }
 
-// Failing returns the failure rate of the latest runs, from 0 to 1, as an
+// FailureRate returns the failure rate of the latest runs, from 0 to 1, as an
 // exponentially weighted moving average.
-func (h *Health) Failing() float64 { return h.failureRate }
+func (h *Health) FailureRate() float64 { return h.failureRate }
 
 // Suspect reports whether so many jobs have failed in a row that the worker
 // gets no tasks other than probes.
@@ -49,15 +49,15 @@
 // MayProbe reports whether a suspect worker is due to be probed with one task.
 func (h *Health) MayProbe(now time.Time) bool { return !now.Before(h.probeAt) }
 
-// Succeeded records a successful run. A suspect worker becomes healthy again.
-func (h *Health) Succeeded() {
+// RecordSuccess records a successful run. A suspect worker becomes healthy again.
+func (h *Health) RecordSuccess() {
 	h.failureRate *= 1 - newestOutcomeWeight
 	h.failedJobCount = 0
 	h.failedProbes = 0
 }
 
-// Failed records a failed run whose cause may be the worker.
-func (h *Health) Failed(now time.Time, job string) {
+// RecordFailure records a failed run whose cause may be the worker.
+func (h *Health) RecordFailure(now time.Time, job string) {
 	h.failureRate += (1 - h.failureRate) * newestOutcomeWeight
 	if h.Suspect() {
 		h.failedProbes++
@@ -82,10 +82,10 @@
 	workers []string
 }
 
-// Failed records that the job failed on worker, and reports whether the failure
+// RecordFailure records that the job failed on worker, and reports whether the failure
 // counts against the worker. It does not count once the job has already
 // failed on minWorkersForBadJob workers.
-func (f *JobFailures) Failed(worker string) bool {
+func (f *JobFailures) RecordFailure(worker string) bool {
 	blameWorker := len(f.workers) < minWorkersForBadJob
 	if !f.On(worker) {
 		f.workers = append(f.workers, worker)
--- a/pkg/worker/interference.go
+++ b/pkg/worker/interference.go
@@ -12,16 +12,16 @@
 	maxSlope = 20
 )
 
-// Pair is a latency-critical service and a batch class that runs beside it.
-type Pair struct {
+// ServiceClass is a latency-critical service and a batch class that runs beside it.
+type ServiceClass struct {
 	// Service is the name of the latency-critical service.
 	Service string
 	// Class is the name of the batch class.
 	Class string
 }
 
-// Part is a batch class's share of a worker's CPU.
-type Part struct {
+// ClassShare is a batch class's share of a worker's CPU.
+type ClassShare struct {
 	// Class is the name of the batch class.
 	Class string
 	// Share is the fraction of the worker's CPU that the class uses, from 0 to
@@ -36,21 +36,21 @@
 // The zero value has learned nothing.
 type Interference struct {
 	idlePressure map[string]float64
-	slopes       map[Pair]float64
+	slopes       map[ServiceClass]float64
 }
 
 // Slope returns the pressure that class adds to service when the service is at
 // full load and the class uses the whole CPU.
 func (m *Interference) Slope(service, class string) float64 {
-	if s, ok := m.slopes[Pair{Service: service, Class: class}]; ok {
+	if s, ok := m.slopes[ServiceClass{Service: service, Class: class}]; ok {
 		return s
 	}
 	return defaultSlope
 }
 
-// Expect returns the pressure that the model predicts at the given load, from 0
+// Predict returns the pressure that the model predicts at the given load, from 0
 // to 1.
-func (m *Interference) Expect(service string, load float64, parts []Part) float64 {
+func (m *Interference) Predict(service string, load float64, parts []ClassShare) float64 {
 	sum := m.idlePressure[service]
 	for _, p := range parts {
 		sum += load * p.Share * m.Slope(service, p.Class)
@@ -61,26 +61,26 @@
 // Observe corrects the model by one measured pressure, with a step of
 // normalised least mean squares: each class's slope changes in proportion to
 // load times its share.
-func (m *Interference) Observe(service string, load float64, parts []Part, pressure float64) {
+func (m *Interference) Observe(service string, load float64, parts []ClassShare, pressure float64) {
 	if m.idlePressure == nil {
 		m.idlePressure = make(map[string]float64)
-		m.slopes = make(map[Pair]float64)
+		m.slopes = make(map[ServiceClass]float64)
 	}
 	norm := 1.0
 	for _, p := range parts {
 		norm += load * p.Share * load * p.Share
 	}
-	step := learningRate * (pressure - m.Expect(service, load, parts)) / norm
+	step := learningRate * (pressure - m.Predict(service, load, parts)) / norm
 	m.idlePressure[service] = max(m.idlePressure[service]+step, 0)
 	for _, p := range parts {
-		pair := Pair{Service: service, Class: p.Class}
+		pair := ServiceClass{Service: service, Class: p.Class}
 		m.slopes[pair] = min(max(m.Slope(service, p.Class)+step*load*p.Share, 0), maxSlope)
 	}
 }
 
-// Estimate is a running mean of samples that fades old samples. The zero value
+// RunningMean is a running mean of samples that fades old samples. The zero value
 // has no sample.
-type Estimate struct {
+type RunningMean struct {
 	mean    float64
 	samples int
 }
@@ -90,13 +90,13 @@
 const maxMeanWeight = 50
 
 // Add adds one sample.
-func (e *Estimate) Add(v float64) {
+func (e *RunningMean) Add(v float64) {
 	e.samples = min(e.samples+1, maxMeanWeight)
 	e.mean += (v - e.mean) / float64(e.samples)
 }
 
 // Mean returns the mean, or fallback if there is no sample.
-func (e *Estimate) Mean(fallback float64) float64 {
+func (e *RunningMean) Mean(fallback float64) float64 {
 	if e.samples == 0 {
 		return fallback
 	}
--- a/pkg/worker/ledger.go
+++ b/pkg/worker/ledger.go
@@ -17,10 +17,10 @@
 	ErrBadSize = errors.New("a requested resource amount is negative")
 )
 
-// StartSettles is the longest time after its admission at which an
+// MaxStartDelay is the longest time after its admission at which an
 // unacknowledged start request may still reach the worker. Until then, a task
 // list that lacks the task does not prove that the task will not run.
-const StartSettles = 10 * time.Second
+const MaxStartDelay = 10 * time.Second
 
 // Grant is the amount of a worker's resources that one task may use.
 type Grant struct {
@@ -56,10 +56,10 @@
 	ready           bool
 }
 
-// AdmitFrom makes Rebuild leave the ledger unready if its task list was requested
+// RequireListingSince makes Rebuild leave the ledger unready if its task list was requested
 // before from. At that time, start requests sent by a previous agent
 // of the worker have arrived or never will.
-func (l *Ledger) AdmitFrom(from time.Time) { l.earliestListing = from }
+func (l *Ledger) RequireListingSince(from time.Time) { l.earliestListing = from }
 
 // Rebuild replaces the grants by the task list of the worker, which was
 // requested at asOf. A grant missing from the list is kept if its start request
@@ -95,14 +95,14 @@
 		return ErrBadSize
 	}
 	if e, ok := l.grants[key]; ok {
-		e.startSettledAt = now.Add(StartSettles)
+		e.startSettledAt = now.Add(MaxStartDelay)
 		l.grants[key] = e
 		return nil
 	}
 	if !size.Fits(l.Free()) {
 		return ErrNoRoom
 	}
-	l.grants[key] = grantState{size: size, startSettledAt: now.Add(StartSettles)}
+	l.grants[key] = grantState{size: size, startSettledAt: now.Add(MaxStartDelay)}
 	l.used = l.used.Plus(size)
 	return nil
 }
@@ -136,8 +136,8 @@
 // list.
 func (l *Ledger) Ready() bool { return l.ready }
 
-// Holds reports whether key has a grant.
-func (l *Ledger) Holds(key string) bool {
+// HasGrant reports whether key has a grant.
+func (l *Ledger) HasGrant(key string) bool {
 	_, ok := l.grants[key]
 	return ok
 }
--- a/pkg/worker/ledger_test.go
+++ b/pkg/worker/ledger_test.go
@@ -87,7 +87,7 @@
 					return
 				}
 				if rapid.Bool().Draw(t, "reply-lost") {
-					late := time.Duration(rapid.Int64Range(0, int64(worker.StartSettles)).Draw(t, "late"))
+					late := time.Duration(rapid.Int64Range(0, int64(worker.MaxStartDelay)).Draw(t, "late"))
 					w.delayed[key] = delayedStart{size: size, arrives: now.Add(late)}
 					return
 				}
@@ -119,8 +119,8 @@
 	}{
 		{"list requested before the admission", true, -time.Second, true},
 		{"list requested after the confirmation", true, time.Second, false},
-		{"unconfirmed and may still arrive", false, worker.StartSettles, true},
-		{"unconfirmed and too late to arrive", false, worker.StartSettles + 1, false},
+		{"unconfirmed and may still arrive", false, worker.MaxStartDelay, true},
+		{"unconfirmed and too late to arrive", false, worker.MaxStartDelay + 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 				l.Confirm(epoch, "a")
 			}
 			l.Rebuild(size, nil, epoch.Add(c.asOf))
-			if got := l.Holds("a"); got != c.want {
+			if got := l.HasGrant("a"); got != c.want {
 				t.Errorf("got grant %v, want %v", got, c.want)
 			}
 		})
@@ -164,7 +164,7 @@
 
 func TestLedgerWaitsForStartsOfPreviousAgent(t *testing.T) {
 	var l worker.Ledger
-	l.AdmitFrom(epoch.Add(time.Second))
+	l.RequireListingSince(epoch.Add(time.Second))
 	l.Rebuild(worker.Resources{MilliCPU: 1}, nil, epoch)
 	if got, want := l.Admit(epoch.Add(time.Second), "a", worker.Resources{}), worker.ErrNotReady; !errors.Is(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/pkg/worker/pacer.go
+++ b/pkg/worker/pacer.go
@@ -38,8 +38,8 @@
 	return pacerFullPercent
 }
 
-// OverFor returns for how long the target has been missed without a break.
-func (p *Pacer) OverFor(now time.Time) time.Duration {
+// TargetMissedFor returns for how long the target has been missed without a break.
+func (p *Pacer) TargetMissedFor(now time.Time) time.Duration {
 	if p.missedSince.IsZero() {
 		return 0
 	}
@@ -56,7 +56,7 @@
 	}
 	switch {
 	case now.Sub(p.changedAt) < pacerSettleTime:
-	case p.stopped && pressure <= pacerMaxPressure, !p.stopped && p.OverFor(now) >= pacerStopDelay:
+	case p.stopped && pressure <= pacerMaxPressure, !p.stopped && p.TargetMissedFor(now) >= pacerStopDelay:
 		p.stopped = !p.stopped
 		p.changedAt = now
 	}
--- a/pkg/worker/place.go
+++ b/pkg/worker/place.go
@@ -16,9 +16,9 @@
 	ErrTooLarge = errors.New("the task asks for more than any known worker has")
 )
 
-// SilentAfter is the age of a worker's last report above which it gets no new
+// MaxReportAge is the age of a worker's last report above which it gets no new
 // tasks.
-const SilentAfter = 4 * time.Second
+const MaxReportAge = 4 * time.Second
 
 // maxScored limits how many workers with enough free capacity are scored for
 // one task.
@@ -43,13 +43,13 @@
 	Key TaskKey
 	// Size is the declared size; the worker must have this much free capacity.
 	Size Resources
-	// Expected is the predicted resource use, or zero to use Size. It affects
+	// ExpectedUse is the predicted resource use, or zero to use Size. It affects
 	// only the score.
-	Expected Resources
+	ExpectedUse Resources
 	// Class is the task's batch class.
 	Class string
-	// Racks is the number of the job's other tasks in each rack.
-	Racks map[string]int
+	// TasksPerRack is the number of the job's other tasks in each rack.
+	TasksPerRack map[string]int
 	// Failures are the workers on which the job has failed; may be nil.
 	Failures *JobFailures
 }
@@ -71,8 +71,8 @@
 // Score returns the score of the chosen worker; lower is better.
 func (c *Choice) Score() float64 { return c.score }
 
-// Considered returns the number of workers that were scored.
-func (c *Choice) Considered() int { return c.workersScored }
+// WorkersScored returns the number of workers that were scored.
+func (c *Choice) WorkersScored() int { return c.workersScored }
 
 // Place chooses a worker for a task. Beginning at a random worker, it scores
 // the first maxScored workers that accept the task and have enough free
@@ -100,7 +100,7 @@
 		}
 	}
 	if best < 0 {
-		if f.FitsNone(t.Size) {
+		if f.ExceedsAllWorkers(t.Size) {
 			return c, ErrTooLarge
 		}
 		return c, ErrFleetFull
@@ -113,7 +113,7 @@
 // accepts reports whether the worker takes new tasks now, and in particular the
 // task identified by key.
 func (w *workerState) accepts(now time.Time, key TaskKey) bool {
-	if !w.hasReport || !w.report.Ready || w.report.Leaving || now.Sub(w.lastContact) > SilentAfter {
+	if !w.hasReport || !w.report.Ready || w.report.Draining || now.Sub(w.lastContact) > MaxReportAge {
 		return false
 	}
 	if w.reservedFor != key && now.Before(w.reservedUntil) {
@@ -128,13 +128,13 @@
 func (f *Fleet) score(now time.Time, i int, t *Task) float64 {
 	w := &f.workers[i]
 	r := &w.report
-	expected := t.Expected
+	expected := t.ExpectedUse
 	if expected == (Resources{}) {
 		expected = t.Size
 	}
 	cpuShare := share(expected.MilliCPU, r.Total.MilliCPU)
 	score := r.Load * cpuShare * f.interference.Slope(r.Service, t.Class)
-	score += weightUtilisation * w.allocated.Plus(expected).Dominant(Resources{MilliCPU: r.Total.MilliCPU, MemoryMB: r.Total.MemoryMB})
+	score += weightUtilisation * w.allocated.Plus(expected).DominantShare(Resources{MilliCPU: r.Total.MilliCPU, MemoryMB: r.Total.MemoryMB})
 	if t.Size.Accelerators == 0 && f.free[i].Accelerators > 0 {
 		score += weightAccelerator
 	}
@@ -142,9 +142,9 @@
 		score += weightOverObjective * (r.Pressure - 1)
 	}
 	score += weightReportAge * now.Sub(w.lastContact).Seconds()
-	score += weightFailureRate * w.health.Failing()
-	if len(t.Racks) > 0 {
-		score += weightRack * float64(t.Racks[r.Rack])
+	score += weightFailureRate * w.health.FailureRate()
+	if len(t.TasksPerRack) > 0 {
+		score += weightRack * float64(t.TasksPerRack[r.Rack])
 	}
 	if t.Failures != nil && t.Failures.On(r.Name) {
 		score += weightJobFailedHere
--- a/pkg/worker/preempt.go
+++ b/pkg/worker/preempt.go
@@ -9,12 +9,12 @@
 // preempt.
 const maxPreemptionCandidates = 64
 
-// Preempt chooses a worker on which stopping tasks makes enough room for an
+// FindPreemption chooses a worker on which stopping tasks makes enough room for an
 // urgent task of the given size, and the tasks to stop: as few as possible, and
 // the youngest, which lose the least work. It begins at the worker with index
 // start modulo the number of workers. It returns an empty name if there is no
 // such worker.
-func (f *Fleet) Preempt(now time.Time, key TaskKey, size Resources, start int) (string, []TaskKey) {
+func (f *Fleet) FindPreemption(now time.Time, key TaskKey, size Resources, start int) (string, []TaskKey) {
 	var worker string
 	var victims []TaskKey
 	examined := 0
@@ -64,10 +64,10 @@
 	return keys, size.Fits(free)
 }
 
-// ReserveFor returns the worker whose free capacity comes closest to size. The
+// FindReservation returns the worker whose free capacity comes closest to size. The
 // caller reserves it for a task that has waited too long. ReserveFor itself
 // reserves nothing.
-func (f *Fleet) ReserveFor(now time.Time, key TaskKey, size Resources) (string, bool) {
+func (f *Fleet) FindReservation(now time.Time, key TaskKey, size Resources) (string, bool) {
 	best := -1
 	var bestFree float64
 	for i := range f.workers {
@@ -75,7 +75,7 @@
 		if !w.accepts(now, key) || w.health.Suspect() || !size.Fits(w.report.Total) {
 			continue
 		}
-		if free := f.free[i].Max(Resources{}).Dominant(size); best < 0 || free > bestFree {
+		if free := f.free[i].Max(Resources{}).DominantShare(size); best < 0 || free > bestFree {
 			best, bestFree = i, free
 		}
 	}
--- a/pkg/worker/resources.go
+++ b/pkg/worker/resources.go
@@ -60,10 +60,10 @@
 	return r.MilliCPU >= 0 && r.MemoryMB >= 0 && r.Accelerators >= 0
 }
 
-// Dominant returns the largest fraction that r takes of whole over all
+// DominantShare returns the largest fraction that r takes of whole over all
 // dimensions that whole has any of (the dominant share of dominant resource
 // fairness).
-func (r Resources) Dominant(whole Resources) float64 {
+func (r Resources) DominantShare(whole Resources) float64 {
 	return max(share(r.MilliCPU, whole.MilliCPU), share(r.MemoryMB, whole.MemoryMB), share(r.Accelerators, whole.Accelerators))
 }
 
--- a/pkg/worker/tail.go
+++ b/pkg/worker/tail.go
@@ -27,15 +27,15 @@
 	took time.Duration
 }
 
-// Tail keeps the latest request latencies of the service beside a worker in a
+// LatencyWindow keeps the latest request latencies of the service beside a worker in a
 // ring buffer. The zero value is empty.
-type Tail struct {
+type LatencyWindow struct {
 	ring []latencySample
 	next int
 }
 
 // Add records the latency of a request that ended at now.
-func (t *Tail) Add(now time.Time, took time.Duration) {
+func (t *LatencyWindow) Add(now time.Time, took time.Duration) {
 	l := latencySample{at: now, took: took}
 	if len(t.ring) < maxLatencySamples {
 		t.ring = append(t.ring, l)
@@ -45,9 +45,9 @@
 	t.next = (t.next + 1) % maxLatencySamples
 }
 
-// Read returns the 99th percentile of the samples of the last 5 s, or false if
+// TailLatency returns the 99th percentile of the samples of the last 5 s, or false if
 // there are too few. With fewer than 200 samples it returns the second largest.
-func (t *Tail) Read(now time.Time) (time.Duration, bool) {
+func (t *LatencyWindow) TailLatency(now time.Time) (time.Duration, bool) {
 	took := make([]time.Duration, 0, len(t.ring))
 	for _, l := range t.ring {
 		if now.Sub(l.at) <= latencyWindow {
