--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,9 +61,9 @@
 
 	// mu guards what requests and heartbeats share.
 	mu       sync.Mutex
-	book     endpoint.Book
+	book     endpoint.DedupTable
 	gate     endpoint.Gate
-	times    endpoint.Times
+	times    endpoint.ServiceTimes
 	flights  map[endpoint.AttemptID]*flight
 	waiting  map[*endpoint.Ticket]*flight
 	leaving  bool
--- a/internal/agent/flight.go
+++ b/internal/agent/flight.go
@@ -57,7 +57,7 @@
 	case endpoint.Start:
 		f.granted <- endpoint.Start
 	case endpoint.Shed:
-		a.finish(now, f, endpoint.FateNotRun, nil)
+		a.finish(now, f, endpoint.AttemptNotRun, nil)
 		if a.leaving {
 			return f, admission, link.RefusalLeaving
 		}
@@ -74,7 +74,7 @@
 			priority, expected = c.Priority, c.Expected.Std()
 		}
 	}
-	mean, long := a.times.Expect(in.class, expected)
+	mean, long := a.times.Estimate(in.class, expected)
 	ticket := endpoint.NewTicket(in.class, in.team, priority, in.deadline, mean)
 	ticket.SetLong(long)
 	f := &flight{
@@ -112,14 +112,14 @@
 	f := a.waiting[t]
 	delete(a.waiting, t)
 	if v == endpoint.Shed {
-		a.finish(now, f, endpoint.FateNotRun, nil)
+		a.finish(now, f, endpoint.AttemptNotRun, nil)
 	}
 	f.granted <- v
 }
 
 // awaitSlot waits for a slot and returns why there is none, or "".
 func (a *Agent) awaitSlot(ctx context.Context, f *flight) string {
-	timer := time.NewTimer(time.Until(f.ticket.GiveUpAt()))
+	timer := time.NewTimer(time.Until(f.ticket.LatestStart()))
 	defer timer.Stop()
 	var verdict endpoint.Verdict
 	select {
@@ -142,14 +142,14 @@
 	defer a.mu.Unlock()
 	if a.gate.Cancel(now, f.ticket) {
 		delete(a.waiting, f.ticket)
-		a.finish(now, f, endpoint.FateNotRun, nil)
+		a.finish(now, f, endpoint.AttemptNotRun, nil)
 		return endpoint.Shed
 	}
 	return <-f.granted
 }
 
 // ended gives back the slot of an attempt that ran and notes its fate.
-func (a *Agent) ended(f *flight, fate endpoint.Fate, answer *endpoint.Answer) {
+func (a *Agent) ended(f *flight, fate endpoint.AttemptState, answer *endpoint.Response) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +166,7 @@
 }
 
 // finish notes an attempt's fate and wakes those attached; mu is held.
-func (a *Agent) finish(now time.Time, f *flight, fate endpoint.Fate, answer *endpoint.Answer) {
+func (a *Agent) finish(now time.Time, f *flight, fate endpoint.AttemptState, answer *endpoint.Response) {
 	a.book.Finish(now, f.id, fate, answer)
 	delete(a.flights, f.id)
 	close(f.end)
@@ -187,7 +187,7 @@
 			long++
 		}
 	}
-	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: long, Reserved: a.gate.Reserve()}
+	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: long, Reserved: a.gate.ReservedSlots()}
 }
 
 // runContext returns the context of the attempt's run. It does not end with
@@ -231,10 +231,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if q.Incarnation != a.incarnation {
-		return &link.FateReply{Fate: endpoint.FateUnknown.String()}, nil
+		return &link.FateReply{Fate: endpoint.AttemptUnknown.String()}, nil
 	}
 	id := endpoint.AttemptID{Request: q.Request, Attempt: q.Attempt}
-	fate := a.book.Ask(now, id, q.Mark)
+	fate := a.book.QueryOrFence(now, id, q.Mark)
 	if f := a.flights[id]; f != nil && q.Cancel {
 		fate = a.cancelFlight(now, f)
 	}
@@ -242,15 +242,15 @@
 }
 
 // cancelFlight ends an attempt where that is safe and returns its fate; mu is held.
-func (a *Agent) cancelFlight(now time.Time, f *flight) endpoint.Fate {
+func (a *Agent) cancelFlight(now time.Time, f *flight) endpoint.AttemptState {
 	if a.gate.Cancel(now, f.ticket) {
 		a.grant(now, f.ticket, endpoint.Shed)
-		return endpoint.FateNotRun
+		return endpoint.AttemptNotRun
 	}
 	if cancel := f.cancel.Load(); cancel != nil && f.repeatable {
 		(*cancel)()
 	}
-	return endpoint.FateRunning
+	return endpoint.AttemptRunning
 }
 
 // spool writes an answer to its asker and keeps it while it is small.
@@ -266,7 +266,7 @@
 	if resp.Body == http.NoBody {
 		return nil
 	}
-	if resp.ContentLength < 0 || resp.ContentLength > endpoint.AnswerBytes {
+	if resp.ContentLength < 0 || resp.ContentLength > endpoint.MaxResponseBytes {
 		_, err := io.Copy(s, resp.Body)
 		return err
 	}
@@ -281,7 +281,7 @@
 // Write implements io.Writer. An asker that is gone is an error only if the
 // answer is too large to be kept for the next one.
 func (s *spool) Write(p []byte) (int, error) {
-	if !s.large && len(s.kept)+len(p) <= endpoint.AnswerBytes {
+	if !s.large && len(s.kept)+len(p) <= endpoint.MaxResponseBytes {
 		s.kept = append(s.kept, p...)
 	} else {
 		s.large = true
@@ -297,9 +297,9 @@
 }
 
 // answer returns the kept answer, or nil.
-func (s *spool) answer(status int, header map[string][]string) *endpoint.Answer {
+func (s *spool) answer(status int, header map[string][]string) *endpoint.Response {
 	if s.large {
 		return nil
 	}
-	return endpoint.NewAnswer(status, header, s.kept)
+	return endpoint.NewResponse(status, header, s.kept)
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -177,16 +177,16 @@
 	var known []string
 	var newest uint64
 	for _, o := range answers {
-		newest = max(newest, o.reading.Lease.Heard)
+		newest = max(newest, o.reading.Lease.HeartbeatRound)
 	}
 	for _, o := range answers {
 		asks := time.Duration(o.reading.PaceMS) * time.Millisecond
-		a.pace = max(a.pace, min(asks, lease.MaxPace))
+		a.pace = max(a.pace, min(asks, lease.MaxHeartbeatInterval))
 		if o.reading.Leaving {
 			continue
 		}
 		known = append(known, o.reading.Entries...)
-		if o.reading.Lease.Heard+staleRounds < newest {
+		if o.reading.Lease.HeartbeatRound+staleRounds < newest {
 			continue
 		}
 		if a.primary == "" || o.entry == asked {
@@ -206,7 +206,7 @@
 	a.mu.Lock()
 	h.Leaving, h.Bundle, h.BundleVersion = a.leaving, a.chain.Digest(), a.chain.Version()
 	load := a.load()
-	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.book.Advance()
+	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.book.NextMark()
 	if s, ok := a.service(); ok {
 		h.Slots = s.Slots
 	}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -183,11 +183,11 @@
 	a.writeHeader(w, f.id, resp.StatusCode, header)
 	spool := &spool{to: w}
 	if err := spool.readFrom(resp); err != nil {
-		a.ended(f, endpoint.FateDone, nil)
+		a.ended(f, endpoint.AttemptDone, nil)
 		panic(http.ErrAbortHandler) // the entry must see that the body is cut off
 	}
 	a.learnTime(f, took)
-	a.ended(f, endpoint.FateDone, spool.answer(resp.StatusCode, header))
+	a.ended(f, endpoint.AttemptDone, spool.answer(resp.StatusCode, header))
 	if spool.failed != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -209,9 +209,9 @@
 // runnerFailed tells what is known of an attempt that the runner did not answer.
 func (a *Agent) runnerFailed(w http.ResponseWriter, f *flight, err error) {
 	var op *net.OpError
-	fate, outcome := endpoint.FateUnknown, problem.Unknown
+	fate, outcome := endpoint.AttemptUnknown, problem.Unknown
 	if errors.As(err, &op) && op.Op == "dial" {
-		fate, outcome = endpoint.FateNotRun, problem.NotRun
+		fate, outcome = endpoint.AttemptNotRun, problem.NotRun
 	}
 	a.ended(f, fate, nil)
 	a.log.Warn().Err(err).Str("request-id", f.id.Request).Msg("the runner did not answer")
@@ -234,8 +234,8 @@
 // replay hands out the kept answer of an attempt that has ended.
 func (a *Agent) replay(w http.ResponseWriter, id endpoint.AttemptID) {
 	a.mu.Lock()
-	answer := a.book.Kept(id)
-	fate := a.book.Ask(time.Now(), id, 0)
+	answer := a.book.Response(id)
+	fate := a.book.QueryOrFence(time.Now(), id, 0)
 	a.mu.Unlock()
 	if answer == nil {
 		a.refuse(w, id, link.RefusalFate, outcomeOf(fate), "the answer of the attempt is not kept")
@@ -247,11 +247,11 @@
 	}
 }
 
-func outcomeOf(f endpoint.Fate) problem.Outcome {
+func outcomeOf(f endpoint.AttemptState) problem.Outcome {
 	switch f {
-	case endpoint.FateNotRun:
+	case endpoint.AttemptNotRun:
 		return problem.NotRun
-	case endpoint.FateDone:
+	case endpoint.AttemptDone:
 		return problem.Run
 	}
 	return problem.Unknown
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -21,7 +21,7 @@
 		t := &l.Tasks[i]
 		out.Tasks[i] = lease.Task{
 			Hold: t.Hold(), Size: t.Size, State: stateOf(t.State), Ref: t.Ref, Detail: t.Detail,
-			Until: time.Duration(t.UntilMS) * time.Millisecond, Terms: lease.FromMS(t.TakeoverMS),
+			Until: time.Duration(t.UntilMS) * time.Millisecond, Terms: lease.TermsFromMS(t.TakeoverMS),
 		}
 	}
 	return out
@@ -36,7 +36,7 @@
 	case services.TaskStopped:
 		return lease.Stopped
 	default:
-		return lease.Runs
+		return lease.Running
 	}
 }
 
@@ -46,8 +46,8 @@
 	leaving := a.leaving
 	a.mu.Unlock()
 	for _, o := range answers {
-		for _, d := range a.holder.Follow(time.Now(), &o.reading.Lease, leaving) {
-			a.log.Info().Str("decision", d.Name()).Str("task", d.Hold().String()).Str("entry", o.entry).Str("reason", d.Reason()).Msg("")
+		for _, d := range a.holder.Apply(time.Now(), &o.reading.Lease, leaving) {
+			a.log.Info().Str("decision", d.Name()).Str("task", d.Assignment().String()).Str("entry", o.entry).Str("reason", d.Reason()).Msg("")
 		}
 	}
 	a.act(ctx, a.holder.Actions())
@@ -58,12 +58,12 @@
 func (a *Agent) act(ctx context.Context, actions []lease.Action) {
 	var renewals []services.Renewal
 	for _, c := range actions {
-		if c.Act() == lease.ActRenew {
-			renewals = append(renewals, services.Renewal{Key: taskKey(c.Hold()), UntilMS: c.Until().Milliseconds()})
+		if c.Kind() == lease.ActionRenew {
+			renewals = append(renewals, services.Renewal{Key: taskKey(c.Assignment()), UntilMS: c.LeaseEnd().Milliseconds()})
 			continue
 		}
 		if err := a.actOn(ctx, &c); err != nil {
-			a.log.Warn().Err(err).Str("task", taskKey(c.Hold())).Str("call", c.Act().String()).Msg("call to the worker failed")
+			a.log.Warn().Err(err).Str("task", taskKey(c.Assignment())).Str("call", c.Kind().String()).Msg("call to the worker failed")
 		}
 	}
 	if len(renewals) == 0 {
@@ -75,25 +75,25 @@
 }
 
 func (a *Agent) actOn(ctx context.Context, c *lease.Action) error {
-	key := taskKey(c.Hold())
-	switch c.Act() {
-	case lease.ActStart:
+	key := taskKey(c.Assignment())
+	switch c.Kind() {
+	case lease.ActionStart:
 		if err := a.worker.Start(ctx, startOrder(c)); err != nil {
 			return err
 		}
 		a.guard.decide.TaskStarted(time.Now(), key)
 		return nil
-	case lease.ActCheckpoint:
+	case lease.ActionCheckpoint:
 		_, err := a.worker.Checkpoint(ctx, key)
 		return err
-	case lease.ActCheckpointStop:
+	case lease.ActionCheckpointStop:
 		if _, err := a.worker.Checkpoint(ctx, key); err != nil {
 			a.log.Warn().Err(err).Str("task", key).Msg("checkpoint before a stop failed")
 		}
 		return a.stopTask(ctx, key)
-	case lease.ActStop:
+	case lease.ActionStop:
 		return a.stopTask(ctx, key)
-	case lease.ActRemove:
+	case lease.ActionRemove:
 		return a.worker.Remove(ctx, key)
 	}
 	return nil
@@ -109,7 +109,7 @@
 	return services.StartOrder{
 		WorkerTask: services.WorkerTask{
 			Job: o.Hold.Task.Job, Index: o.Hold.Task.Index, Epoch: uint64(o.Hold.Epoch), Size: o.Spec.Size, Ref: o.Checkpoint,
-			UntilMS: c.Until().Milliseconds(), TakeoverMS: o.Spec.TakeoverMS, Class: o.Spec.Class,
+			UntilMS: c.LeaseEnd().Milliseconds(), TakeoverMS: o.Spec.TakeoverMS, Class: o.Spec.Class,
 		},
 		Payload: o.Spec.Payload,
 	}
--- a/internal/bench/capacity/capacity.go
+++ b/internal/bench/capacity/capacity.go
@@ -72,7 +72,7 @@
 	tasksPerWorker := float64(targetTasks) / targetWorkers
 	kept := float64(targetJobsPerDay) / targetDataCentres * keptJobHours / 24
 	heard := workers * toldEntries / entriesPerDataCentre
-	period := lease.Pace(int(heard)).Seconds()
+	period := lease.HeartbeatInterval(int(heard)).Seconds()
 	heartbeats := heard / period
 	perHeartbeat := m.sent.at(tasksPerWorker) + m.received.at(tasksPerWorker)
 	return []Line{
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -191,7 +191,7 @@
 		began := processorTime()
 		for i := range requests {
 			now := epoch.Add(time.Duration(i) * time.Microsecond)
-			t := r.Ticket(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
+			t := r.NewTicket(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
 			if d := r.Offer(now, random, t, ""); d.Endpoint != nil {
 				r.Table().Done(d.Endpoint, t)
 			}
--- a/internal/bench/capacity/wire.go
+++ b/internal/bench/capacity/wire.go
@@ -108,7 +108,7 @@
 	}
 	for i := range tasks {
 		task := record.TaskID{Job: fmt.Sprintf("%020x", i), Index: 0}
-		h.Tasks = append(h.Tasks, lease.Report{Hold: record.Hold{Task: task, Epoch: record.At(uint64(1000+i), 1)}, State: lease.Runs})
+		h.Tasks = append(h.Tasks, lease.Report{Hold: record.Hold{Task: task, Epoch: record.At(uint64(1000+i), 1)}, State: lease.Running})
 	}
 	return w.client.Call(ctx, w.counter.address(), link.PathHeartbeat, h, new(link.Reading))
 }
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -182,7 +182,7 @@
 		hold := record.Hold{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
 		assign.Placements = append(assign.Placements, record.Placement{Task: hold.Task, Worker: name})
 		started.Holds = append(started.Holds, hold)
-		h.Tasks = append(h.Tasks, lease.Report{Hold: hold, State: lease.Runs})
+		h.Tasks = append(h.Tasks, lease.Report{Hold: hold, State: lease.Running})
 	}
 	c.heartbeats = append(c.heartbeats, h)
 	data, err := record.Encode(name, 1, []record.Message{&record.Submit{Spec: spec}, assign, started})
--- a/internal/bench/request/route.go
+++ b/internal/bench/request/route.go
@@ -28,7 +28,7 @@
 			Name: fmt.Sprintf("worker-%d", i), Incarnation: 1, Slots: slots, Load: endpoint.Load{InFlight: random.IntN(slots)},
 		})
 	}
-	t := r.Ticket(now, "preview", "team", 9, now.Add(time.Second), time.Millisecond)
+	t := r.NewTicket(now, "preview", "team", 9, now.Add(time.Second), time.Millisecond)
 	best := time.Duration(1 << 62)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/bench/request/routed.go
+++ b/internal/bench/request/routed.go
@@ -22,7 +22,7 @@
 	index int
 	name  string
 	gate  endpoint.Gate
-	times endpoint.Times
+	times endpoint.ServiceTimes
 	// waits holds the attempts that wait for a slot; long counts the long ones.
 	waits map[*endpoint.Ticket]*try
 	long  int
@@ -63,7 +63,7 @@
 }
 
 func (a *gatekeeper) load() endpoint.Load {
-	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: a.gate.RunningLong() + a.long, Reserved: a.gate.Reserve()}
+	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: a.gate.RunningLong() + a.long, Reserved: a.gate.ReservedSlots()}
 }
 
 func (a *gatekeeper) report() endpoint.Report {
@@ -87,7 +87,7 @@
 }
 
 func (p *routed) arrive(c *call) {
-	p.routers[c.entry].Budget().First()
+	p.routers[c.entry].RetryBudget().RecordFirstAttempt()
 	p.offer(c)
 }
 
@@ -95,7 +95,7 @@
 	s := p.s
 	k := &s.deployment.classes[c.class]
 	r := p.routers[c.entry]
-	t := r.Ticket(s.now, k.name, "team", k.priority, c.deadline, k.declared)
+	t := r.NewTicket(s.now, k.name, "team", k.priority, c.deadline, k.declared)
 	skip := ""
 	if c.skip >= 0 {
 		skip = p.agents[c.skip].name
@@ -111,7 +111,7 @@
 		s.settle(c, refused)
 	case endpoint.Wait:
 		p.waiting[c.entry][t] = c
-		s.at(t.GiveUpAt().Sub(s.now), func() {
+		s.at(t.LatestStart().Sub(s.now), func() {
 			if r.Cancel(t) {
 				p.refuse(c.entry, t)
 			}
@@ -156,7 +156,7 @@
 func (a *gatekeeper) receive(y *try) {
 	s := a.p.s
 	k := &s.deployment.classes[y.c.class]
-	mean, long := a.times.Expect(k.name, k.declared)
+	mean, long := a.times.Estimate(k.name, k.declared)
 	y.ticket = endpoint.NewTicket(k.name, "team", k.priority, y.c.deadline, mean)
 	y.ticket.SetLong(long)
 	verdict, victim, _ := a.gate.Offer(s.now, y.ticket)
@@ -173,7 +173,7 @@
 		if long {
 			a.long++
 		}
-		s.at(y.ticket.GiveUpAt().Sub(s.now), func() {
+		s.at(y.ticket.LatestStart().Sub(s.now), func() {
 			if a.gate.Cancel(s.now, y.ticket) {
 				a.withdraw(y.ticket)
 			}
@@ -228,24 +228,24 @@
 	s, c := p.s, y.c
 	router := p.routers[c.entry]
 	table := router.Table()
-	table.Note(y.target, r.load)
+	table.UpdateLoad(y.target, r.load)
 	router.Done(y.target, y.entry)
 	switch {
 	case r.ok:
-		table.Succeed(s.now, y.target)
-		table.Accepted(y.target)
-		router.Learn(s.now, y.target, y.entry.Class(), r.spent)
+		table.RecordSuccess(s.now, y.target)
+		table.RecordAcceptance(y.target)
+		router.RecordServiceTime(s.now, y.target, y.entry.Class(), r.spent)
 		s.settle(c, answered)
 	case r.full:
-		table.Refused(y.target)
+		table.RecordRefusal(y.target)
 	default:
-		table.Fail(s.now, s.random, y.target)
+		table.RecordFailure(s.now, s.random, y.target)
 	}
 	p.pump(c.entry)
 	if c.settled {
 		return
 	}
-	if c.attempt >= mostAttempts || !router.Budget().Take(s.now) {
+	if c.attempt >= mostAttempts || !router.RetryBudget().Take(s.now) {
 		s.settle(c, refused)
 		return
 	}
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -83,7 +83,7 @@
 	said, uses := report(h)
 	j.scheduler.ApplyReport(now, said, uses)
 	j.taker.Heard(h.Worker, now)
-	reading.PaceMS = lease.Pace(j.live(now)).Milliseconds()
+	reading.PaceMS = lease.HeartbeatInterval(j.live(now)).Milliseconds()
 	answer, records := j.relay.Answer(now, &j.fold, &job.Beat{
 		Worker: h.Worker, Incarnation: h.Incarnation, Round: h.Round,
 		Ready: h.Ready, Primary: h.Primary, Reports: h.Tasks,
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -25,7 +25,7 @@
 	service *bundle.Service
 	class   *bundle.RequestClass
 	body    []byte
-	course  endpoint.Course
+	course  endpoint.AttemptTracker
 }
 
 func (e *Entry) serveRequest(w http.ResponseWriter, r *http.Request) {
@@ -44,13 +44,13 @@
 	e.routes.first(q.service.Name)
 	skip := ""
 	for {
-		n := q.course.Begin()
+		n := q.course.BeginAttempt()
 		t, d, err := e.routes.await(ctx, q, deadline, skip)
 		if err != nil {
-			q.course.Refused(endpoint.FateNotRun)
+			q.course.RecordRefusal(endpoint.AttemptNotRun)
 			p := problem.New(http.StatusServiceUnavailable, "", d.Reason)
 			p.RetryAfter = d.RetryAfter
-			p.Outcome = outcomeOf(q.course.Fate())
+			p.Outcome = outcomeOf(q.course.State())
 			e.logShed(q, n, d.Reason)
 			p.Write(w)
 			return
@@ -73,7 +73,7 @@
 // again reports whether another attempt is safe and allowed, and waits for its turn.
 func (e *Entry) again(ctx context.Context, q *request, t target, out *outcome) bool {
 	n := q.course.Attempt()
-	safe := q.course.Again(ctx.Err() != nil)
+	safe := q.course.MayRetry(ctx.Err() != nil)
 	var backoff time.Duration
 	allowed := false
 	if safe {
@@ -147,7 +147,7 @@
 		problem.New(http.StatusRequestEntityTooLarge, "body", "the body is cut off or over the service's limit").Write(w)
 		return nil, 0, false
 	}
-	q := &request{id: rand.Text(), team: team.Name, service: service, class: class, body: body, course: endpoint.NewCourse(repeat == "")}
+	q := &request{id: rand.Text(), team: team.Name, service: service, class: class, body: body, course: endpoint.NewAttemptTracker(repeat == "")}
 	return q, deadline, true
 }
 
--- a/internal/entry/request_answer.go
+++ b/internal/entry/request_answer.go
@@ -37,7 +37,7 @@
 		a.close()
 		return a, nil
 	}
-	if resp.ContentLength > endpoint.AnswerBytes {
+	if resp.ContentLength > endpoint.MaxResponseBytes {
 		return a, nil
 	}
 	var err error
@@ -45,13 +45,13 @@
 		a.body = make([]byte, resp.ContentLength)
 		_, err = io.ReadFull(resp.Body, a.body)
 	} else {
-		a.body, err = io.ReadAll(io.LimitReader(resp.Body, endpoint.AnswerBytes+1))
+		a.body, err = io.ReadAll(io.LimitReader(resp.Body, endpoint.MaxResponseBytes+1))
 	}
 	if err != nil {
 		_ = resp.Body.Close()
 		return nil, err
 	}
-	if len(a.body) <= endpoint.AnswerBytes {
+	if len(a.body) <= endpoint.MaxResponseBytes {
 		a.close()
 	}
 	return a, nil
--- a/internal/entry/request_attempt.go
+++ b/internal/entry/request_attempt.go
@@ -77,14 +77,14 @@
 		}
 		if errors.Is(err, errSlow) {
 			q.course.Abandon()
-			return e.unanswered(ctx, q.course.Fate(), err)
+			return e.unanswered(ctx, q.course.State(), err)
 		}
-		step := q.course.Lost(connected)
-		if step == endpoint.StepAsk {
-			step = q.course.Asked(e.askFate(ctx, q, t, n), ctx.Err() != nil)
+		step := q.course.RecordNoResponse(connected)
+		if step == endpoint.StepQuery {
+			step = q.course.RecordQueryResult(e.askFate(ctx, q, t, n), ctx.Err() != nil)
 		}
 		if step == endpoint.StepEnd {
-			return e.unanswered(ctx, q.course.Fate(), err)
+			return e.unanswered(ctx, q.course.State(), err)
 		}
 		transport = e.agents.Fresh()
 	}
@@ -133,7 +133,7 @@
 		} else {
 			failures = 0
 		}
-		if err == nil && fate != endpoint.FateRunning || failures > fateTries {
+		if err == nil && fate != endpoint.AttemptRunning || failures > fateTries {
 			if !delay.For(ctx, settleTime) || x.answered.Load() {
 				return
 			}
@@ -144,7 +144,7 @@
 			x.cancel(errSilent)
 			return
 		}
-		if elapsed := time.Since(started); elapsed >= patience*t.ticket.Expected() && elapsed < timeLeft(ctx) && e.abandon(ctx, x, q, t, n) {
+		if elapsed := time.Since(started); elapsed >= patience*t.ticket.ServiceTime() && elapsed < timeLeft(ctx) && e.abandon(ctx, x, q, t, n) {
 			return
 		}
 		wait = min(2*wait, silenceMost)
@@ -211,31 +211,31 @@
 		return out
 	}
 	a.close()
-	q.course.Refused(endpoint.ParseFate(string(a.outcome)))
+	q.course.RecordRefusal(endpoint.ParseAttemptState(string(a.outcome)))
 	out.result.failed = out.result.refusal == link.RefusalRunner
 	out.problem = problem.New(http.StatusBadGateway, "", "the endpoint did not answer the request")
-	if q.course.Fate() == endpoint.FateNotRun {
+	if q.course.State() == endpoint.AttemptNotRun {
 		out.problem = problem.New(http.StatusServiceUnavailable, "", "no endpoint could take the request")
 		out.problem.RetryAfter = time.Second
 	}
-	out.problem.Outcome = outcomeOf(q.course.Fate())
+	out.problem.Outcome = outcomeOf(q.course.State())
 	return out
 }
 
-func outcomeOf(f endpoint.Fate) problem.Outcome {
+func outcomeOf(f endpoint.AttemptState) problem.Outcome {
 	switch f {
-	case endpoint.FateNotRun:
+	case endpoint.AttemptNotRun:
 		return problem.NotRun
-	case endpoint.FateDone:
+	case endpoint.AttemptDone:
 		return problem.Run
 	}
 	return problem.Unknown
 }
 
 // unanswered says what an attempt without an answer means.
-func (e *Entry) unanswered(ctx context.Context, fate endpoint.Fate, err error) outcome {
+func (e *Entry) unanswered(ctx context.Context, fate endpoint.AttemptState, err error) outcome {
 	p := problem.New(http.StatusBadGateway, "", "the endpoint did not answer")
-	if fate == endpoint.FateNotRun {
+	if fate == endpoint.AttemptNotRun {
 		p = problem.New(http.StatusServiceUnavailable, "", "the endpoint could not be reached")
 		p.RetryAfter = time.Second
 	}
@@ -250,7 +250,7 @@
 
 // askFate asks the agent over new connections what became of an attempt. If
 // nobody waits for it any more, it is cancelled where that is safe.
-func (e *Entry) askFate(ctx context.Context, q *request, t target, n uint32) endpoint.Fate {
+func (e *Entry) askFate(ctx context.Context, q *request, t target, n uint32) endpoint.AttemptState {
 	over := ctx.Err() != nil
 	for range fateTries {
 		fate, err := e.askOnce(context.WithoutCancel(ctx), q, t, n, over)
@@ -258,16 +258,16 @@
 			return fate
 		}
 	}
-	return endpoint.FateUnknown
+	return endpoint.AttemptUnknown
 }
 
-func (e *Entry) askOnce(ctx context.Context, q *request, t target, n uint32, cancelIt bool) (endpoint.Fate, error) {
+func (e *Entry) askOnce(ctx context.Context, q *request, t target, n uint32, cancelIt bool) (endpoint.AttemptState, error) {
 	ctx, cancel := context.WithTimeout(ctx, fateTimeout)
 	defer cancel()
 	in := &link.FateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelIt}
 	var out link.FateReply
 	if err := e.agents.CallFresh(ctx, t.address, link.PathFate, in, &out); err != nil {
-		return endpoint.FateUnknown, err
+		return endpoint.AttemptUnknown, err
 	}
-	return endpoint.ParseFate(out.Fate), nil
+	return endpoint.ParseAttemptState(out.Fate), nil
 }
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range d.Services {
-		if !r.router(d.Services[i].Name).Table().Takes(now) {
+		if !r.router(d.Services[i].Name).Table().HasUsable(now) {
 			return false
 		}
 	}
@@ -69,7 +69,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	p := r.router(q.service.Name)
-	ticket := p.Ticket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
+	ticket := p.NewTicket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
 	d := p.Offer(now, r.random, ticket, skip)
 	if d.Victim != nil {
 		r.wake(d.Victim, endpoint.Decision{Verdict: endpoint.Shed, Reason: "a more important request took its place", RetryAfter: time.Second})
@@ -108,7 +108,7 @@
 
 // wait blocks until the request is sent or refused.
 func (r *routes) wait(ctx context.Context, p *endpoint.Router, ticket *endpoint.Ticket, granted chan endpoint.Decision) endpoint.Decision {
-	timer := time.NewTimer(time.Until(ticket.GiveUpAt()))
+	timer := time.NewTimer(time.Until(ticket.LatestStart()))
 	defer timer.Stop()
 	select {
 	case d := <-granted:
@@ -165,23 +165,23 @@
 	table := p.Table()
 	current := t.endpoint.Incarnation() == t.incarnation
 	if current && res.hasLoad {
-		table.Note(t.endpoint, res.load)
+		table.UpdateLoad(t.endpoint, res.load)
 	}
 	p.Done(t.endpoint, t.ticket)
 	ejected := false
 	switch {
 	case !current:
 	case res.refusal == link.RefusalLeaving:
-		table.SetLeaving(t.endpoint)
+		table.SetDraining(t.endpoint)
 	case res.refusal == link.RefusalFull:
-		table.Refused(t.endpoint)
+		table.RecordRefusal(t.endpoint)
 	case res.failed:
-		ejected = table.Fail(now, r.random, t.endpoint)
+		ejected = table.RecordFailure(now, r.random, t.endpoint)
 	case res.answer:
-		table.Succeed(now, t.endpoint)
-		table.Accepted(t.endpoint)
+		table.RecordSuccess(now, t.endpoint)
+		table.RecordAcceptance(t.endpoint)
 		if res.took > 0 {
-			p.Learn(now, t.endpoint, t.ticket.Class(), res.took)
+			p.RecordServiceTime(now, t.endpoint, t.ticket.Class(), res.took)
 		}
 	}
 	r.pump(now, p)
@@ -192,14 +192,14 @@
 func (r *routes) first(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.router(service).Budget().First()
+	r.router(service).RetryBudget().RecordFirstAttempt()
 }
 
 // retry reports whether the budget allows a retry, and after what delay.
 func (r *routes) retry(now time.Time, service string, retry int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.router(service).Budget().Take(now) {
+	if !r.router(service).RetryBudget().Take(now) {
 		return 0, false
 	}
 	return endpoint.RetryDelay(r.random, retry), true
@@ -215,9 +215,9 @@
 	p := r.router(h.Service)
 	p.Table().Observe(now, endpoint.Report{
 		Name: h.Worker, DataCentre: dataCentre, Service: h.Service, Address: h.Address,
-		Incarnation: h.Incarnation, Mark: h.Mark, Slots: h.Slots, Leaving: h.Leaving,
+		Incarnation: h.Incarnation, Mark: h.Mark, Slots: h.Slots, Draining: h.Leaving,
 		Load: endpoint.Load{InFlight: h.InFlight, Long: h.InFlightLong, Reserved: h.Reserved},
 	})
-	p.Table().Forget(now)
+	p.Table().Prune(now)
 	r.pump(now, p)
 }
--- a/internal/entry/spill.go
+++ b/internal/entry/spill.go
@@ -26,7 +26,7 @@
 type spills struct {
 	// mu is taken after routes.mu.
 	mu       sync.Mutex
-	services map[string]*endpoint.Neighbours
+	services map[string]*endpoint.RemoteDataCentres
 	trips    map[string]*roundTrip
 }
 
@@ -93,7 +93,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.services == nil {
-		s.services = make(map[string]*endpoint.Neighbours)
+		s.services = make(map[string]*endpoint.RemoteDataCentres)
 		s.trips = make(map[string]*roundTrip)
 	}
 	if s.trips[dataCentre] == nil {
@@ -102,9 +102,9 @@
 	trip := s.trips[dataCentre].note(took)
 	for _, v := range reply.Services {
 		if s.services[v.Service] == nil {
-			s.services[v.Service] = new(endpoint.Neighbours)
+			s.services[v.Service] = new(endpoint.RemoteDataCentres)
 		}
-		s.services[v.Service].Observe(now, endpoint.Sum{
+		s.services[v.Service].Observe(now, endpoint.DataCentreLoad{
 			DataCentre: dataCentre, Slots: v.Slots, InFlight: v.InFlight, Entries: reply.Askers, RoundTrip: trip,
 		})
 	}
@@ -123,7 +123,7 @@
 	e.routes.mu.Lock()
 	defer e.routes.mu.Unlock()
 	for name, r := range e.routes.routers {
-		slots, inFlight := r.Sum(now)
+		slots, inFlight := r.TotalLoad(now)
 		reply.Services = append(reply.Services, link.ServiceSum{Service: name, Slots: slots, InFlight: inFlight})
 	}
 	return reply, nil
@@ -146,12 +146,12 @@
 // repeatable requests from callers leave: if the way is lost, nobody can say
 // what became of one there.
 func (e *Entry) spillTo(now time.Time, r *http.Request, q *request, deadline time.Time) string {
-	if r.TLS != nil || !q.course.Repeat() {
+	if r.TLS != nil || !q.course.MayRepeat() {
 		return ""
 	}
 	e.routes.mu.Lock()
 	router := e.routes.router(q.service.Name)
-	wait, ok := router.Delay(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
+	wait, ok := router.EstimateWait(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
 	e.routes.mu.Unlock()
 	if !ok {
 		wait = deadline.Sub(now)
@@ -185,7 +185,7 @@
 	if err != nil {
 		return false
 	}
-	q.course.Begin()
+	q.course.BeginAttempt()
 	out.URL.RawQuery = r.URL.RawQuery
 	link.CopyHeader(out.Header, r.Header)
 	out.Header.Set(link.HeaderClass, q.class.Name)
@@ -201,7 +201,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if outcome := resp.Header.Get(problem.HeaderOutcome); outcome != string(problem.Run) {
-		q.course.Refused(endpoint.ParseFate(outcome))
+		q.course.RecordRefusal(endpoint.ParseAttemptState(outcome))
 		return false
 	}
 	link.CopyHeader(w.Header(), resp.Header)
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -60,7 +60,7 @@
 	e.routes.mu.Lock()
 	for service, p := range e.routes.routers {
 		p.Table().Each(func(p *endpoint.Endpoint) {
-			s.Endpoints = append(s.Endpoints, EndpointStatus{Name: p.Name(), Service: service, InFlight: p.InFlight(), Leaving: p.Leaving()})
+			s.Endpoints = append(s.Endpoints, EndpointStatus{Name: p.Name(), Service: service, InFlight: p.InFlight(), Leaving: p.Draining()})
 		})
 	}
 	e.routes.mu.Unlock()
--- a/internal/explore/batch/agent.go
+++ b/internal/explore/batch/agent.go
@@ -93,9 +93,9 @@
 			Worker: a.name, Incarnation: a.incarnation, Round: a.holder.Round(),
 			Ready: a.holder.Ledger().Ready(), Primary: i == a.primary, Reports: reports,
 		}
-		a.tell(e, b, func(r *lease.Reading) {
+		a.tell(e, b, func(r *lease.LogReading) {
 			if !closed {
-				a.holder.Follow(a.host.clock(), r, a.leaving)
+				a.holder.Apply(a.host.clock(), r, a.leaving)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 	return 4 * usualDelay
 }
 
-func (a *agent) tell(e *entry, b *job.Beat, done func(*lease.Reading)) {
+func (a *agent) tell(e *entry, b *job.Beat, done func(*lease.LogReading)) {
 	if a.w.isCut(a.name, e.name) {
 		return
 	}
--- a/internal/explore/batch/clock.go
+++ b/internal/explore/batch/clock.go
@@ -67,7 +67,7 @@
 
 // drift returns a random clock rate within the protocol's bound.
 func (w *world) drift() float64 {
-	return 1 + (2*w.random.Float64()-1)*lease.MaxDrift
+	return 1 + (2*w.random.Float64()-1)*lease.MaxClockDrift
 }
 
 // clock returns the host's monotonic clock; it stands still during a pause.
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func (e *entry) heartbeat(b *job.Beat) lease.Reading {
+func (e *entry) heartbeat(b *job.Beat) lease.LogReading {
 	now := e.host.clock()
 	e.heard[b.Worker] = now
 	e.taker.Heard(b.Worker, now)
--- a/internal/explore/batch/machine.go
+++ b/internal/explore/batch/machine.go
@@ -24,7 +24,7 @@
 }
 
 type running struct {
-	order lease.Order
+	order lease.StartOrder
 	state lease.State
 	until time.Duration
 	done  time.Duration
@@ -66,7 +66,7 @@
 func (m *machine) advance(hold record.Hold, t *running) {
 	from, now := t.seen, m.w.now
 	t.seen = now
-	if t.state != lease.Runs {
+	if t.state != lease.Running {
 		return
 	}
 	end := min(now, m.trueTime(t.until))
@@ -88,7 +88,7 @@
 	for hold, t := range m.tasks {
 		l.Tasks = append(l.Tasks, lease.Task{
 			Hold: hold, Size: t.order.Spec.Size, State: t.state, Ref: ref(t.saved), Until: t.until,
-			Terms: lease.FromMS(t.order.Spec.TakeoverMS),
+			Terms: lease.TermsFromMS(t.order.Spec.TakeoverMS),
 		})
 	}
 	slices.SortFunc(l.Tasks, func(a, b lease.Task) int { return a.Hold.Compare(b.Hold) })
@@ -108,45 +108,45 @@
 		return
 	}
 	m.progress()
-	t := m.tasks[a.Hold()]
-	if a.Act() == lease.ActStart {
+	t := m.tasks[a.Assignment()]
+	if a.Kind() == lease.ActionStart {
 		m.start(a)
 		return
 	}
 	if t == nil {
 		return
 	}
-	switch a.Act() {
-	case lease.ActRenew:
-		t.until = max(t.until, a.Until())
-	case lease.ActCheckpoint:
+	switch a.Kind() {
+	case lease.ActionRenew:
+		t.until = max(t.until, a.LeaseEnd())
+	case lease.ActionCheckpoint:
 		t.saved = t.done
-	case lease.ActCheckpointStop:
+	case lease.ActionCheckpointStop:
 		t.saved = t.done
 		m.stop(t)
-	case lease.ActStop:
+	case lease.ActionStop:
 		m.stop(t)
-	case lease.ActRemove:
+	case lease.ActionRemove:
 		if t.state.Ended() {
-			delete(m.tasks, a.Hold())
+			delete(m.tasks, a.Assignment())
 		}
 	}
 }
 
 func (m *machine) stop(t *running) {
-	if t.state == lease.Runs {
+	if t.state == lease.Running {
 		t.state = lease.Stopped
 	}
 }
 
 // start runs a task unless it is listed or its lease has ended.
 func (m *machine) start(a *lease.Action) {
-	if m.tasks[a.Hold()] != nil || a.Until() <= m.uptime() {
+	if m.tasks[a.Assignment()] != nil || a.LeaseEnd() <= m.uptime() {
 		return
 	}
 	saved, _ := time.ParseDuration(a.Order().Checkpoint)
-	m.tasks[a.Hold()] = &running{
-		order: *a.Order(), state: lease.Runs, until: a.Until(), done: saved, saved: saved, seen: m.w.now,
+	m.tasks[a.Assignment()] = &running{
+		order: *a.Order(), state: lease.Running, until: a.LeaseEnd(), done: saved, saved: saved, seen: m.w.now,
 	}
 	var sum worker.Resources
 	for _, t := range m.tasks {
@@ -154,8 +154,8 @@
 			sum = sum.Plus(t.order.Spec.Size)
 		}
 	}
-	m.w.history.started(a.Hold(), m)
+	m.w.history.started(a.Assignment(), m)
 	if !sum.Fits(machineSize) {
-		m.w.history.violate("worker %s over-full with %s", m.name, a.Hold())
+		m.w.history.violate("worker %s over-full with %s", m.name, a.Assignment())
 	}
 }
--- a/internal/explore/batch/mutant_test.go
+++ b/internal/explore/batch/mutant_test.go
@@ -26,10 +26,12 @@
 			}
 		},
 		"renewal ignores the reading's age": func(r *Rules) {
-			r.Holder.HoldAt = func(t lease.Terms, _, now time.Duration) time.Duration { return t.HoldAt(now) }
+			r.Holder.LeaseEnd = func(t lease.Terms, _, now time.Duration) time.Duration { return t.LeaseEnd(now) }
 		},
 		"entry claims a newer reading": func(r *Rules) {
-			r.Relay.Heard = func(h *lease.Heard, began time.Time) uint64 { return h.Before(began.Add(time.Hour)) }
+			r.Relay.Heard = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
+				return h.NewestRoundBefore(began.Add(time.Hour))
+			}
 		},
 		"agent starts a settled task on an old reading": func(r *Rules) {
 			r.Holder.Outdated = func(uint64, uint64) bool { return false }
@@ -41,7 +43,7 @@
 			r.Holder.Removable = func(time.Duration, time.Duration) bool { return true }
 		},
 		"silence about an unreported task renews it": func(r *Rules) {
-			r.Holder.Covered = func(bool) bool { return true }
+			r.Holder.ImplicitlyConfirmed = func(bool) bool { return true }
 		},
 	}
 	for name, mutate := range mutants {
--- a/internal/explore/request/agent.go
+++ b/internal/explore/request/agent.go
@@ -20,7 +20,7 @@
 	w           *world
 	name        string
 	incarnation uint64
-	book        *endpoint.Book
+	book        *endpoint.DedupTable
 	gate        *endpoint.Gate
 	flights     map[endpoint.AttemptID]*flight
 	tickets     map[*endpoint.Ticket]*flight
@@ -38,14 +38,14 @@
 type reply struct {
 	id     endpoint.AttemptID
 	answer string
-	fate   endpoint.Fate
+	fate   endpoint.AttemptState
 }
 
 // restart loses all that the agent knew; what runs on the runner goes on.
 func (a *agent) restart() {
 	a.incarnation++
-	a.book = &endpoint.Book{}
-	a.book.SetSize(bookSize)
+	a.book = &endpoint.DedupTable{}
+	a.book.SetMaxEnded(bookSize)
 	a.gate = &endpoint.Gate{}
 	a.gate.SetLimits(slots, connections)
 	a.flights = make(map[endpoint.AttemptID]*flight)
@@ -55,7 +55,7 @@
 
 // beat tells the entries the newest mark.
 func (a *agent) beat() {
-	mark, incarnation := a.book.Advance(), a.incarnation
+	mark, incarnation := a.book.NextMark(), a.incarnation
 	for _, e := range a.w.entries {
 		a.w.send(func() { e.hear(a, incarnation, mark) })
 	}
@@ -67,7 +67,7 @@
 // receive takes in an attempt; to gets the reply.
 func (a *agent) receive(in attempt, to func(reply)) {
 	if !a.w.rules.current(in.incarnation, a.incarnation) {
-		to(reply{id: in.id, fate: endpoint.FateUnknown})
+		to(reply{id: in.id, fate: endpoint.AttemptUnknown})
 		return
 	}
 	switch a.w.rules.admit(a.book, a.w.now, in.id, in.mark) {
@@ -77,13 +77,13 @@
 		f := a.flights[in.id]
 		f.askers = append(f.askers, to)
 	case endpoint.Replay:
-		to(reply{id: in.id, fate: endpoint.FateDone, answer: string(a.book.Kept(in.id).Body())})
+		to(reply{id: in.id, fate: endpoint.AttemptDone, answer: string(a.book.Response(in.id).Body())})
 	case endpoint.RefuseNotRun:
-		to(reply{id: in.id, fate: endpoint.FateNotRun})
+		to(reply{id: in.id, fate: endpoint.AttemptNotRun})
 	case endpoint.RefuseRun:
-		to(reply{id: in.id, fate: endpoint.FateDone})
+		to(reply{id: in.id, fate: endpoint.AttemptDone})
 	case endpoint.RefuseUnknown:
-		to(reply{id: in.id, fate: endpoint.FateUnknown})
+		to(reply{id: in.id, fate: endpoint.AttemptUnknown})
 	}
 }
 
@@ -95,13 +95,13 @@
 	a.tickets[f.ticket] = f
 	verdict, victim, _ := a.gate.Offer(a.w.now, f.ticket)
 	if victim != nil {
-		a.end(a.tickets[victim], endpoint.FateNotRun, "")
+		a.end(a.tickets[victim], endpoint.AttemptNotRun, "")
 	}
 	switch verdict {
 	case endpoint.Start:
 		a.work(f)
 	case endpoint.Shed:
-		a.end(f, endpoint.FateNotRun, "")
+		a.end(f, endpoint.AttemptNotRun, "")
 	}
 }
 
@@ -120,9 +120,9 @@
 		a.working--
 		a.gate.Release(a.w.now, f.ticket)
 		if a.w.random.Float64() < a.w.chaos/4 {
-			a.end(f, endpoint.FateUnknown, "")
+			a.end(f, endpoint.AttemptUnknown, "")
 		} else {
-			a.end(f, endpoint.FateDone, f.attempt.id.Request)
+			a.end(f, endpoint.AttemptDone, f.attempt.id.Request)
 		}
 		a.next()
 	})
@@ -137,16 +137,16 @@
 		if verdict == endpoint.Start {
 			a.work(a.tickets[t])
 		} else {
-			a.end(a.tickets[t], endpoint.FateNotRun, "")
+			a.end(a.tickets[t], endpoint.AttemptNotRun, "")
 		}
 	}
 }
 
 // end notes the fate of an attempt and tells its askers.
-func (a *agent) end(f *flight, fate endpoint.Fate, body string) {
-	var kept *endpoint.Answer
-	if fate == endpoint.FateDone && a.w.random.IntN(8) > 0 {
-		kept = endpoint.NewAnswer(0, nil, []byte(body))
+func (a *agent) end(f *flight, fate endpoint.AttemptState, body string) {
+	var kept *endpoint.Response
+	if fate == endpoint.AttemptDone && a.w.random.IntN(8) > 0 {
+		kept = endpoint.NewResponse(0, nil, []byte(body))
 	}
 	id := f.attempt.id
 	a.book.Finish(a.w.now, id, fate, kept)
@@ -158,14 +158,14 @@
 }
 
 // ask answers a question about an attempt; cancel ends one that waits.
-func (a *agent) ask(id endpoint.AttemptID, incarnation, mark uint64, cancel bool) endpoint.Fate {
+func (a *agent) ask(id endpoint.AttemptID, incarnation, mark uint64, cancel bool) endpoint.AttemptState {
 	if !a.w.rules.current(incarnation, a.incarnation) {
-		return endpoint.FateUnknown
+		return endpoint.AttemptUnknown
 	}
 	fate := a.w.rules.ask(a.book, a.w.now, id, mark)
 	if f := a.flights[id]; f != nil && cancel && a.gate.Cancel(a.w.now, f.ticket) {
-		a.end(f, endpoint.FateNotRun, "")
-		return endpoint.FateNotRun
+		a.end(f, endpoint.AttemptNotRun, "")
+		return endpoint.AttemptNotRun
 	}
 	return fate
 }
--- a/internal/explore/request/entry.go
+++ b/internal/explore/request/entry.go
@@ -28,7 +28,7 @@
 type journey struct {
 	e        *entry
 	c        *caller
-	course   endpoint.Course
+	course   endpoint.AttemptTracker
 	deadline time.Time
 	agent    *agent
 	attempt  attempt
@@ -57,7 +57,7 @@
 // begin takes in a caller's request.
 func (e *entry) begin(c *caller) {
 	c.entry, c.life = e, e.life
-	j := &journey{e: e, c: c, course: endpoint.NewCourse(c.repeat), deadline: e.w.now.Add(deadline)}
+	j := &journey{e: e, c: c, course: endpoint.NewAttemptTracker(c.repeat), deadline: e.w.now.Add(deadline)}
 	j.try()
 }
 
@@ -66,11 +66,11 @@
 // try starts the next attempt.
 func (j *journey) try() {
 	w := j.e.w
-	n := j.course.Begin()
+	n := j.course.BeginAttempt()
 	j.agent = w.agents[w.random.IntN(agents)]
 	k, ok := j.e.marks[j.agent]
 	if !ok {
-		j.course.Refused(endpoint.FateNotRun)
+		j.course.RecordRefusal(endpoint.AttemptNotRun)
 		w.at(beatEvery, j.ended)
 		return
 	}
@@ -129,10 +129,10 @@
 	}
 	x.end()
 	if r.answer != "" {
-		j.tell(r.answer, endpoint.FateDone)
+		j.tell(r.answer, endpoint.AttemptDone)
 		return
 	}
-	j.course.Refused(r.fate)
+	j.course.RecordRefusal(r.fate)
 	j.ended()
 }
 
@@ -159,7 +159,7 @@
 
 // lost goes on after an exchange without a reply.
 func (j *journey) lost() {
-	if j.course.Lost(true) == endpoint.StepAsk {
+	if j.course.RecordNoResponse(true) == endpoint.StepQuery {
 		j.ask()
 		return
 	}
@@ -172,12 +172,12 @@
 	life := j.e.life
 	answered := false
 	a, in, over := j.agent, j.attempt, j.over()
-	heard := func(fate endpoint.Fate) {
+	heard := func(fate endpoint.AttemptState) {
 		if answered || life != j.e.life {
 			return
 		}
 		answered = true
-		if j.course.Asked(fate, over) == endpoint.StepFetch {
+		if j.course.RecordQueryResult(fate, over) == endpoint.StepResend {
 			j.exchange()
 			return
 		}
@@ -187,7 +187,7 @@
 		fate := a.ask(in.id, in.incarnation, in.mark, over)
 		w.send(func() { heard(fate) })
 	})
-	w.at(questionTime, func() { heard(endpoint.FateUnknown) })
+	w.at(questionTime, func() { heard(endpoint.AttemptUnknown) })
 }
 
 // ended goes on after an attempt without an answer.
@@ -199,11 +199,11 @@
 		j.try()
 		return
 	}
-	j.tell("", j.course.Fate())
+	j.tell("", j.course.State())
 }
 
 // tell gives the caller its final word.
-func (j *journey) tell(answer string, fate endpoint.Fate) {
+func (j *journey) tell(answer string, fate endpoint.AttemptState) {
 	if j.c.life != j.e.life {
 		return
 	}
@@ -211,5 +211,5 @@
 		j.e.w.fail(errors.Wrapf(ErrCrossed, "%s got the answer to %s", j.c.name, answer))
 	}
 	j.c.told = true
-	j.c.notRun = fate == endpoint.FateNotRun
+	j.c.notRun = fate == endpoint.AttemptNotRun
 }
--- a/internal/explore/request/request.go
+++ b/internal/explore/request/request.go
@@ -52,18 +52,18 @@
 
 // rules are the decisions under test; a test replaces one by a wrong one.
 type rules struct {
-	ask     func(b *endpoint.Book, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Fate
-	admit   func(b *endpoint.Book, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
-	again   func(c *endpoint.Course, over bool) bool
+	ask     func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState
+	admit   func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
+	again   func(c *endpoint.AttemptTracker, over bool) bool
 	same    func(a, b endpoint.AttemptID) bool
 	current func(query, own uint64) bool
 }
 
 func trueRules() rules {
 	return rules{
-		ask:     (*endpoint.Book).Ask,
-		admit:   (*endpoint.Book).Admit,
-		again:   (*endpoint.Course).Again,
+		ask:     (*endpoint.DedupTable).QueryOrFence,
+		admit:   (*endpoint.DedupTable).Admit,
+		again:   (*endpoint.AttemptTracker).MayRetry,
 		same:    func(a, b endpoint.AttemptID) bool { return a == b },
 		current: func(query, own uint64) bool { return query == own },
 	}
--- a/internal/explore/request/request_test.go
+++ b/internal/explore/request/request_test.go
@@ -28,28 +28,28 @@
 		want   error
 	}{
 		{"an evicted attempt counts as never seen", func(r *rules) {
-			r.ask = func(b *endpoint.Book, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.Fate {
-				return b.Ask(now, id, math.MaxUint64)
+			r.ask = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.AttemptState {
+				return b.QueryOrFence(now, id, math.MaxUint64)
 			}
 		}, ErrFalseNotRun},
 		{"an attempt that may be evicted is run", func(r *rules) {
-			r.admit = func(b *endpoint.Book, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.Admission {
+			r.admit = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.Admission {
 				return b.Admit(now, id, math.MaxUint64)
 			}
 		}, ErrDoubleRun},
 		{"a question does not fence", func(r *rules) {
-			r.ask = func(b *endpoint.Book, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Fate {
+			r.ask = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState {
 				known := *b
-				return known.Ask(now, endpoint.AttemptID{Request: id.Request + "?", Attempt: id.Attempt}, mark)
+				return known.QueryOrFence(now, endpoint.AttemptID{Request: id.Request + "?", Attempt: id.Attempt}, mark)
 			}
 		}, ErrFalseNotRun},
 		{"unknown attempts are tried again", func(r *rules) {
-			r.again = func(c *endpoint.Course, over bool) bool {
-				free := endpoint.NewCourse(true)
+			r.again = func(c *endpoint.AttemptTracker, over bool) bool {
+				free := endpoint.NewAttemptTracker(true)
 				for range c.Attempt() {
-					free.Begin()
+					free.BeginAttempt()
 				}
-				return free.Again(over)
+				return free.MayRetry(over)
 			}
 		}, ErrDoubleRun},
 		{"answers are not matched with attempts", func(r *rules) {
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -101,8 +101,8 @@
 // Reading is an entry's answer to a heartbeat.
 type Reading struct {
 	// Lease is what the log says about the agent's worker.
-	Lease  lease.Reading `cbor:"1,keyasint"`
-	Bundle string        `cbor:"5,keyasint,omitempty"`
+	Lease  lease.LogReading `cbor:"1,keyasint"`
+	Bundle string           `cbor:"5,keyasint,omitempty"`
 	// Entries are the addresses of the data centre's entries.
 	Entries []string `cbor:"6,keyasint,omitempty"`
 	// Leaving entries should not be asked again.
--- a/pkg/endpoint/attempt_tracker.go
+++ b/pkg/endpoint/attempt_tracker.go
@@ -15,106 +15,106 @@
 const (
 	// StepEnd means that the attempt is over, in the state known so far.
 	StepEnd Step = iota
-	// StepAsk means to query the agent over a new connection for the state of
+	// StepQuery means to query the agent over a new connection for the state of
 	// the attempt.
-	StepAsk
-	// StepFetch means to send the same attempt again over a new connection, to
+	StepQuery
+	// StepResend means to send the same attempt again over a new connection, to
 	// get its response.
-	StepFetch
+	StepResend
 )
 
-// Course follows one request through its attempts. The zero value is for a
+// AttemptTracker follows one request through its attempts. The zero value is for a
 // request that must not run more than once.
-type Course struct {
+type AttemptTracker struct {
 	mayRepeat bool
 	attempt   uint32
 	exchanges int
 	connected bool
 	abandoned bool
-	state     Fate
+	state     AttemptState
 	// earlierState is the combined state of the earlier attempts.
-	earlierState Fate
+	earlierState AttemptState
 }
 
-// NewCourse returns the tracker of a request; mayRepeat says whether it may run
+// NewAttemptTracker returns the tracker of a request; mayRepeat says whether it may run
 // more than once.
-func NewCourse(mayRepeat bool) Course { return Course{mayRepeat: mayRepeat} }
+func NewAttemptTracker(mayRepeat bool) AttemptTracker { return AttemptTracker{mayRepeat: mayRepeat} }
 
 // combine returns the state of a request whose attempts have the states a and b.
-func combine(a, b Fate) Fate {
+func combine(a, b AttemptState) AttemptState {
 	switch {
-	case a == FateDone || b == FateDone:
-		return FateDone
-	case a == FateNotRun && b == FateNotRun:
-		return FateNotRun
+	case a == AttemptDone || b == AttemptDone:
+		return AttemptDone
+	case a == AttemptNotRun && b == AttemptNotRun:
+		return AttemptNotRun
 	}
-	return FateUnknown
+	return AttemptUnknown
 }
 
-// Begin starts the next attempt and returns its number, counted from 1.
-func (c *Course) Begin() uint32 {
-	c.earlierState = c.Fate()
+// BeginAttempt starts the next attempt and returns its number, counted from 1.
+func (c *AttemptTracker) BeginAttempt() uint32 {
+	c.earlierState = c.State()
 	c.attempt++
 	c.exchanges = 0
 	c.connected = false
-	c.state = FateUnknown
+	c.state = AttemptUnknown
 	return c.attempt
 }
 
 // Attempt returns the number of the current attempt.
-func (c *Course) Attempt() uint32 { return c.attempt }
+func (c *AttemptTracker) Attempt() uint32 { return c.attempt }
 
-// Fate returns the combined state of all attempts of the request.
-func (c *Course) Fate() Fate {
+// State returns the combined state of all attempts of the request.
+func (c *AttemptTracker) State() AttemptState {
 	if c.attempt == 0 {
-		return FateNotRun
+		return AttemptNotRun
 	}
 	return combine(c.earlierState, c.state)
 }
 
-// Repeat reports whether the request may run more than once.
-func (c *Course) Repeat() bool { return c.mayRepeat }
+// MayRepeat reports whether the request may run more than once.
+func (c *AttemptTracker) MayRepeat() bool { return c.mayRepeat }
 
-// Lost records that sending the attempt brought no response; connected says
+// RecordNoResponse records that sending the attempt brought no response; connected says
 // whether there was a connection on which it may have been sent.
-func (c *Course) Lost(connected bool) Step {
+func (c *AttemptTracker) RecordNoResponse(connected bool) Step {
 	c.exchanges++
 	c.connected = c.connected || connected
 	if !c.connected {
-		c.state = FateNotRun
+		c.state = AttemptNotRun
 		return StepEnd
 	}
-	return StepAsk
+	return StepQuery
 }
 
-// Asked records the attempt's state as returned by the agent; over says that the
+// RecordQueryResult records the attempt's state as returned by the agent; over says that the
 // caller no longer waits for a response.
-func (c *Course) Asked(state Fate, over bool) Step {
+func (c *AttemptTracker) RecordQueryResult(state AttemptState, over bool) Step {
 	c.state = state
-	if over || c.exchanges >= maxExchanges || state == FateNotRun || state == FateUnknown {
-		if state == FateRunning {
-			c.state = FateUnknown
+	if over || c.exchanges >= maxExchanges || state == AttemptNotRun || state == AttemptUnknown {
+		if state == AttemptRunning {
+			c.state = AttemptUnknown
 		}
 		return StepEnd
 	}
-	return StepFetch
+	return StepResend
 }
 
 // MayAbandon reports whether an attempt may be abandoned while it runs. This is
 // allowed once for a request, so that work that takes long anywhere still ends.
-func (c *Course) MayAbandon() bool { return c.mayRepeat && !c.abandoned }
+func (c *AttemptTracker) MayAbandon() bool { return c.mayRepeat && !c.abandoned }
 
 // Abandon records that the attempt is abandoned while it may still run.
-func (c *Course) Abandon() {
+func (c *AttemptTracker) Abandon() {
 	c.abandoned = true
-	c.state = FateUnknown
+	c.state = AttemptUnknown
 }
 
-// Refused records that the agent refused the attempt, and in which state it is.
-func (c *Course) Refused(state Fate) { c.state = state }
+// RecordRefusal records that the agent refused the attempt, and in which state it is.
+func (c *AttemptTracker) RecordRefusal(state AttemptState) { c.state = state }
 
-// Again reports whether another attempt is safe: the last one was not run, or
+// MayRetry reports whether another attempt is safe: the last one was not run, or
 // the request may run more than once.
-func (c *Course) Again(over bool) bool {
-	return !over && c.attempt < maxAttempts && (c.state == FateNotRun || c.mayRepeat)
+func (c *AttemptTracker) MayRetry(over bool) bool {
+	return !over && c.attempt < maxAttempts && (c.state == AttemptNotRun || c.mayRepeat)
 }
--- a/pkg/endpoint/choose.go
+++ b/pkg/endpoint/choose.go
@@ -46,7 +46,7 @@
 func (t *Table) pick(now time.Time, random *rand.Rand, ticket *Ticket, skip string) (*Endpoint, string, error) {
 	n := len(t.list)
 	if n == 0 {
-		return nil, "", ErrNone
+		return nil, "", ErrNoEndpoint
 	}
 	count, reason := n, reasonLeast
 	if n > fullScanMax {
@@ -113,7 +113,7 @@
 	var best *Endpoint
 	known := false
 	for _, e := range t.list {
-		if e.report.Leaving || e.isStale(now) || e.report.Slots == 0 {
+		if e.report.Draining || e.isStale(now) || e.report.Slots == 0 {
 			continue
 		}
 		known = true
@@ -129,17 +129,17 @@
 	case known:
 		return nil, "", ErrBusy
 	}
-	return nil, "", ErrNone
+	return nil, "", ErrNoEndpoint
 }
 
 func (e *Endpoint) isStale(now time.Time) bool { return now.Sub(e.lastReportAt) > StaleAfter }
 
 func (e *Endpoint) isUsable(now time.Time) bool {
-	return !e.report.Leaving && !e.isStale(now) && !e.Ejected(now) && e.report.Slots > 0
+	return !e.report.Draining && !e.isStale(now) && !e.Ejected(now) && e.report.Slots > 0
 }
 
-// Takes reports whether some endpoint takes requests.
-func (t *Table) Takes(now time.Time) bool {
+// HasUsable reports whether some endpoint takes requests.
+func (t *Table) HasUsable(now time.Time) bool {
 	for _, e := range t.list {
 		if e.isUsable(now) {
 			return true
@@ -218,9 +218,9 @@
 	return 1 + (e.slowness-1)*math.Exp2(-passed.Seconds()/slownessHalfLife.Seconds())
 }
 
-// Learn updates an endpoint's slowness with the service time of a request and
+// RecordServiceTime updates an endpoint's slowness with the service time of a request and
 // the mean of its class.
-func (t *Table) Learn(now time.Time, e *Endpoint, took, mean time.Duration) {
+func (t *Table) RecordServiceTime(now time.Time, e *Endpoint, took, mean time.Duration) {
 	ratio := min(took.Seconds()/max(mean.Seconds(), 1e-6), maxSlownessSample)
 	s := e.Slowness(now)
 	if e.slowness > 0 && e.slowness < 1 {
@@ -230,15 +230,15 @@
 	e.slownessUpdatedAt = now
 }
 
-// Refused lowers the endpoint's limit after it refused a request because it was
+// RecordRefusal lowers the endpoint's limit after it refused a request because it was
 // full.
-func (t *Table) Refused(e *Endpoint) {
+func (t *Table) RecordRefusal(e *Endpoint) {
 	e.inFlightLimit = max(1, limitDecrease*min(e.maxInFlight(), float64(max(e.InFlight(), 1))))
 }
 
-// Accepted raises a limit that was lowered, by about one for each round of
+// RecordAcceptance raises a limit that was lowered, by about one for each round of
 // requests.
-func (t *Table) Accepted(e *Endpoint) {
+func (t *Table) RecordAcceptance(e *Endpoint) {
 	if e.inFlightLimit <= 0 {
 		return
 	}
--- a/pkg/endpoint/dedup.go
+++ b/pkg/endpoint/dedup.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Fate is the state of one attempt of a request.
-type Fate uint8
+// AttemptState is the state of one attempt of a request.
+type AttemptState uint8
 
 // The states of an attempt.
 const (
-	// FateUnknown means that the attempt may or may not have run.
-	FateUnknown Fate = iota
-	// FateNotRun means that the attempt did not run and never will.
-	FateNotRun
-	// FateRunning means that the attempt waits for a slot or is being processed.
-	FateRunning
-	// FateDone means that the attempt has run and ended.
-	FateDone
+	// AttemptUnknown means that the attempt may or may not have run.
+	AttemptUnknown AttemptState = iota
+	// AttemptNotRun means that the attempt did not run and never will.
+	AttemptNotRun
+	// AttemptRunning means that the attempt waits for a slot or is being processed.
+	AttemptRunning
+	// AttemptDone means that the attempt has run and ended.
+	AttemptDone
 )
 
 var stateNames = [...]string{"unknown", "not-run", "running", "run"}
 
 // String returns the name used in headers and logs.
-func (f Fate) String() string { return stateNames[f] }
+func (f AttemptState) String() string { return stateNames[f] }
 
-// ParseFate returns the state with a name; an unknown name gives the unknown state.
-func ParseFate(name string) Fate {
+// ParseAttemptState returns the state with a name; an unknown name gives the unknown state.
+func ParseAttemptState(name string) AttemptState {
 	for i, n := range stateNames {
 		if n == name {
-			return Fate(i)
+			return AttemptState(i)
 		}
 	}
-	return FateUnknown
+	return AttemptUnknown
 }
 
 // AttemptID identifies one attempt of a request.
@@ -38,26 +38,26 @@
 	Attempt uint32
 }
 
-// Answer is a whole HTTP response.
-type Answer struct {
+// Response is a whole HTTP response.
+type Response struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// NewAnswer returns a response.
-func NewAnswer(status int, header map[string][]string, body []byte) *Answer {
-	return &Answer{status: status, header: header, body: body}
+// NewResponse returns a response.
+func NewResponse(status int, header map[string][]string, body []byte) *Response {
+	return &Response{status: status, header: header, body: body}
 }
 
 // Status returns the HTTP status code.
-func (a *Answer) Status() int { return a.status }
+func (a *Response) Status() int { return a.status }
 
 // Header returns the HTTP header.
-func (a *Answer) Header() map[string][]string { return a.header }
+func (a *Response) Header() map[string][]string { return a.header }
 
 // Body returns the whole body.
-func (a *Answer) Body() []byte { return a.body }
+func (a *Response) Body() []byte { return a.body }
 
 // Admission is the decision on an attempt that has arrived.
 type Admission uint8
@@ -86,17 +86,17 @@
 
 // Limits of the table of attempts.
 const (
-	// BookKeep is how long an ended attempt is remembered.
-	BookKeep = 2 * time.Minute
-	// BookSize is the most ended attempts that are remembered.
-	BookSize = 32768
-	// BookBytes is the most bytes of responses that are kept.
-	BookBytes = 8 << 20
-	// AnswerBytes is the largest response body that is kept.
-	AnswerBytes = 256 << 10
+	// EndedRetention is how long an ended attempt is remembered.
+	EndedRetention = 2 * time.Minute
+	// MaxEndedAttempts is the most ended attempts that are remembered.
+	MaxEndedAttempts = 32768
+	// MaxTotalResponseBytes is the most bytes of responses that are kept.
+	MaxTotalResponseBytes = 8 << 20
+	// MaxResponseBytes is the largest response body that is kept.
+	MaxResponseBytes = 256 << 10
 )
 
-// Book is an agent's bounded table of request attempts. It recognises repeated
+// DedupTable is an agent's bounded table of request attempts. It recognises repeated
 // attempts and answers queries for the state of an attempt. The zero value is
 // empty. It is not safe for concurrent use.
 //
@@ -106,7 +106,7 @@
 // no lower than its own, and one whose mark is above those of all forgotten
 // attempts was not forgotten. Any other attempt may have been: it is neither
 // run nor said to be not run.
-type Book struct {
+type DedupTable struct {
 	entries map[AttemptID]*dedupEntry
 	// ended holds the ended attempts in the order of their ends. Running
 	// attempts are never forgotten.
@@ -122,41 +122,41 @@
 }
 
 type dedupEntry struct {
-	state    Fate
+	state    AttemptState
 	endedAt  time.Time
 	mark     uint64
-	response *Answer
+	response *Response
 }
 
-// Advance moves to the next mark and returns it, for the agent's next report.
-func (b *Book) Advance() uint64 {
+// NextMark moves to the next mark and returns it, for the agent's next report.
+func (b *DedupTable) NextMark() uint64 {
 	b.mark++
 	return b.mark
 }
 
-// SetSize sets the most ended attempts that are remembered; 0 means the default.
-func (b *Book) SetSize(n int) { b.maxEnded = n }
+// SetMaxEnded sets the most ended attempts that are remembered; 0 means the default.
+func (b *DedupTable) SetMaxEnded(n int) { b.maxEnded = n }
 
 // Admit decides on an attempt that has arrived with its sender's mark. A new
 // attempt is recorded as running.
-func (b *Book) Admit(now time.Time, id AttemptID, mark uint64) Admission {
+func (b *DedupTable) Admit(now time.Time, id AttemptID, mark uint64) Admission {
 	b.evict(now)
 	e, ok := b.entries[id]
 	if !ok {
 		if b.mayHaveForgotten(mark) {
 			return RefuseUnknown
 		}
-		b.put(id, &dedupEntry{state: FateRunning, mark: b.mark})
+		b.put(id, &dedupEntry{state: AttemptRunning, mark: b.mark})
 		return Admit
 	}
 	switch {
-	case e.state == FateRunning:
+	case e.state == AttemptRunning:
 		return Attach
 	case e.response != nil:
 		return Replay
-	case e.state == FateDone:
+	case e.state == AttemptDone:
 		return RefuseRun
-	case e.state == FateNotRun:
+	case e.state == AttemptNotRun:
 		return RefuseNotRun
 	}
 	return RefuseUnknown
@@ -164,15 +164,15 @@
 
 // Finish records the end of a running attempt. The response may be nil; it is
 // kept as long as there is room.
-func (b *Book) Finish(now time.Time, id AttemptID, state Fate, response *Answer) {
+func (b *DedupTable) Finish(now time.Time, id AttemptID, state AttemptState, response *Response) {
 	e, ok := b.entries[id]
-	if !ok || e.state != FateRunning {
+	if !ok || e.state != AttemptRunning {
 		return
 	}
 	e.state = state
 	e.endedAt = now
 	b.ended = append(b.ended, id)
-	if response != nil && len(response.body) <= AnswerBytes {
+	if response != nil && len(response.body) <= MaxResponseBytes {
 		e.response = response
 		b.responseBytes += len(response.body)
 		b.withResponse = append(b.withResponse, id)
@@ -180,23 +180,23 @@
 	b.evict(now)
 }
 
-// Ask returns the attempt's state. An attempt that was never seen is fenced
+// QueryOrFence returns the attempt's state. An attempt that was never seen is fenced
 // first: it will be refused if it arrives later.
-func (b *Book) Ask(now time.Time, id AttemptID, mark uint64) Fate {
+func (b *DedupTable) QueryOrFence(now time.Time, id AttemptID, mark uint64) AttemptState {
 	b.evict(now)
 	if e, ok := b.entries[id]; ok {
 		return e.state
 	}
 	if b.mayHaveForgotten(mark) {
-		return FateUnknown
+		return AttemptUnknown
 	}
-	b.put(id, &dedupEntry{state: FateNotRun, mark: b.mark, endedAt: now})
+	b.put(id, &dedupEntry{state: AttemptNotRun, mark: b.mark, endedAt: now})
 	b.ended = append(b.ended, id)
-	return FateNotRun
+	return AttemptNotRun
 }
 
-// Kept returns the kept response of an attempt, or nil.
-func (b *Book) Kept(id AttemptID) *Answer {
+// Response returns the kept response of an attempt, or nil.
+func (b *DedupTable) Response(id AttemptID) *Response {
 	if e, ok := b.entries[id]; ok {
 		return e.response
 	}
@@ -204,13 +204,13 @@
 }
 
 // Len returns the number of attempts that are remembered.
-func (b *Book) Len() int { return len(b.entries) }
+func (b *DedupTable) Len() int { return len(b.entries) }
 
-func (b *Book) mayHaveForgotten(mark uint64) bool {
+func (b *DedupTable) mayHaveForgotten(mark uint64) bool {
 	return b.maxForgottenMark > 0 && mark <= b.maxForgottenMark
 }
 
-func (b *Book) put(id AttemptID, e *dedupEntry) {
+func (b *DedupTable) put(id AttemptID, e *dedupEntry) {
 	if b.entries == nil {
 		b.entries = make(map[AttemptID]*dedupEntry)
 	}
@@ -218,11 +218,11 @@
 }
 
 // evict forgets the attempts that ended longest ago, and the oldest responses.
-func (b *Book) evict(now time.Time) {
+func (b *DedupTable) evict(now time.Time) {
 	for len(b.ended) > 0 {
 		id := b.ended[0]
 		e := b.entries[id]
-		if len(b.ended) <= b.maxEndedAttempts() && now.Sub(e.endedAt) < BookKeep {
+		if len(b.ended) <= b.maxEndedAttempts() && now.Sub(e.endedAt) < EndedRetention {
 			break
 		}
 		b.dropResponse(e)
@@ -230,27 +230,27 @@
 		delete(b.entries, id)
 		b.ended = b.ended[1:]
 	}
-	for b.responseBytes > BookBytes {
+	for b.responseBytes > MaxTotalResponseBytes {
 		if e, ok := b.entries[b.withResponse[0]]; ok {
 			b.dropResponse(e)
 		}
 		b.withResponse = b.withResponse[1:]
 	}
-	for len(b.withResponse) > 0 && b.Kept(b.withResponse[0]) == nil {
+	for len(b.withResponse) > 0 && b.Response(b.withResponse[0]) == nil {
 		b.withResponse = b.withResponse[1:]
 	}
 }
 
-func (b *Book) dropResponse(e *dedupEntry) {
+func (b *DedupTable) dropResponse(e *dedupEntry) {
 	if e.response != nil {
 		b.responseBytes -= len(e.response.body)
 		e.response = nil
 	}
 }
 
-func (b *Book) maxEndedAttempts() int {
+func (b *DedupTable) maxEndedAttempts() int {
 	if b.maxEnded > 0 {
 		return b.maxEnded
 	}
-	return BookSize
+	return MaxEndedAttempts
 }
--- a/pkg/endpoint/gate.go
+++ b/pkg/endpoint/gate.go
@@ -60,8 +60,8 @@
 // Waiting returns the number of tickets that wait.
 func (g *Gate) Waiting() int { return g.queue.Len() }
 
-// Reserve returns the number of slots that long work may not use.
-func (g *Gate) Reserve() int {
+// ReservedSlots returns the number of slots that long work may not use.
+func (g *Gate) ReservedSlots() int {
 	if g.slots <= 1 {
 		return 0
 	}
@@ -76,7 +76,7 @@
 		return Shed, nil, "the deadline has passed"
 	}
 	if g.running+g.queue.Len() >= g.connections {
-		victim = g.queue.Last()
+		victim = g.queue.ShedCandidate()
 		if victim == nil || levelOf(victim) <= levelOf(t) {
 			return Shed, nil, "the endpoint is full"
 		}
@@ -145,7 +145,7 @@
 	if g.running >= g.slots {
 		return false
 	}
-	return !t.long || g.runningLong < g.slots-g.Reserve()
+	return !t.long || g.runningLong < g.slots-g.ReservedSlots()
 }
 
 func (g *Gate) start(t *Ticket) {
--- a/pkg/endpoint/gate_test.go
+++ b/pkg/endpoint/gate_test.go
@@ -112,11 +112,11 @@
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	var b Budget
+	var b RetryBudget
 	now := time.Unix(1, 0)
 	allowed := 0
 	for range 10000 {
-		b.First()
+		b.RecordFirstAttempt()
 		if b.Take(now) {
 			allowed++
 		}
@@ -129,8 +129,8 @@
 func TestSpillOnlyIfTheWaitExceedsTheLinkCost(t *testing.T) {
 	now := time.Unix(1, 0)
 	random := rand.New(rand.NewPCG(1, 2))
-	var n Neighbours
-	n.Observe(now, Sum{DataCentre: "dc-2", Slots: 88, InFlight: 80, Entries: 4, RoundTrip: 10 * time.Millisecond})
+	var n RemoteDataCentres
+	n.Observe(now, DataCentreLoad{DataCentre: "dc-2", Slots: 88, InFlight: 80, Entries: 4, RoundTrip: 10 * time.Millisecond})
 	if got, _ := n.Spill(now, random, 15*time.Millisecond); got != "" {
 		t.Errorf("wait shorter than two round trips: got %q, want none", got)
 	}
--- a/pkg/endpoint/health.go
+++ b/pkg/endpoint/health.go
@@ -47,8 +47,8 @@
 // gets one request at a time until enough have succeeded.
 func (e *Endpoint) Probing() bool { return e.health.probesLeft > 0 }
 
-// Succeed records that the endpoint has responded.
-func (t *Table) Succeed(now time.Time, e *Endpoint) {
+// RecordSuccess records that the endpoint has responded.
+func (t *Table) RecordSuccess(now time.Time, e *Endpoint) {
 	h := &e.health
 	h.samples++
 	h.failureRate -= failureWeight * h.failureRate
@@ -63,10 +63,10 @@
 	}
 }
 
-// Fail records a failed request of the endpoint, and reports whether the
+// RecordFailure records a failed request of the endpoint, and reports whether the
 // endpoint was ejected for it. None is ejected while the service as a whole
 // fails, or while too many others are out.
-func (t *Table) Fail(now time.Time, random *rand.Rand, e *Endpoint) bool {
+func (t *Table) RecordFailure(now time.Time, random *rand.Rand, e *Endpoint) bool {
 	h := &e.health
 	h.samples++
 	h.failureRate += failureWeight * (1 - h.failureRate)
--- a/pkg/endpoint/queue.go
+++ b/pkg/endpoint/queue.go
@@ -32,8 +32,8 @@
 // Class returns the request's class.
 func (t *Ticket) Class() string { return t.class }
 
-// Expected returns how long the request is expected to hold a slot.
-func (t *Ticket) Expected() time.Duration { return t.serviceTime }
+// ServiceTime returns how long the request is expected to hold a slot.
+func (t *Ticket) ServiceTime() time.Duration { return t.serviceTime }
 
 // Long reports whether the request is long work.
 func (t *Ticket) Long() bool { return t.long }
@@ -42,19 +42,19 @@
 // offered.
 func (t *Ticket) SetLong(long bool) { t.long = long }
 
-// SetRoom sets how long before its deadline the request must start, if this
+// SetStartMargin sets how long before its deadline the request must start, if this
 // differs from its expected service time.
-func (t *Ticket) SetRoom(margin time.Duration) { t.startMargin = margin }
+func (t *Ticket) SetStartMargin(margin time.Duration) { t.startMargin = margin }
 
-// GiveUpAt returns the latest time at which the request can start and still end
+// LatestStart returns the latest time at which the request can start and still end
 // before its deadline. If it is still waiting then, it is refused.
-func (t *Ticket) GiveUpAt() time.Time { return t.deadline.Add(-t.startMargin) }
+func (t *Ticket) LatestStart() time.Time { return t.deadline.Add(-t.startMargin) }
 
 // Deadline returns the time after which the response is of no use.
 func (t *Ticket) Deadline() time.Time { return t.deadline }
 
 // tooLate reports whether the request can no longer end before its deadline.
-func (t *Ticket) tooLate(now time.Time) bool { return now.After(t.GiveUpAt()) }
+func (t *Ticket) tooLate(now time.Time) bool { return now.After(t.LatestStart()) }
 
 // Queue orders waiting tickets by priority, then short before long work, then by
 // fair sharing among teams according to the work that each was given, and within
@@ -211,9 +211,9 @@
 	return best
 }
 
-// Last returns the ticket to shed first: one of the lowest level, of the team
+// ShedCandidate returns the ticket to shed first: one of the lowest level, of the team
 // that was given the most work.
-func (q *Queue) Last() *Ticket {
+func (q *Queue) ShedCandidate() *Ticket {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		var worst *teamQueue
 		for _, tq := range q.levels[i].teams {
--- a/pkg/endpoint/retry.go
+++ b/pkg/endpoint/retry.go
@@ -19,19 +19,19 @@
 	maxFirstRetryDelay = 4 * time.Millisecond
 )
 
-// Budget limits retries to a share of the first attempts, so that they do not
+// RetryBudget limits retries to a share of the first attempts, so that they do not
 // amplify an overload. The zero value allows a full burst.
-type Budget struct {
+type RetryBudget struct {
 	// spent is how much of maxSavedRetries has been used.
 	spent      float64
 	refilledAt time.Time
 }
 
-// First records a first attempt.
-func (b *Budget) First() { b.spent = max(0, b.spent-retriesPerFirst) }
+// RecordFirstAttempt records a first attempt.
+func (b *RetryBudget) RecordFirstAttempt() { b.spent = max(0, b.spent-retriesPerFirst) }
 
 // Take reports whether a retry is allowed now, and counts it if it is.
-func (b *Budget) Take(now time.Time) bool {
+func (b *RetryBudget) Take(now time.Time) bool {
 	if passed := now.Sub(b.refilledAt); passed > 0 {
 		b.spent = max(0, b.spent-passed.Seconds()*retriesPerSecond)
 		b.refilledAt = now
--- a/pkg/endpoint/router.go
+++ b/pkg/endpoint/router.go
@@ -24,9 +24,9 @@
 // safe for concurrent use.
 type Router struct {
 	table  Table
-	times  Times
+	times  ServiceTimes
 	queue  Queue
-	budget Budget
+	budget RetryBudget
 	// startRates holds the rate of work started of each level of the queue.
 	startRates [2 * (maxPriority + 1)]workRate
 }
@@ -45,19 +45,19 @@
 // Table returns the endpoints.
 func (r *Router) Table() *Table { return &r.table }
 
-// Budget returns the limit on retries.
-func (r *Router) Budget() *Budget { return &r.budget }
+// RetryBudget returns the limit on retries.
+func (r *Router) RetryBudget() *RetryBudget { return &r.budget }
 
 // Waiting returns the number of waiting requests.
 func (r *Router) Waiting() int { return r.queue.Len() }
 
-// Ticket returns a ticket for a request; declared is the service time that is
+// NewTicket returns a ticket for a request; declared is the service time that is
 // declared for its class.
-func (r *Router) Ticket(now time.Time, class, team string, priority int, deadline time.Time, declared time.Duration) *Ticket {
-	mean, long := r.times.Expect(class, declared)
+func (r *Router) NewTicket(now time.Time, class, team string, priority int, deadline time.Time, declared time.Duration) *Ticket {
+	mean, long := r.times.Estimate(class, declared)
 	t := NewTicket(class, team, priority, deadline, mean)
 	t.long = long
-	t.startMargin = max(mean, min(r.times.Room(class), t.deadline.Sub(now)/2))
+	t.startMargin = max(mean, min(r.times.StartMargin(class), t.deadline.Sub(now)/2))
 	return t
 }
 
@@ -70,20 +70,20 @@
 			r.startRates[levelOf(t)].add(now, t.serviceTime)
 			return Decision{Verdict: Start, Endpoint: e, Reason: reason}
 		}
-		if errors.Is(err, ErrNone) {
-			return Decision{Verdict: Shed, Reason: ErrNone.Error(), RetryAfter: minRetryAfter}
+		if errors.Is(err, ErrNoEndpoint) {
+			return Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
 		}
 	}
-	if !r.table.Takes(now) {
-		return Decision{Verdict: Shed, Reason: ErrNone.Error(), RetryAfter: minRetryAfter}
+	if !r.table.HasUsable(now) {
+		return Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
 	}
 	wait := r.queueWait(now, t)
-	if wait > t.GiveUpAt().Sub(now)/maxWaitDivisor {
+	if wait > t.LatestStart().Sub(now)/maxWaitDivisor {
 		return Decision{Verdict: Shed, Reason: "the expected wait is too long for the deadline", RetryAfter: max(wait, minRetryAfter)}
 	}
 	var victim *Ticket
 	if r.queue.Len() >= maxQueuedPerEndpoint*r.table.Len() {
-		victim = r.queue.Last()
+		victim = r.queue.ShedCandidate()
 		if levelOf(victim) <= levelOf(t) {
 			return Decision{Verdict: Shed, Reason: "the queue is full", RetryAfter: max(wait, minRetryAfter)}
 		}
@@ -108,9 +108,9 @@
 		return t, Decision{Verdict: Shed, Reason: "the deadline is too near", RetryAfter: minRetryAfter}
 	}
 	e, reason, err := r.place(now, random, t, "")
-	if errors.Is(err, ErrNone) {
+	if errors.Is(err, ErrNoEndpoint) {
 		r.queue.Remove(t)
-		return t, Decision{Verdict: Shed, Reason: ErrNone.Error(), RetryAfter: minRetryAfter}
+		return t, Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
 	}
 	if err != nil && t.long {
 		if t = r.queue.Peek(true); t != nil && !t.tooLate(now) {
@@ -183,9 +183,9 @@
 // Done records that a request sent to e has ended.
 func (r *Router) Done(e *Endpoint, t *Ticket) { r.table.Done(e, t) }
 
-// Learn records the service time of a request at an endpoint.
-func (r *Router) Learn(now time.Time, e *Endpoint, class string, took time.Duration) {
-	mean, _ := r.times.Expect(class, took)
-	r.table.Learn(now, e, took, mean)
+// RecordServiceTime records the service time of a request at an endpoint.
+func (r *Router) RecordServiceTime(now time.Time, e *Endpoint, class string, took time.Duration) {
+	mean, _ := r.times.Estimate(class, took)
+	r.table.RecordServiceTime(now, e, took, mean)
 	r.times.Observe(class, took)
 }
--- a/pkg/endpoint/router_test.go
+++ b/pkg/endpoint/router_test.go
@@ -49,7 +49,7 @@
 			case "report":
 				w.mark++
 				w.router.Table().Observe(w.now, Report{
-					Name: step.Endpoint, Incarnation: max(step.Incarnation, 1), Mark: w.mark, Slots: 8, Leaving: step.Leaving,
+					Name: step.Endpoint, Incarnation: max(step.Incarnation, 1), Mark: w.mark, Slots: 8, Draining: step.Leaving,
 					Load: Load{InFlight: step.InFlight, Reserved: step.Reserved},
 				})
 			case "pass":
@@ -63,11 +63,11 @@
 				w.inFlight[step.Endpoint] = nil
 			case "fail":
 				for range max(step.Times, 1) {
-					w.router.Table().Fail(w.now, w.random, w.router.table.byName[step.Endpoint])
+					w.router.Table().RecordFailure(w.now, w.random, w.router.table.byName[step.Endpoint])
 				}
 			case "succeed":
 				for range max(step.Times, 1) {
-					w.router.Table().Succeed(w.now, w.router.table.byName[step.Endpoint])
+					w.router.Table().RecordSuccess(w.now, w.router.table.byName[step.Endpoint])
 				}
 			default:
 				t.Fatalf("step %d: unknown step %q", i, step.Do)
@@ -84,7 +84,7 @@
 	}
 	got := make(map[string]int)
 	for range times {
-		ticket := w.router.Ticket(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
+		ticket := w.router.NewTicket(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
 		d := w.router.Offer(w.now, w.random, ticket, "")
 		if d.Verdict.String() != want {
 			w.t.Errorf("step %d: got %v (%s), want %s", step, d.Verdict, d.Reason, want)
--- a/pkg/endpoint/service_times.go
+++ b/pkg/endpoint/service_times.go
@@ -14,9 +14,9 @@
 	longRatio = 4
 )
 
-// Times learns the mean service time of each class. The zero value is ready for
+// ServiceTimes learns the mean service time of each class. The zero value is ready for
 // use.
-type Times struct {
+type ServiceTimes struct {
 	classes      map[string]*classTime
 	shortestMean time.Duration
 }
@@ -27,9 +27,9 @@
 	long      bool
 }
 
-// Expect returns the mean service time of a class and whether it is long work;
+// Estimate returns the mean service time of a class and whether it is long work;
 // declared is used until a service time was observed.
-func (t *Times) Expect(class string, declared time.Duration) (mean time.Duration, long bool) {
+func (t *ServiceTimes) Estimate(class string, declared time.Duration) (mean time.Duration, long bool) {
 	c, ok := t.classes[class]
 	if !ok {
 		c = t.add(class, declared)
@@ -38,7 +38,7 @@
 }
 
 // Observe records the service time of one request.
-func (t *Times) Observe(class string, took time.Duration) {
+func (t *ServiceTimes) Observe(class string, took time.Duration) {
 	c, ok := t.classes[class]
 	if !ok {
 		t.add(class, took)
@@ -49,9 +49,9 @@
 	t.classifyLong()
 }
 
-// Room returns how long before its deadline a request of a class must start, or
+// StartMargin returns how long before its deadline a request of a class must start, or
 // 0 for an unknown class.
-func (t *Times) Room(class string) time.Duration {
+func (t *ServiceTimes) StartMargin(class string) time.Duration {
 	c, ok := t.classes[class]
 	if !ok {
 		return 0
@@ -59,7 +59,7 @@
 	return c.mean + startMarginDeviations*c.deviation
 }
 
-func (t *Times) add(class string, mean time.Duration) *classTime {
+func (t *ServiceTimes) add(class string, mean time.Duration) *classTime {
 	if t.classes == nil {
 		t.classes = make(map[string]*classTime)
 	}
@@ -70,7 +70,7 @@
 }
 
 // classifyLong decides anew which classes are long work.
-func (t *Times) classifyLong() {
+func (t *ServiceTimes) classifyLong() {
 	t.shortestMean = 0
 	for _, c := range t.classes {
 		if t.shortestMean == 0 || c.mean < t.shortestMean {
--- a/pkg/endpoint/spill.go
+++ b/pkg/endpoint/spill.go
@@ -13,8 +13,8 @@
 	loadStaleAfter = 3 * time.Second
 )
 
-// Sum is the load of a service in another data centre.
-type Sum struct {
+// DataCentreLoad is the load of a service in another data centre.
+type DataCentreLoad struct {
 	DataCentre string
 	// Slots is the number of slots of the endpoints that take requests.
 	Slots int
@@ -27,14 +27,14 @@
 	RoundTrip time.Duration
 }
 
-// Neighbours holds the load of one service in other data centres. The zero value
+// RemoteDataCentres holds the load of one service in other data centres. The zero value
 // is empty.
-type Neighbours struct {
+type RemoteDataCentres struct {
 	dataCentres []remoteDataCentre
 }
 
 type remoteDataCentre struct {
-	load         Sum
+	load         DataCentreLoad
 	lastReportAt time.Time
 	// ownInFlight is the number of this process's own requests in flight there,
 	// and ownReported that of those which the reported load includes.
@@ -42,7 +42,7 @@
 }
 
 // Observe replaces the load of a data centre.
-func (n *Neighbours) Observe(now time.Time, load Sum) {
+func (n *RemoteDataCentres) Observe(now time.Time, load DataCentreLoad) {
 	for i := range n.dataCentres {
 		if n.dataCentres[i].load.DataCentre == load.DataCentre {
 			ownInFlight := n.dataCentres[i].ownInFlight
@@ -58,7 +58,7 @@
 // the link by a margin. Each process uses no more than its part of the free
 // slots at a time, so that the entries do not overload one data centre together.
 // The caller must call Done when the request has ended.
-func (n *Neighbours) Spill(now time.Time, random *rand.Rand, wait time.Duration) (dataCentre, reason string) {
+func (n *RemoteDataCentres) Spill(now time.Time, random *rand.Rand, wait time.Duration) (dataCentre, reason string) {
 	free := 0
 	for i := range n.dataCentres {
 		free += n.dataCentres[i].sendable(now, wait)
@@ -78,7 +78,7 @@
 }
 
 // Done records that a request sent to a data centre has ended.
-func (n *Neighbours) Done(dataCentre string) {
+func (n *RemoteDataCentres) Done(dataCentre string) {
 	for i := range n.dataCentres {
 		if n.dataCentres[i].load.DataCentre == dataCentre {
 			n.dataCentres[i].ownInFlight--
--- a/pkg/endpoint/spill_test.go
+++ b/pkg/endpoint/spill_test.go
@@ -9,7 +9,7 @@
 func TestSpillUsesItsPartOfFreeSlots(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.UnixMilli(1_000_000)
-	sum := Sum{DataCentre: "dc-2", Slots: 88, InFlight: 64, Entries: 4, RoundTrip: 10 * time.Millisecond}
+	sum := DataCentreLoad{DataCentre: "dc-2", Slots: 88, InFlight: 64, Entries: 4, RoundTrip: 10 * time.Millisecond}
 	for _, test := range []struct {
 		name  string
 		wait  time.Duration
@@ -22,7 +22,7 @@
 		{"ended requests free their slots", 20 * time.Millisecond, 0, 3, 9},
 		{"a stale load is not used", 20 * time.Millisecond, 4 * time.Second, 0, 0},
 	} {
-		var n Neighbours
+		var n RemoteDataCentres
 		n.Observe(now, sum)
 		got := 0
 		done := test.done
@@ -48,12 +48,12 @@
 func TestSpillCountsReportedRequestsOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.UnixMilli(1_000_000)
-	var n Neighbours
-	n.Observe(now, Sum{DataCentre: "dc-2", Slots: 8, Entries: 1})
+	var n RemoteDataCentres
+	n.Observe(now, DataCentreLoad{DataCentre: "dc-2", Slots: 8, Entries: 1})
 	for range 6 {
 		n.Spill(now, random, time.Second)
 	}
-	n.Observe(now, Sum{DataCentre: "dc-2", Slots: 8, InFlight: 6, Entries: 1})
+	n.Observe(now, DataCentreLoad{DataCentre: "dc-2", Slots: 8, InFlight: 6, Entries: 1})
 	got := 0
 	for ; got < 10; got++ {
 		if dataCentre, _ := n.Spill(now, random, time.Second); dataCentre == "" {
--- a/pkg/endpoint/table.go
+++ b/pkg/endpoint/table.go
@@ -19,8 +19,8 @@
 
 // Errors returned by the choice of an endpoint.
 var (
-	// ErrNone means that no endpoint takes requests.
-	ErrNone = errors.New("no endpoint takes requests")
+	// ErrNoEndpoint means that no endpoint takes requests.
+	ErrNoEndpoint = errors.New("no endpoint takes requests")
 	// ErrBusy means that all endpoints have as many requests as they may.
 	ErrBusy = errors.New("all endpoints are busy")
 )
@@ -47,10 +47,10 @@
 	Incarnation uint64
 	// Mark increases with each report of an incarnation. Attempts carry the
 	// newest one, so that the agent can tell whether it may have forgotten them.
-	Mark    uint64
-	Slots   int
-	Load    Load
-	Leaving bool
+	Mark     uint64
+	Slots    int
+	Load     Load
+	Draining bool
 }
 
 // Durations used by the table.
@@ -108,8 +108,8 @@
 // Slots returns the number of requests that the endpoint processes at once.
 func (e *Endpoint) Slots() int { return e.report.Slots }
 
-// Leaving reports whether the endpoint takes no new requests.
-func (e *Endpoint) Leaving() bool { return e.report.Leaving }
+// Draining reports whether the endpoint takes no new requests.
+func (e *Endpoint) Draining() bool { return e.report.Draining }
 
 // Table holds the endpoints of one service. The zero value is empty. It is
 // not safe for concurrent use.
@@ -139,9 +139,9 @@
 	if !ok || r.Incarnation > old.Incarnation {
 		e.resetStats(now, now.Sub(t.createdAt) > initialWarmPeriod)
 	}
-	leaving := r.Leaving || ok && r.Incarnation == old.Incarnation && old.Leaving
+	leaving := r.Draining || ok && r.Incarnation == old.Incarnation && old.Draining
 	e.report = r
-	e.report.Leaving = leaving
+	e.report.Draining = leaving
 	e.lastReportAt = now
 	e.updateLoad(r.Load)
 }
@@ -155,9 +155,9 @@
 	e.cold = cold
 }
 
-// Note records the load that a response carried; that load does not include the
+// UpdateLoad records the load that a response carried; that load does not include the
 // answered request, which must still be counted as in flight.
-func (t *Table) Note(e *Endpoint, load Load) {
+func (t *Table) UpdateLoad(e *Endpoint, load Load) {
 	e.ownInFlight--
 	e.updateLoad(load)
 	e.ownInFlight++
@@ -170,9 +170,9 @@
 	e.report.Load = load
 }
 
-// SetLeaving records that the endpoint refused a request because it takes no new
+// SetDraining records that the endpoint refused a request because it takes no new
 // ones.
-func (t *Table) SetLeaving(e *Endpoint) { e.report.Leaving = true }
+func (t *Table) SetDraining(e *Endpoint) { e.report.Draining = true }
 
 // Each calls fn for every endpoint.
 func (t *Table) Each(fn func(*Endpoint)) {
@@ -184,9 +184,9 @@
 // Len returns the number of endpoints.
 func (t *Table) Len() int { return len(t.list) }
 
-// Forget removes endpoints without a report for a long time that have none of
+// Prune removes endpoints without a report for a long time that have none of
 // this process's requests.
-func (t *Table) Forget(now time.Time) {
+func (t *Table) Prune(now time.Time) {
 	kept := t.list[:0]
 	for _, e := range t.list {
 		if now.Sub(e.lastReportAt) > pruneAfter && e.ownInFlight == 0 {
--- a/pkg/job/heartbeat.go
+++ b/pkg/job/heartbeat.go
@@ -43,14 +43,14 @@
 type RelayRules struct {
 	// Heard returns the agent's newest round whose heartbeat was received before
 	// a read of the log that began at the given time.
-	Heard func(h *lease.Heard, began time.Time) uint64
+	Heard func(h *lease.HeartbeatTracker, began time.Time) uint64
 }
 
-func (r *RelayRules) heartbeatRound(h *lease.Heard, began time.Time) uint64 {
+func (r *RelayRules) heartbeatRound(h *lease.HeartbeatTracker, began time.Time) uint64 {
 	if r.Heard != nil {
 		return r.Heard(h, began)
 	}
-	return h.Before(began)
+	return h.NewestRoundBefore(began)
 }
 
 // SetRules replaces rules of the protocol, for the schedule explorer.
@@ -59,7 +59,7 @@
 // agentState is what is known of the agent of one worker.
 type agentState struct {
 	incarnation   uint64
-	heartbeats    lease.Heard
+	heartbeats    lease.HeartbeatTracker
 	lastHeartbeat time.Time
 }
 
@@ -74,12 +74,12 @@
 // Answer returns what the log says about the heartbeat's worker, and the records
 // that the heartbeat's reports call for. The reading is empty until the log has
 // been read once, and for a heartbeat of an agent that has been replaced.
-func (r *Relay) Answer(now time.Time, sm *Fold, hb *Beat) (lease.Reading, []record.Message) {
+func (r *Relay) Answer(now time.Time, sm *Fold, hb *Beat) (lease.LogReading, []record.Message) {
 	a := r.agent(now, hb)
 	if hb.Incarnation < a.incarnation || r.lastReadBegan.IsZero() {
-		return lease.Reading{}, nil
+		return lease.LogReading{}, nil
 	}
-	reading := lease.Reading{Heard: r.rules.heartbeatRound(&a.heartbeats, r.lastReadBegan), Next: record.At(sm.Next(), 0)}
+	reading := lease.LogReading{HeartbeatRound: r.rules.heartbeatRound(&a.heartbeats, r.lastReadBegan), NextPosition: record.At(sm.Next(), 0)}
 	records := r.checkReports(now, sm, hb, &reading)
 	if hb.Ready {
 		addOrders(sm, hb, &reading)
@@ -102,7 +102,7 @@
 		r.agents[hb.Worker] = a
 	}
 	if hb.Incarnation == a.incarnation {
-		a.heartbeats.Note(hb.Round, now)
+		a.heartbeats.Record(hb.Round, now)
 		a.lastHeartbeat = now
 	}
 	return a
@@ -123,21 +123,21 @@
 // checkReports compares the reports with the state of the jobs. It adds to the
 // reading what the agent must stop, and returns the records that the reports
 // call for.
-func (r *Relay) checkReports(now time.Time, sm *Fold, hb *Beat, reading *lease.Reading) []record.Message {
+func (r *Relay) checkReports(now time.Time, sm *Fold, hb *Beat, reading *lease.LogReading) []record.Message {
 	var out []record.Message
 	started := new(record.Started)
 	for i := range hb.Reports {
 		report := &hb.Reports[i]
-		if report.Hold.Epoch >= reading.Next {
+		if report.Hold.Epoch >= reading.NextPosition {
 			continue
 		}
 		t, ok := sm.Current(hb.Worker, report.Hold)
 		if !ok {
-			reading.Stop = append(reading.Stop, lease.Stop{Hold: report.Hold, Settled: true})
+			reading.Stop = append(reading.Stop, lease.StopOrder{Hold: report.Hold, Settled: true})
 			continue
 		}
-		if report.State == lease.Runs && t.Phase() == Revoked {
-			reading.Stop = append(reading.Stop, lease.Stop{Hold: report.Hold})
+		if report.State == lease.Running && t.Phase() == Revoked {
+			reading.Stop = append(reading.Stop, lease.StopOrder{Hold: report.Hold})
 			continue
 		}
 		m := recordForReport(now, t, report)
@@ -159,7 +159,7 @@
 // recordForReport returns the record that a report calls for, or nil.
 func recordForReport(now time.Time, t *Task, r *lease.Report) record.Message {
 	switch r.State {
-	case lease.Runs:
+	case lease.Running:
 		if t.Phase() == Assigned {
 			return &record.Started{Holds: []record.Hold{r.Hold}}
 		}
@@ -179,7 +179,7 @@
 
 // addOrders adds orders for the worker's tasks that the heartbeat does not
 // report: to start those assigned to it, and to stop those revoked.
-func addOrders(sm *Fold, hb *Beat, reading *lease.Reading) {
+func addOrders(sm *Fold, hb *Beat, reading *lease.LogReading) {
 	reported := make(map[record.Hold]bool, len(hb.Reports))
 	for i := range hb.Reports {
 		reported[hb.Reports[i].Hold] = true
@@ -189,14 +189,14 @@
 			return
 		}
 		if t.Phase() == Revoked {
-			reading.Stop = append(reading.Stop, lease.Stop{Hold: assignment})
+			reading.Stop = append(reading.Stop, lease.StopOrder{Hold: assignment})
 			return
 		}
-		reading.Start = append(reading.Start, lease.Order{
+		reading.Start = append(reading.Start, lease.StartOrder{
 			Hold: assignment, Spec: *owner.Spec(), Checkpoint: t.Checkpoint(), Started: t.Phase() == Running,
 		})
 	})
-	slices.SortFunc(reading.Start, func(a, b lease.Order) int {
+	slices.SortFunc(reading.Start, func(a, b lease.StartOrder) int {
 		return a.Hold.Compare(b.Hold)
 	})
 }
--- a/pkg/job/reclaimer.go
+++ b/pkg/job/reclaimer.go
@@ -161,7 +161,7 @@
 func (rc *Taker) releaseDue(now time.Time, sm *Fold) []record.Message {
 	var due []*record.Released
 	sm.Revoked(func(assignment record.Hold, j *Job, task *Task) {
-		terms := lease.FromMS(j.Spec().TakeoverMS)
+		terms := lease.TermsFromMS(j.Spec().TakeoverMS)
 		revoked := rc.revocations[assignment]
 		if !now.After(rc.rules.takeoverAt(terms, revoked.decidedAt, revoked.seenAt)) {
 			return
--- a/pkg/lease/action.go
+++ b/pkg/lease/action.go
@@ -8,20 +8,20 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Act is the kind of a call that an agent makes to its worker.
-type Act uint8
+// ActionKind is the kind of a call that an agent makes to its worker.
+type ActionKind uint8
 
 // The kinds of action. Each is idempotent and is repeated until the worker's
 // task listing shows its effect.
 const (
-	ActStart Act = iota + 1
-	ActRenew
-	// ActCheckpointStop saves a checkpoint of a task and stops it.
-	ActCheckpointStop
-	ActStop
-	ActRemove
-	// ActCheckpoint saves a checkpoint of a task, which keeps running.
-	ActCheckpoint
+	ActionStart ActionKind = iota + 1
+	ActionRenew
+	// ActionCheckpointStop saves a checkpoint of a task and stops it.
+	ActionCheckpointStop
+	ActionStop
+	ActionRemove
+	// ActionCheckpoint saves a checkpoint of a task, which keeps running.
+	ActionCheckpoint
 )
 
 var actionNames = [...]string{"", "start", "renew", "checkpoint-and-stop", "stop", "remove", "checkpoint"}
@@ -30,28 +30,28 @@
 const checkpointInterval = time.Minute
 
 // String returns the name of the kind of action.
-func (a Act) String() string { return actionNames[a] }
+func (a ActionKind) String() string { return actionNames[a] }
 
 // Action is one call to the worker.
 type Action struct {
-	kind       Act
+	kind       ActionKind
 	assignment record.Hold
 	leaseEnd   time.Duration
-	order      *Order
+	order      *StartOrder
 }
 
-// Act returns the kind of the action.
-func (a Action) Act() Act { return a.kind }
+// Kind returns the kind of the action.
+func (a Action) Kind() ActionKind { return a.kind }
 
-// Hold returns the assignment of the task that the action is for.
-func (a Action) Hold() record.Hold { return a.assignment }
+// Assignment returns the assignment of the task that the action is for.
+func (a Action) Assignment() record.Hold { return a.assignment }
 
-// Until returns when the lease ends on the worker's clock. It is set for starts
+// LeaseEnd returns when the lease ends on the worker's clock. It is set for starts
 // and renewals only.
-func (a Action) Until() time.Duration { return a.leaseEnd }
+func (a Action) LeaseEnd() time.Duration { return a.leaseEnd }
 
 // Order returns the order that a start carries out.
-func (a Action) Order() *Order { return a.order }
+func (a Action) Order() *StartOrder { return a.order }
 
 // Actions returns the calls to the worker that this round's listing and log
 // readings require.
@@ -62,7 +62,7 @@
 			out = append(out, a)
 		}
 		if h.checkpointDue(t) {
-			out = append(out, Action{kind: ActCheckpoint, assignment: id})
+			out = append(out, Action{kind: ActionCheckpoint, assignment: id})
 		}
 	}
 	slices.SortFunc(out, func(a, b Action) int {
@@ -75,22 +75,22 @@
 	a := Action{assignment: id, order: t.startOrder}
 	switch {
 	case !t.listed:
-		a.kind, a.leaseEnd = ActStart, t.maxLeaseEnd
+		a.kind, a.leaseEnd = ActionStart, t.maxLeaseEnd
 		return a, t.startOrder != nil && !t.revoked
 	case t.state.Ended():
-		a.kind = ActRemove
+		a.kind = ActionRemove
 		// Until its longest lease has ended, a delayed start may still reach the
 		// worker, and would run the task again if it had been removed.
 		return a, t.settled && h.rules.removable(h.uptime, t.maxLeaseEnd)
 	case t.settled:
-		a.kind = ActStop
+		a.kind = ActionStop
 		return a, true
 	case t.revoked:
-		a.kind = ActCheckpointStop
+		a.kind = ActionCheckpointStop
 		return a, true
 	}
 	leaseEnd, ok := h.renewedLeaseEnd(t)
-	a.kind, a.leaseEnd = ActRenew, leaseEnd
+	a.kind, a.leaseEnd = ActionRenew, leaseEnd
 	return a, ok
 }
 
--- a/pkg/lease/apply.go
+++ b/pkg/lease/apply.go
@@ -13,8 +13,8 @@
 	reason     string
 }
 
-// Hold returns the assignment that the decision is about.
-func (d Decision) Hold() record.Hold { return d.assignment }
+// Assignment returns the assignment that the decision is about.
+func (d Decision) Assignment() record.Hold { return d.assignment }
 
 // Name returns the name of the decision in the log line.
 func (d Decision) Name() string { return d.name }
@@ -22,12 +22,12 @@
 // Reason returns the reason for the decision.
 func (d Decision) Reason() string { return d.reason }
 
-// Follow applies one entry's response to this round's heartbeat. A draining
+// Apply applies one entry's response to this round's heartbeat. A draining
 // worker starts no tasks.
-func (h *Holder) Follow(now time.Time, r *Reading, draining bool) []Decision {
-	_, ownRound := h.uptimes[r.Heard]
+func (h *Holder) Apply(now time.Time, r *LogReading, draining bool) []Decision {
+	_, ownRound := h.uptimes[r.HeartbeatRound]
 	if ownRound && h.initialPosition == 0 {
-		h.initialPosition = r.Next
+		h.initialPosition = r.NextPosition
 	}
 	stopped := make(map[record.Hold]bool, len(r.Stop))
 	for _, s := range r.Stop {
@@ -38,8 +38,8 @@
 		return nil
 	}
 	for id, t := range h.tasks {
-		if h.rules.implicitlyConfirmed(t.reported) && !stopped[id] && id.Epoch < r.Next {
-			t.confirmedRound = max(t.confirmedRound, r.Heard)
+		if h.rules.implicitlyConfirmed(t.reported) && !stopped[id] && id.Epoch < r.NextPosition {
+			t.confirmedRound = max(t.confirmedRound, r.HeartbeatRound)
 		}
 	}
 	var out []Decision
@@ -47,12 +47,12 @@
 		h.rebuildLedger(now, h.ledger.Total())
 	}
 	for i := range r.Start {
-		out = append(out, h.applyOrder(now, &r.Start[i], r.Heard, draining)...)
+		out = append(out, h.applyOrder(now, &r.Start[i], r.HeartbeatRound, draining)...)
 	}
 	return out
 }
 
-func (h *Holder) applyStop(s Stop) {
+func (h *Holder) applyStop(s StopOrder) {
 	if t := h.tasks[s.Hold]; t != nil {
 		t.revoked = true
 		t.settled = t.settled || s.Settled
@@ -72,15 +72,15 @@
 
 // reserveForPredecessor reserves resources for starts that the agent's
 // predecessor may have sent to the worker, and reports whether there are any.
-func (h *Holder) reserveForPredecessor(orders []Order) bool {
+func (h *Holder) reserveForPredecessor(orders []StartOrder) bool {
 	found := false
 	for i := range orders {
 		o := &orders[i]
 		if !h.rules.predates(o.Hold.Epoch, h.initialPosition) || o.Started || h.known(o.Hold) {
 			continue
 		}
-		terms := FromMS(o.Spec.TakeoverMS)
-		h.tasks[o.Hold] = &heldTask{size: o.Spec.Size, terms: terms, maxLeaseEnd: terms.HoldAt(h.initialUptime)}
+		terms := TermsFromMS(o.Spec.TakeoverMS)
+		h.tasks[o.Hold] = &heldTask{size: o.Spec.Size, terms: terms, maxLeaseEnd: terms.LeaseEnd(h.initialUptime)}
 		found = true
 	}
 	return found
@@ -91,8 +91,8 @@
 	return pending || h.tasks[id] != nil
 }
 
-func (h *Holder) applyOrder(now time.Time, o *Order, round uint64, draining bool) []Decision {
-	terms := FromMS(o.Spec.TakeoverMS)
+func (h *Holder) applyOrder(now time.Time, o *StartOrder, round uint64, draining bool) []Decision {
+	terms := TermsFromMS(o.Spec.TakeoverMS)
 	leaseEnd := h.rules.leaseEnd(terms, h.uptimes[round], h.uptime)
 	if t := h.tasks[o.Hold]; t != nil {
 		if !t.listed && !t.revoked && t.confirmedRound > 0 && leaseEnd > h.uptime {
@@ -115,7 +115,7 @@
 }
 
 // refusalReason returns why a start order is refused, or "".
-func (h *Holder) refusalReason(now time.Time, o *Order, draining bool) string {
+func (h *Holder) refusalReason(now time.Time, o *StartOrder, draining bool) string {
 	if o.Started {
 		return "the worker has lost the task"
 	}
--- a/pkg/lease/heartbeat_interval.go
+++ b/pkg/lease/heartbeat_interval.go
@@ -6,13 +6,13 @@
 const (
 	// maxHeartbeatsPerSecond is the most heartbeats that an entry asks for.
 	maxHeartbeatsPerSecond = 32
-	// MaxPace is the longest heartbeat interval that an entry asks for. Two of
+	// MaxHeartbeatInterval is the longest heartbeat interval that an entry asks for. Two of
 	// them fit into the time after which a silent worker is suspected.
-	MaxPace = 2 * time.Second
+	MaxHeartbeatInterval = 2 * time.Second
 )
 
-// Pace returns the heartbeat interval that an entry asks of each of the agents
+// HeartbeatInterval returns the heartbeat interval that an entry asks of each of the agents
 // that report to it, so that its own load does not grow with their number.
-func Pace(agents int) time.Duration {
-	return min(time.Duration(agents)*time.Second/maxHeartbeatsPerSecond, MaxPace)
+func HeartbeatInterval(agents int) time.Duration {
+	return min(time.Duration(agents)*time.Second/maxHeartbeatsPerSecond, MaxHeartbeatInterval)
 }
--- a/pkg/lease/heartbeat_interval_test.go
+++ b/pkg/lease/heartbeat_interval_test.go
@@ -13,9 +13,9 @@
 		{0, 0},
 		{16, 500 * time.Millisecond},
 		{60, 1875 * time.Millisecond},
-		{1400, MaxPace},
+		{1400, MaxHeartbeatInterval},
 	} {
-		if got := Pace(test.agents); got != test.want {
+		if got := HeartbeatInterval(test.agents); got != test.want {
 			t.Errorf("pace of %d agents: got %s, want %s", test.agents, got, test.want)
 		}
 	}
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -58,7 +58,7 @@
 	// confirmedRound is the newest round whose log reading left the task in place.
 	confirmedRound uint64
 	// startOrder is the start order to carry out in this round, or nil.
-	startOrder *Order
+	startOrder *StartOrder
 	revoked    bool
 	settled    bool
 }
@@ -132,7 +132,7 @@
 func (h *Holder) mergeTask(l *Task) {
 	t := h.tasks[l.Hold]
 	if t == nil {
-		t = &heldTask{maxLeaseEnd: l.Terms.HoldAt(h.initialUptime)}
+		t = &heldTask{maxLeaseEnd: l.Terms.LeaseEnd(h.initialUptime)}
 		h.tasks[l.Hold] = t
 	}
 	if !t.listed {
--- a/pkg/lease/holder_test.go
+++ b/pkg/lease/holder_test.go
@@ -26,12 +26,12 @@
 
 // round lists the tasks a second later, applies one log reading, and returns the
 // reports and actions.
-func (b *testBench) round(r *Reading) ([]Report, []Action) {
+func (b *testBench) round(r *LogReading) ([]Report, []Action) {
 	b.now = b.now.Add(time.Second)
 	b.listing.Uptime += time.Second
 	b.holder.Observe(b.now, &b.listing)
 	reports := b.holder.Reports(&b.listing)
-	b.holder.Follow(b.now, r, false)
+	b.holder.Apply(b.now, r, false)
 	return reports, b.holder.Actions()
 }
 
@@ -39,24 +39,24 @@
 	return record.Hold{Task: record.TaskID{Job: job}, Epoch: record.At(epoch, 0)}
 }
 
-func order(h record.Hold) Order {
-	return Order{Hold: h, Spec: record.Spec{ID: h.Task.Job, Size: testSize, TakeoverMS: 10_000}}
+func order(h record.Hold) StartOrder {
+	return StartOrder{Hold: h, Spec: record.Spec{ID: h.Task.Job, Size: testSize, TakeoverMS: 10_000}}
 }
 
 // addTask adds a task with a lease up to until to the worker's listing.
 func (b *testBench) addTask(h record.Hold, s State, until time.Duration) {
-	b.listing.Tasks = append(b.listing.Tasks, Task{Hold: h, Size: testSize, State: s, Until: until, Terms: New(10 * time.Second)})
+	b.listing.Tasks = append(b.listing.Tasks, Task{Hold: h, Size: testSize, State: s, Until: until, Terms: NewTerms(10 * time.Second)})
 }
 
-func kindsOf(actions []Action) []Act {
-	var out []Act
+func kindsOf(actions []Action) []ActionKind {
+	var out []ActionKind
 	for _, a := range actions {
-		out = append(out, a.Act())
+		out = append(out, a.Kind())
 	}
 	return out
 }
 
-func wantKinds(t *testing.T, what string, actions []Action, want ...Act) {
+func wantKinds(t *testing.T, what string, actions []Action, want ...ActionKind) {
 	t.Helper()
 	got := kindsOf(actions)
 	if len(got) != len(want) {
@@ -71,29 +71,29 @@
 
 func TestStartNeedsAReadBegunAfterTheHeartbeat(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	_, actions := b.round(&Reading{Next: record.At(10, 0), Start: []Order{order(h)}})
+	_, actions := b.round(&LogReading{NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
 	wantKinds(t, "reading without a heartbeat round", actions)
-	b.round(&Reading{Heard: 1, Next: record.At(9, 0)})
-	_, actions = b.round(&Reading{Heard: 2, Next: record.At(10, 0), Start: []Order{order(h)}})
-	wantKinds(t, "reading of heartbeat round 2", actions, ActStart)
-	if got, want := actions[0].Until(), 2*time.Second+9900*time.Millisecond; got != want {
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
+	_, actions = b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
+	wantKinds(t, "reading of heartbeat round 2", actions, ActionStart)
+	if got, want := actions[0].LeaseEnd(), 2*time.Second+9900*time.Millisecond; got != want {
 		t.Errorf("lease: got %s, want %s", got, want)
 	}
 }
 
 func TestLostStartKeepsItsRoom(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	b.round(&Reading{Heard: 1, Next: record.At(9, 0)})
-	b.round(&Reading{Heard: 1, Next: record.At(10, 0), Start: []Order{order(h)}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
 	if got, want := b.holder.Ledger().Free(), testSize; got != want {
 		t.Errorf("free resources after a start without reply: got %v, want %v", got, want)
 	}
-	reports, _ := b.round(&Reading{})
+	reports, _ := b.round(&LogReading{})
 	if len(reports) != 0 {
 		t.Errorf("reports while the start may still arrive: got %v, want none", reports)
 	}
 	b.listing.Uptime += 10 * time.Second
-	reports, _ = b.round(&Reading{})
+	reports, _ = b.round(&LogReading{})
 	if len(reports) != 1 || reports[0].State != Stopped {
 		t.Errorf("reports after the lease: got %v, want one that says stopped", reports)
 	}
@@ -101,11 +101,11 @@
 
 func TestPredecessorsOrdersAreNotFollowed(t *testing.T) {
 	b, old, fresh := newTestBench(), assignment("old", 8), assignment("new", 11)
-	b.round(&Reading{Heard: 1, Next: record.At(10, 0)})
-	_, actions := b.round(&Reading{Heard: 1, Next: record.At(12, 0), Start: []Order{order(fresh), order(old), order(assignment("old", 7))}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0)})
+	_, actions := b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(12, 0), Start: []StartOrder{order(fresh), order(old), order(assignment("old", 7))}})
 	wantKinds(t, "resources reserved for two starts that may arrive", actions)
 	b.listing.Uptime += 10 * time.Second
-	reports, _ := b.round(&Reading{})
+	reports, _ := b.round(&LogReading{})
 	if got, want := len(reports), 3; got != want {
 		t.Errorf("reports after the predecessor's leases: got %v, want %d", reports, want)
 	}
@@ -114,9 +114,9 @@
 func TestLostVMKeepsAReportedEnd(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 8)
 	b.addTask(h, Succeeded, 5*time.Second)
-	b.round(&Reading{Heard: 1, Next: record.At(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
 	b.listing = Listing{Incarnation: "2", Total: b.listing.Total}
-	reports, actions := b.round(&Reading{Heard: 2, Next: record.At(9, 0), Start: []Order{order(h)}})
+	reports, actions := b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.At(9, 0), Start: []StartOrder{order(h)}})
 	wantKinds(t, "order for a task that has ended", actions)
 	if len(reports) != 1 || reports[0].State != Succeeded {
 		t.Errorf("reports: got %v, want one that says succeeded", reports)
@@ -126,37 +126,37 @@
 func TestEndedTaskStaysUntilItsLeaseHasEnded(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 8)
 	b.addTask(h, Succeeded, 3*time.Second)
-	settled := &Reading{Heard: 1, Next: record.At(9, 0), Stop: []Stop{{Hold: h, Settled: true}}}
+	settled := &LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0), Stop: []StopOrder{{Hold: h, Settled: true}}}
 	_, actions := b.round(settled)
 	wantKinds(t, "settled before the lease's end", actions)
 	b.listing.Uptime += 12 * time.Second
 	_, actions = b.round(settled)
-	wantKinds(t, "settled after the lease's end", actions, ActRemove)
+	wantKinds(t, "settled after the lease's end", actions, ActionRemove)
 }
 
 func TestOnlyReportedTasksAreRenewed(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	b.round(&Reading{Heard: 1, Next: record.At(9, 0)})
-	b.round(&Reading{Heard: 1, Next: record.At(10, 0), Start: []Order{order(h)}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
 	// Another entry's log reading in the same round does not name the task.
-	b.holder.Follow(b.now, &Reading{Heard: 2, Next: record.At(12, 0)}, false)
+	b.holder.Apply(b.now, &LogReading{HeartbeatRound: 2, NextPosition: record.At(12, 0)}, false)
 	if got, want := b.holder.tasks[h].confirmedRound, uint64(1); got != want {
 		t.Errorf("newest round that confirms the task: got %d, want %d", got, want)
 	}
 }
 
 func TestHeartbeatTrackerCountsOnlyHeartbeatsBeforeTheRead(t *testing.T) {
-	var h Heard
+	var h HeartbeatTracker
 	at := func(s int) time.Time { return testStart.Add(time.Duration(s) * time.Second) }
-	h.Note(1, at(1))
-	h.Note(3, at(3))
-	h.Note(2, at(4))
+	h.Record(1, at(1))
+	h.Record(3, at(3))
+	h.Record(2, at(4))
 	cases := []struct {
 		read time.Time
 		want uint64
 	}{{at(1), 0}, {at(2), 1}, {at(3), 1}, {at(5), 3}, {at(6), 3}}
 	for _, c := range cases {
-		if got := h.Before(c.read); got != c.want {
+		if got := h.NewestRoundBefore(c.read); got != c.want {
 			t.Errorf("read at %s: got round %d, want %d", c.read.Sub(testStart), got, c.want)
 		}
 	}
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -15,35 +15,35 @@
 
 import "time"
 
-// MaxDrift is the largest relative error of a clock's rate.
-const MaxDrift = 0.01
+// MaxClockDrift is the largest relative error of a clock's rate.
+const MaxClockDrift = 0.01
 
 // Terms are the lease settings of one batch class.
 type Terms struct {
 	takeoverAfter time.Duration
 }
 
-// New returns terms under which a task may be taken over takeoverAfter after its
+// NewTerms returns terms under which a task may be taken over takeoverAfter after its
 // revocation.
-func New(takeoverAfter time.Duration) Terms { return Terms{takeoverAfter: takeoverAfter} }
+func NewTerms(takeoverAfter time.Duration) Terms { return Terms{takeoverAfter: takeoverAfter} }
 
-// FromMS returns terms whose takeover time is given in milliseconds.
-func FromMS(takeoverMS int64) Terms {
-	return New(time.Duration(takeoverMS) * time.Millisecond)
+// TermsFromMS returns terms whose takeover time is given in milliseconds.
+func TermsFromMS(takeoverMS int64) Terms {
+	return NewTerms(time.Duration(takeoverMS) * time.Millisecond)
 }
 
 // TakeoverAfter returns the takeover time without the allowance for clock drift.
 func (t Terms) TakeoverAfter() time.Duration { return t.takeoverAfter }
 
-// HoldAt returns the end of a lease on the worker's clock, when the task must
+// LeaseEnd returns the end of a lease on the worker's clock, when the task must
 // stop making progress. The newest log reading that left the task in place began
 // after the worker's clock showed uptime.
-func (t Terms) HoldAt(uptime time.Duration) time.Duration {
-	return uptime + time.Duration(float64(t.takeoverAfter)*(1-MaxDrift))
+func (t Terms) LeaseEnd(uptime time.Duration) time.Duration {
+	return uptime + time.Duration(float64(t.takeoverAfter)*(1-MaxClockDrift))
 }
 
 // TakeoverAt returns when a revoked task may be assigned again; revokeKnown is
 // when its revocation was first known to be in the log.
 func (t Terms) TakeoverAt(revokeKnown time.Time) time.Time {
-	return revokeKnown.Add(time.Duration(float64(t.takeoverAfter) * (1 + MaxDrift)))
+	return revokeKnown.Add(time.Duration(float64(t.takeoverAfter) * (1 + MaxClockDrift)))
 }
--- a/pkg/lease/message.go
+++ b/pkg/lease/message.go
@@ -12,7 +12,7 @@
 
 // The task states.
 const (
-	Runs State = iota + 1
+	Running State = iota + 1
 	Succeeded
 	Failed
 	// Stopped tasks no longer run and can be started elsewhere.
@@ -20,7 +20,7 @@
 )
 
 // Ended reports whether the task makes no more progress.
-func (s State) Ended() bool { return s != Runs }
+func (s State) Ended() bool { return s != Running }
 
 // Report is an agent's report on one task.
 type Report struct {
@@ -31,8 +31,8 @@
 	Detail string
 }
 
-// Order tells an agent to start a task.
-type Order struct {
+// StartOrder tells an agent to start a task.
+type StartOrder struct {
 	Hold       record.Hold `cbor:"1,keyasint"`
 	Spec       record.Spec `cbor:"2,keyasint"`
 	Checkpoint string      `cbor:"3,keyasint,omitempty"`
@@ -40,8 +40,8 @@
 	Started bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Stop tells an agent to stop a task.
-type Stop struct {
+// StopOrder tells an agent to stop a task.
+type StopOrder struct {
 	_    struct{} `cbor:",toarray"`
 	Hold record.Hold
 	// Settled says that the log has the task's end already, so that the agent
@@ -49,16 +49,16 @@
 	Settled bool
 }
 
-// Reading is what one read of the log says about a worker. A reported task that
+// LogReading is what one read of the log says about a worker. A reported task that
 // is in neither list continues unchanged.
-type Reading struct {
-	// Heard is the newest of the agent's rounds whose heartbeat the entry had
+type LogReading struct {
+	// HeartbeatRound is the newest of the agent's rounds whose heartbeat the entry had
 	// received when the read began, or 0.
-	Heard uint64 `cbor:"1,keyasint,omitempty"`
-	// Next is the position up to which the log has been read, exclusive.
-	Next  record.Position `cbor:"2,keyasint"`
-	Start []Order         `cbor:"3,keyasint,omitempty"`
-	Stop  []Stop          `cbor:"4,keyasint,omitempty"`
+	HeartbeatRound uint64 `cbor:"1,keyasint,omitempty"`
+	// NextPosition is the position up to which the log has been read, exclusive.
+	NextPosition record.Position `cbor:"2,keyasint"`
+	Start        []StartOrder    `cbor:"3,keyasint,omitempty"`
+	Stop         []StopOrder     `cbor:"4,keyasint,omitempty"`
 }
 
 // Listing is a worker's own list of its tasks.
--- a/pkg/lease/rules.go
+++ b/pkg/lease/rules.go
@@ -11,9 +11,9 @@
 // replace them one by one, to prove that the protocol's checker finds the
 // resulting violation.
 type Rules struct {
-	// HoldAt returns the end of a lease, given the worker's clock before the log
+	// LeaseEnd returns the end of a lease, given the worker's clock before the log
 	// reading began and now.
-	HoldAt func(t Terms, beforeReading, now time.Duration) time.Duration
+	LeaseEnd func(t Terms, beforeReading, now time.Duration) time.Duration
 	// Outdated reports whether a log reading with the given heartbeat round is
 	// too old to start a task that was last known in settledRound.
 	Outdated func(round, settledRound uint64) bool
@@ -23,16 +23,16 @@
 	// Removable reports whether an ended task can be removed because no start of
 	// it can arrive any more.
 	Removable func(now, maxLeaseEnd time.Duration) bool
-	// Covered reports whether a log reading that does not name a task leaves it
+	// ImplicitlyConfirmed reports whether a log reading that does not name a task leaves it
 	// in place, given whether the heartbeat named the task.
-	Covered func(reported bool) bool
+	ImplicitlyConfirmed func(reported bool) bool
 }
 
 func (r *Rules) leaseEnd(t Terms, beforeReading, now time.Duration) time.Duration {
-	if r.HoldAt != nil {
-		return r.HoldAt(t, beforeReading, now)
+	if r.LeaseEnd != nil {
+		return r.LeaseEnd(t, beforeReading, now)
 	}
-	return t.HoldAt(beforeReading)
+	return t.LeaseEnd(beforeReading)
 }
 
 func (r *Rules) outdated(round, settledRound uint64) bool {
@@ -57,8 +57,8 @@
 }
 
 func (r *Rules) implicitlyConfirmed(reported bool) bool {
-	if r.Covered != nil {
-		return r.Covered(reported)
+	if r.ImplicitlyConfirmed != nil {
+		return r.ImplicitlyConfirmed(reported)
 	}
 	return reported
 }
