--- a/internal/agent/bundle.go
+++ b/internal/agent/bundle.go
@@ -37,7 +37,7 @@
 		return &link.BundleReply{}, nil
 	}
 	signed, lineage, err := proof.Encode()
-	return &link.BundleReply{Signed: signed, Lineage: lineage, Covers: proof.Covers()}, err
+	return &link.BundleReply{Signed: signed, Lineage: lineage, Covers: proof.EndOffset()}, err
 }
 
 // fetchBundle asks an entry for the bundle in force and adopts it if it is
--- a/internal/agent/flight.go
+++ b/internal/agent/flight.go
@@ -71,7 +71,7 @@
 	expected := unknownWork
 	if s, ok := a.service(); ok {
 		if c, ok := s.Class(in.class); ok {
-			priority, expected = c.Priority, c.Expected.Std()
+			priority, expected = c.Priority, c.ExpectedServiceTime.Std()
 		}
 	}
 	mean, long := a.times.Estimate(in.class, expected)
@@ -103,7 +103,7 @@
 // setLimits takes the ceilings of the bundle in force; mu is held.
 func (a *Agent) setLimits() {
 	if s, ok := a.service(); ok {
-		a.gate.SetLimits(s.Slots, s.Connections)
+		a.gate.SetLimits(s.Slots, s.MaxConnections)
 	}
 }
 
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -31,7 +31,7 @@
 	if !ok {
 		return
 	}
-	if c, ok := s.Class(f.ticket.Class()); ok && c.Expected < s.Objective {
+	if c, ok := s.Class(f.ticket.Class()); ok && c.ExpectedServiceTime < s.LatencyObjective {
 		a.guard.tail.Add(now, now.Sub(f.arrived))
 	}
 }
@@ -67,7 +67,7 @@
 	}
 	r.Load = min(float64(a.load().InFlight)/float64(s.Slots), 1)
 	if tail, ok := a.guard.tail.TailLatency(now); ok {
-		r.Pressure = float64(tail) / float64(s.Objective.Std())
+		r.Pressure = float64(tail) / float64(s.LatencyObjective.Std())
 	}
 	return r
 }
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -79,12 +79,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", Public: public}}}
+	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", PublicKey: public}}}
 	content, err := bundle.Format(&bundle.Document{
 		Version: 1, Operators: roots, Teams: []bundle.Team{{Name: "nursery"}},
 		Services: []bundle.Service{{
-			Name: "planner", Slots: testSlots, Connections: testConnections, BodyLimit: 1 << 20, Objective: bundle.Duration(time.Second),
-			Classes: []bundle.RequestClass{{Name: "preview", Priority: 9, Deadline: bundle.Duration(time.Minute), Expected: bundle.Duration(time.Millisecond)}},
+			Name: "planner", Slots: testSlots, MaxConnections: testConnections, MaxBodyBytes: 1 << 20, LatencyObjective: bundle.Duration(time.Second),
+			Classes: []bundle.RequestClass{{Name: "preview", Priority: 9, Deadline: bundle.Duration(time.Minute), ExpectedServiceTime: bundle.Duration(time.Millisecond)}},
 		}},
 	})
 	if err != nil {
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -116,4 +116,4 @@
 }
 
 // taskKey names a task under one epoch on the worker.
-func taskKey(h record.Hold) string { return services.TaskKey(h) }
+func taskKey(h record.AssignmentID) string { return services.TaskKey(h) }
--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -91,14 +91,14 @@
 type drive struct {
 	load      Load
 	scheduler queue.Scheduler
-	fold      job.Fold
+	fold      job.StateMachine
 	random    *rand.Rand
 	now       time.Time
 	offset    uint64
 	seq       uint64
 	jobs      int
 	size      worker.Resources
-	running   []record.Hold
+	running   []record.AssignmentID
 	pending   []record.Message
 }
 
@@ -106,7 +106,7 @@
 func Place(l Load) (Placement, error) {
 	before := heap()
 	d := &drive{load: l, now: start, seq: 1, random: rand.New(rand.NewPCG(7, uint64(l.Workers)))} //nolint:gosec // fixed seed
-	d.fold.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
+	d.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
 	// The running tasks take most of the workers.
 	aWorker := int64((l.Running + l.Workers - 1) / l.Workers)
 	d.size = worker.Resources{MilliCPU: workerSize.MilliCPU * 9 / 10 / aWorker, MemoryMB: workerSize.MemoryMB * 9 / 10 / aWorker}
@@ -129,10 +129,10 @@
 
 func document(workers int) *bundle.Document {
 	d := &bundle.Document{BatchClasses: []bundle.BatchClass{
-		{Name: "urgent", Priority: 9, Urgent: true, MaxAttempts: 3, TakeoverAfter: bundle.Duration(5 * time.Second)},
-		{Name: "shaping", Priority: 5, MaxAttempts: 3, TakeoverAfter: bundle.Duration(10 * time.Second)},
-		{Name: "archive", Priority: 1, MaxAttempts: 3, TakeoverAfter: bundle.Duration(time.Minute)},
-		{Name: "watcher", Priority: 3, MaxAttempts: 3, TakeoverAfter: bundle.Duration(10 * time.Second)},
+		{Name: "urgent", Priority: 9, Urgent: true, MaxFailures: 3, TakeoverAfter: bundle.Duration(5 * time.Second)},
+		{Name: "shaping", Priority: 5, MaxFailures: 3, TakeoverAfter: bundle.Duration(10 * time.Second)},
+		{Name: "archive", Priority: 1, MaxFailures: 3, TakeoverAfter: bundle.Duration(time.Minute)},
+		{Name: "watcher", Priority: 3, MaxFailures: 3, TakeoverAfter: bundle.Duration(10 * time.Second)},
 	}}
 	for i := range targetTeams {
 		quota := workerSize.Times(int64(workers))
@@ -158,7 +158,7 @@
 			r.Total.Accelerators = acceleratorsAWorker
 		}
 		r.Free = r.Total
-		d.fold.Held(r.Name, func(_ record.Hold, j *job.Job, _ *job.Task) { r.Free = r.Free.Minus(j.Spec().Size) })
+		d.fold.EachActive(r.Name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { r.Free = r.Free.Minus(j.Spec().Size) })
 		d.scheduler.ApplyReport(d.now, &r, []queue.ClassUse{{Class: "shaping", Granted: d.size, Used: d.size}})
 	}
 }
@@ -244,7 +244,7 @@
 		}
 		if m, ok := r.Message().(*record.Assign); ok {
 			for _, p := range m.Placements {
-				d.running = append(d.running, record.Hold{Task: p.Task, Epoch: r.Position()})
+				d.running = append(d.running, record.AssignmentID{Task: p.Task, Epoch: r.Position()})
 			}
 		}
 	}
@@ -311,8 +311,8 @@
 	d.running[i] = d.running[len(d.running)-1]
 	d.running = d.running[:len(d.running)-1]
 	d.pending = append(d.pending,
-		&record.Started{Holds: []record.Hold{h}},
-		&record.Finished{Hold: h, Outcome: record.OutcomeSucceeded},
+		&record.Started{Assignments: []record.AssignmentID{h}},
+		&record.Finished{Assignment: h, Outcome: record.OutcomeSucceeded},
 		&record.Forget{Jobs: []string{h.Task.Job}})
 }
 
@@ -323,7 +323,7 @@
 		if i%acceleratorsEvery == 0 {
 			left.Accelerators = acceleratorsAWorker
 		}
-		d.fold.Held(workerName(i), func(_ record.Hold, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
+		d.fold.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
 		if !left.Valid() {
 			return errors.Wrap(ErrOverfull, workerName(i))
 		}
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -71,7 +71,7 @@
 
 // runner is one task that runs.
 type runner struct {
-	hold    record.Hold
+	hold    record.AssignmentID
 	class   string
 	percent int
 	left    time.Duration
@@ -94,7 +94,7 @@
 type surge struct {
 	policy    Policy
 	scheduler queue.Scheduler
-	fold      job.Fold
+	fold      job.StateMachine
 	random    *rand.Rand
 	noise     *rand.Rand
 	now       time.Time
@@ -116,7 +116,7 @@
 		policy: p, now: start, remaining: make(map[string]time.Duration),
 		random: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds
 	}
-	s.fold.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
+	s.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
 	for i := range surgeWorkers {
 		h := &host{name: workerName(i), runs: make(map[string]*runner)}
 		h.ledger.Rebuild(workerSize, nil, s.now)
@@ -187,7 +187,7 @@
 
 func (s *surge) apply(m record.Message) record.Position {
 	s.offset++
-	at := record.At(s.offset, 0)
+	at := record.NewPosition(s.offset, 0)
 	_ = s.fold.Apply(record.New(at, "entry", s.offset, m))
 	return at
 }
@@ -198,9 +198,9 @@
 		j, _ := s.fold.Job(p.Task.Job)
 		spec := j.Spec()
 		h := s.host(p.Worker)
-		hold := record.Hold{Task: p.Task, Epoch: epoch}
+		hold := record.AssignmentID{Task: p.Task, Epoch: epoch}
 		if err := h.ledger.Admit(s.now, p.Task.Job, spec.Size); err != nil {
-			s.apply(&record.Released{Hold: hold})
+			s.apply(&record.Released{Assignment: hold})
 			continue
 		}
 		if h.runs[p.Task.Job] != nil {
@@ -253,7 +253,7 @@
 		if r.left <= 0 {
 			s.save(h, id)
 			s.end(h, id)
-			s.apply(&record.Finished{Hold: r.hold, Outcome: record.OutcomeSucceeded})
+			s.apply(&record.Finished{Assignment: r.hold, Outcome: record.OutcomeSucceeded})
 			s.apply(&record.Forget{Jobs: []string{id}})
 		}
 	}
@@ -284,7 +284,7 @@
 	hold := h.runs[id].hold
 	s.end(h, id)
 	s.out.Evictions++
-	s.apply(&record.Released{Hold: hold, Ref: "saved"})
+	s.apply(&record.Released{Assignment: hold, Ref: "saved"})
 }
 
 // measure takes the true pressure, with noise; the policies see it later.
--- a/internal/bench/batch/urgent.go
+++ b/internal/bench/batch/urgent.go
@@ -62,7 +62,7 @@
 // urgentSite is the surviving entry with agents that answer to heartbeats.
 type urgentSite struct {
 	scheduler queue.Scheduler
-	fold      job.Fold
+	fold      job.StateMachine
 	random    *rand.Rand
 	now       time.Time
 	offset    uint64
@@ -70,15 +70,15 @@
 	// beats is when each agent's next heartbeat is due.
 	beats []time.Time
 	// runs are the tasks that agents run, stops those that they have stopped.
-	runs, stops map[record.Hold]bool
+	runs, stops map[record.AssignmentID]bool
 }
 
 func urgentStart(seed uint64, full bool) (time.Duration, error) {
 	s := &urgentSite{
 		now: start, random: rand.New(rand.NewPCG(seed, 11)), //nolint:gosec // fixed seed
-		beats: make([]time.Time, urgentWorkers), runs: make(map[record.Hold]bool), stops: make(map[record.Hold]bool),
+		beats: make([]time.Time, urgentWorkers), runs: make(map[record.AssignmentID]bool), stops: make(map[record.AssignmentID]bool),
 	}
-	s.fold.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
+	s.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
 	d := document(urgentWorkers)
 	d.Teams = []bundle.Team{{Name: "shaping", Quota: workerSize.Times(urgentWorkers)}, {Name: "urgent", Quota: workerSize}}
 	s.scheduler.Configure(s.now, d, &s.fold)
@@ -148,7 +148,7 @@
 func (s *urgentSite) read() {
 	for len(s.log) > 0 && !s.log[0].at.After(s.now) {
 		s.offset++
-		_ = s.fold.Apply(record.New(record.At(s.offset, 0), "entry", s.offset, s.log[0].message))
+		_ = s.fold.Apply(record.New(record.NewPosition(s.offset, 0), "entry", s.offset, s.log[0].message))
 		s.log = s.log[1:]
 	}
 }
@@ -157,11 +157,11 @@
 // has it start and stop tasks.
 func (s *urgentSite) report(i int) {
 	r := worker.Report{Name: workerName(i), Total: workerSize, Free: workerSize, Ready: true}
-	s.fold.Held(r.Name, func(h record.Hold, j *job.Job, t *job.Task) {
+	s.fold.EachActive(r.Name, func(h record.AssignmentID, j *job.Job, t *job.Task) {
 		r.Free = r.Free.Minus(j.Spec().Size)
 		switch {
 		case s.stops[h]:
-			s.append(&record.Released{Hold: h, Ref: "saved"})
+			s.append(&record.Released{Assignment: h, Ref: "saved"})
 		case t.Phase() == job.Revoked:
 			s.stops[h] = true
 			delete(s.runs, h)
--- a/internal/bench/capacity/appends.go
+++ b/internal/bench/capacity/appends.go
@@ -57,8 +57,8 @@
 	random := rand.New(rand.NewPCG(uint64(starts), 1))
 	mean := float64(time.Second) / float64(starts*recordsPerTask)
 	for delay.For(ctx, time.Duration(random.ExpFloat64()*mean)) {
-		task := record.Hold{Task: record.TaskID{Job: "00000000000000000000"}, Epoch: 1}
-		if err := writers[random.IntN(len(writers))].Enqueue(&record.Started{Holds: []record.Hold{task}}); err != nil {
+		task := record.AssignmentID{Task: record.TaskID{Job: "00000000000000000000"}, Epoch: 1}
+		if err := writers[random.IntN(len(writers))].Enqueue(&record.Started{Assignments: []record.AssignmentID{task}}); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -19,7 +19,7 @@
 
 // state is an entry's state of batch work: the fold and the scheduler over it.
 type state struct {
-	fold      job.Fold
+	fold      job.StateMachine
 	scheduler queue.Scheduler
 	offset    uint64
 	workers   int
@@ -33,7 +33,7 @@
 
 func newState(workers int) *state {
 	s := &state{workers: workers}
-	s.fold.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(epoch, id, j, t) }
+	s.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(epoch, id, j, t) }
 	d := &bundle.Document{BatchClasses: []bundle.BatchClass{{Name: "shaping", Priority: 5}}}
 	for i := range targetTeams {
 		d.Teams = append(d.Teams, bundle.Team{Name: teamName(i), Quota: workerSize})
@@ -52,7 +52,7 @@
 
 func (s *state) apply(m record.Message) record.Position {
 	s.offset++
-	at := record.At(s.offset, 0)
+	at := record.NewPosition(s.offset, 0)
 	_ = s.fold.Apply(record.New(at, "entry-1@1", s.offset, m))
 	return at
 }
@@ -67,7 +67,7 @@
 	for k := range tasks {
 		task := record.TaskID{Job: id, Index: uint32(k)}
 		epoch := s.apply(&record.Assign{Placements: []record.Placement{{Task: task, Worker: workerName((i + k) % s.workers)}}})
-		s.apply(&record.Started{Holds: []record.Hold{{Task: task, Epoch: epoch}}})
+		s.apply(&record.Started{Assignments: []record.AssignmentID{{Task: task, Epoch: epoch}}})
 	}
 }
 
@@ -76,8 +76,8 @@
 	id := fmt.Sprintf("%020x", i)
 	j, _ := s.fold.Job(id)
 	for k := range tasks {
-		hold := record.Hold{Task: record.TaskID{Job: id, Index: uint32(k)}, Epoch: j.Task(k).Epoch()}
-		s.apply(&record.Finished{Hold: hold, Outcome: record.OutcomeSucceeded})
+		hold := record.AssignmentID{Task: record.TaskID{Job: id, Index: uint32(k)}, Epoch: j.Task(k).Epoch()}
+		s.apply(&record.Finished{Assignment: hold, Outcome: record.OutcomeSucceeded})
 	}
 }
 
--- a/internal/bench/capacity/wire.go
+++ b/internal/bench/capacity/wire.go
@@ -61,7 +61,7 @@
 	}
 	e, err := entry.New(now, entry.Settings{
 		Name: "entry-1", DataCentre: dataCentre, Listen: loopback, PeerListen: loopback, LogURL: "http://" + logLn.Addr().String(),
-		Roots:      bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", Public: public}}},
+		Roots:      bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", PublicKey: public}}},
 		DrainAfter: drainAfter, Open: true,
 	}, entryID, &log.Logger{Level: log.ErrorLevel})
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	for i := range tasks {
 		task := record.TaskID{Job: fmt.Sprintf("%020x", i), Index: 0}
-		h.Tasks = append(h.Tasks, lease.Report{Hold: record.Hold{Task: task, Epoch: record.At(uint64(1000+i), 1)}, State: lease.Running})
+		h.Tasks = append(h.Tasks, lease.Report{Hold: record.AssignmentID{Task: task, Epoch: record.NewPosition(uint64(1000+i), 1)}, State: lease.Running})
 	}
 	return w.client.Call(ctx, w.counter.address(), link.PathHeartbeat, h, new(link.Reading))
 }
--- a/internal/bench/log/appends.go
+++ b/internal/bench/log/appends.go
@@ -91,11 +91,11 @@
 	started := 0
 	for elapsed := time.Duration(0); elapsed < appendsMeasured && delay.For(ctx, appendsTick); elapsed = time.Since(began) {
 		for ; started < int(elapsed.Seconds()*startsPerSecond); started++ {
-			hold := record.Hold{Task: record.TaskID{Job: fmt.Sprintf("job-%d", started/8), Index: uint32(started % 8)}, Epoch: 1}
+			hold := record.AssignmentID{Task: record.TaskID{Job: fmt.Sprintf("job-%d", started/8), Index: uint32(started % 8)}, Epoch: 1}
 			centre := a.writers[rand.IntN(dataCentres)]
 			a.append(ctx, centre, &record.Assign{Placements: []record.Placement{{Task: hold.Task, Worker: "worker-17"}}})
-			a.append(ctx, centre, &record.Started{Holds: []record.Hold{hold}})
-			a.append(ctx, centre, &record.Finished{Hold: hold, Outcome: record.OutcomeSucceeded})
+			a.append(ctx, centre, &record.Started{Assignments: []record.AssignmentID{hold}})
+			a.append(ctx, centre, &record.Finished{Assignment: hold, Outcome: record.OutcomeSucceeded})
 		}
 	}
 }
--- a/internal/bench/log/bench.go
+++ b/internal/bench/log/bench.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	l.operator = private
-	l.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "bench", Public: public}}}
+	l.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "bench", PublicKey: public}}}
 	return l, nil
 }
 
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -177,11 +177,11 @@
 		Incarnation: uint64(time.Now().UnixNano()), Slots: 8, InFlight: 3, Ready: true,
 		Total: worker.Resources{MilliCPU: 16000, MemoryMB: 60000}, Free: worker.Resources{MilliCPU: 4000, MemoryMB: 9000},
 	}
-	epoch := record.At(uint64(i), 1)
+	epoch := record.NewPosition(uint64(i), 1)
 	for t := range uint32(tasksPerWorker) {
-		hold := record.Hold{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
+		hold := record.AssignmentID{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
 		assign.Placements = append(assign.Placements, record.Placement{Task: hold.Task, Worker: name})
-		started.Holds = append(started.Holds, hold)
+		started.Assignments = append(started.Assignments, hold)
 		h.Tasks = append(h.Tasks, lease.Report{Hold: hold, State: lease.Running})
 	}
 	c.heartbeats = append(c.heartbeats, h)
--- a/internal/bench/log/recovery.go
+++ b/internal/bench/log/recovery.go
@@ -49,7 +49,7 @@
 // streamWriter fills a stream and folds what it wrote.
 type streamWriter struct {
 	log    *standin.Log
-	fold   job.Fold
+	fold   job.StateMachine
 	seq    uint64
 	offset uint64
 	err    error
@@ -72,22 +72,22 @@
 	}
 	w.fold.Advance(w.offset + 1)
 	w.seq += uint64(len(messages))
-	return record.At(w.offset, 0)
+	return record.NewPosition(w.offset, 0)
 }
 
 // fill writes batches records: jobs that come and end, so that a day's jobs are
 // known and the target's number of tasks is open at the end.
 func (w *streamWriter) fill(batches int) {
-	open := make([]record.Hold, 0, recoveryOpenTasks)
+	open := make([]record.AssignmentID, 0, recoveryOpenTasks)
 	for i := 0; int(w.offset) < batches && w.err == nil; i++ {
 		id := fmt.Sprintf("job-%d", i)
 		w.add(&record.Submit{Spec: record.Spec{ID: id, Team: "nursery", Class: "shaping", Tasks: 1, TakeoverMS: 10000, MaxFailures: 3}})
 		task := record.TaskID{Job: id}
 		epoch := w.add(&record.Assign{Placements: []record.Placement{{Task: task, Worker: fmt.Sprintf("worker-%d", i%200)}}})
-		open = append(open, record.Hold{Task: task, Epoch: epoch})
-		w.add(&record.Started{Holds: open[len(open)-1:]})
+		open = append(open, record.AssignmentID{Task: task, Epoch: epoch})
+		w.add(&record.Started{Assignments: open[len(open)-1:]})
 		if len(open) > recoveryOpenTasks {
-			w.add(&record.Finished{Hold: open[0], Outcome: record.OutcomeSucceeded})
+			w.add(&record.Finished{Assignment: open[0], Outcome: record.OutcomeSucceeded})
 			open = open[1:]
 		}
 		if i >= recoveryJobs {
@@ -121,7 +121,7 @@
 	w := &streamWriter{log: new(standin.Log)}
 	w.fill(batches)
 	want := w.fold.Len()
-	w.fold = job.Fold{}
+	w.fold = job.StateMachine{}
 	if w.err != nil {
 		return 0, 0, w.err
 	}
--- a/internal/bench/request/site.go
+++ b/internal/bench/request/site.go
@@ -159,14 +159,14 @@
 	if err != nil {
 		return bundle.Operators{}, nil, err
 	}
-	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "bench", Public: public}}}
+	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "bench", PublicKey: public}}}
 	content, err := bundle.Format(&bundle.Document{
 		Version: 1, Operators: roots,
 		Services: []bundle.Service{{
-			Name: siteService, Slots: slots, Connections: connections, BodyLimit: 1 << 20,
-			Objective: bundle.Duration(time.Second),
+			Name: siteService, Slots: slots, MaxConnections: connections, MaxBodyBytes: 1 << 20,
+			LatencyObjective: bundle.Duration(time.Second),
 			Classes: []bundle.RequestClass{{
-				Name: "preview", Priority: 9, Deadline: bundle.Duration(10 * time.Second), Expected: bundle.Duration(time.Millisecond),
+				Name: "preview", Priority: 9, Deadline: bundle.Duration(10 * time.Second), ExpectedServiceTime: bundle.Duration(time.Millisecond),
 			}},
 		}},
 		Teams: []bundle.Team{{Name: siteTeam}},
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	s.authority = authority
-	s.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "dev", Public: public}}}
+	s.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "dev", PublicKey: public}}}
 	d, err := bundle.ParseTemplate(devDocument, s.roots)
 	if err != nil {
 		return err
--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &link.BundleReply{Packed: packed, Base: have, Lineage: lineage, Covers: proof.Covers()}
+	r := &link.BundleReply{Packed: packed, Base: have, Lineage: lineage, Covers: proof.EndOffset()}
 	b.packed[have] = r
 	return r, nil
 }
@@ -103,12 +103,12 @@
 		e.bundleMu.Lock()
 		inForce := digest != "" && digest == e.bundle.chain.Digest()
 		e.bundleMu.Unlock()
-		if inForce && m.Carried {
-			e.carried.bundleCopied(now, writtenAt(m.WrittenMS), m.Covers)
+		if inForce && m.CarriedForward {
+			e.carried.bundleCopied(now, writtenAt(m.WrittenMS), m.EndOffset)
 		}
 	}
 	e.bundleMu.Lock()
-	e.bundle.chain.ReadTo(next)
+	e.bundle.chain.NoteReadTo(next)
 	e.bundleMu.Unlock()
 }
 
@@ -116,10 +116,10 @@
 // force is then known from the next one that was carried forward.
 func (e *Entry) bundlesLost(_ context.Context, page record.Page) uint64 {
 	e.bundleMu.Lock()
-	e.bundle.chain.ReadFrom(page.First)
+	e.bundle.chain.NoteGap(page.FirstOffset)
 	e.bundleMu.Unlock()
-	e.log.Info().Uint64("first", page.First).Msg("reading bundles from the first offset kept")
-	return page.First
+	e.log.Info().Uint64("first", page.FirstOffset).Msg("reading bundles from the first offset kept")
+	return page.FirstOffset
 }
 
 func writtenAt(ms int64) time.Time {
@@ -131,13 +131,13 @@
 
 // takeBundle offers a record's bundle to the chain and returns its digest, or "".
 func (e *Entry) takeBundle(at uint64, m *record.Bundle) string {
-	proof, err := bundle.DecodeProof(m.Signed, m.Lineage, m.Covers)
+	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
 		e.log.Warn().Err(err).Str("decision", "refuse-bundle").Msg("")
 		return ""
 	}
 	offer := func(c *bundle.Chain) error { return c.OfferAt(at, proof.Signed()) }
-	if m.Carried {
+	if m.CarriedForward {
 		offer = func(c *bundle.Chain) error { return c.Adopt(proof) }
 	}
 	e.offerBundle(offer, "log")
@@ -208,7 +208,7 @@
 	if err := e.bundles.Append(r.Context(), m); err != nil {
 		p := problem.New(http.StatusServiceUnavailable, "", "the log is slow; publishing the same bundle again is safe")
 		p.RetryAfter = publishWait
-		if errors.Is(err, record.ErrUnknown) {
+		if errors.Is(err, record.ErrOutcomeUnknown) {
 			p.Outcome = problem.Unknown
 		}
 		p.Write(w)
@@ -260,7 +260,7 @@
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
 	c := e.bundle.chain
-	r := BundleResult{Version: c.Version(), Digest: c.Digest(), Winner: c.Accepted(d.Version)}
+	r := BundleResult{Version: c.Version(), Digest: c.Digest(), Winner: c.AcceptedDigest(d.Version)}
 	switch {
 	case r.Winner == bundle.Digest(s.Content()):
 		r.Accepted = true
--- a/internal/entry/carry.go
+++ b/internal/entry/carry.go
@@ -33,7 +33,7 @@
 
 // carry is one kind of content that must outlive the log's retention.
 type carry struct {
-	state record.Carry
+	state record.CarryForwardSchedule
 	next  uint64
 	// writeAt is when this entry writes what is due; zero if nothing is.
 	writeAt time.Time
@@ -51,7 +51,7 @@
 func (c *carried) bundleCopied(now, written time.Time, covers uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bundle.state.Copied(now, written, covers)
+	c.bundle.state.NoteCopy(now, written, covers)
 	c.bundle.writeAt = time.Time{}
 }
 
@@ -59,7 +59,7 @@
 func (c *carried) jobsCopied(now, written time.Time, covers uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs.state.Copied(now, written, covers)
+	c.jobs.state.NoteCopy(now, written, covers)
 	c.jobs.writeAt = time.Time{}
 }
 
@@ -78,7 +78,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reason, due := of.state.Due(now)
-	if !due && tooLong && of.next > of.state.Offset()+snapshotBatches {
+	if !due && tooLong && of.next > of.state.CopyOffset()+snapshotBatches {
 		reason, due = "many batches follow the last snapshot", true
 	}
 	if !due {
@@ -111,7 +111,7 @@
 
 func (e *Entry) carryBundle(now time.Time) {
 	e.bundleMu.Lock()
-	proof, attached := e.bundle.chain.Proof(), e.bundle.chain.Attached()
+	proof, attached := e.bundle.chain.Proof(), e.bundle.chain.InSync()
 	e.bundleMu.Unlock()
 	if proof == nil || !attached {
 		return
@@ -126,13 +126,13 @@
 		return
 	}
 	e.carryOne(e.bundles, "bundle", reason, &record.Bundle{
-		Signed: signed, Lineage: lineage, Carried: true, Covers: proof.Covers(), WrittenMS: now.UnixMilli(),
+		Signed: signed, OperatorChanges: lineage, CarriedForward: true, EndOffset: proof.EndOffset(), WrittenMS: now.UnixMilli(),
 	})
 }
 
 func (e *Entry) carryJobs(now time.Time) {
 	e.jobs.mu.Lock()
-	empty := e.jobs.fold.Next() == 0 || e.jobs.began.IsZero()
+	empty := e.jobs.fold.NextOffset() == 0 || e.jobs.began.IsZero()
 	e.jobs.mu.Unlock()
 	if empty {
 		return
--- a/internal/entry/failover.go
+++ b/internal/entry/failover.go
@@ -23,7 +23,7 @@
 
 	// mu guards what follows. It is taken after jobs.mu.
 	mu      sync.Mutex
-	fold    job.Fold
+	fold    job.StateMachine
 	began   time.Time
 	decider job.Failover
 }
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -82,9 +82,9 @@
 	j.workers[h.Worker] = &workerView{heartbeat: *h, heard: now}
 	said, uses := report(h)
 	j.scheduler.ApplyReport(now, said, uses)
-	j.taker.Heard(h.Worker, now)
+	j.taker.NoteContact(h.Worker, now)
 	reading.PaceMS = lease.HeartbeatInterval(j.live(now)).Milliseconds()
-	answer, records := j.relay.Answer(now, &j.fold, &job.Beat{
+	answer, records := j.relay.Respond(now, &j.fold, &job.Heartbeat{
 		Worker: h.Worker, Incarnation: h.Incarnation, Round: h.Round,
 		Ready: h.Ready, Primary: h.Primary, Reports: h.Tasks,
 	})
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -119,7 +119,7 @@
 	spec := record.Spec{
 		Team: team.Name, Class: s.Class, Tasks: max(s.Tasks, 1), Gang: s.Gang, Size: s.Size,
 		ExpectedMS: s.ExpectedMS, SubmittedAt: now.UnixMilli(), Payload: s.Payload,
-		MaxFailures: uint32(class.MaxAttempts), TakeoverMS: class.TakeoverAfter.Std().Milliseconds(),
+		MaxFailures: uint32(class.MaxFailures), TakeoverMS: class.TakeoverAfter.Std().Milliseconds(),
 	}
 	if !s.NeededBy.IsZero() {
 		spec.NeededBy = s.NeededBy.UnixMilli()
--- a/internal/entry/recover.go
+++ b/internal/entry/recover.go
@@ -15,7 +15,7 @@
 	if err != nil || (first == 0 && next <= snapshotBatches/4) {
 		return 0, err
 	}
-	return e.recoverJobs(ctx, record.Page{First: first, Next: next}), nil
+	return e.recoverJobs(ctx, record.Page{FirstOffset: first, NextOffset: next}), nil
 }
 
 // recoverJobs is called when the next offset of the jobs stream has expired. It
@@ -31,22 +31,22 @@
 
 // recoverStream hands the newest usable snapshot of a stream of jobs to restore.
 func (e *Entry) recoverStream(ctx context.Context, stream string, page record.Page, restore func([]*record.Snapshot) error) uint64 {
-	snapshots, err := e.findSnapshot(ctx, stream, page.First, page.Next)
+	snapshots, err := e.findSnapshot(ctx, stream, page.FirstOffset, page.NextOffset)
 	if err != nil {
 		e.log.Warn().Err(err).Msg("searching for a snapshot failed; trying again")
-		return page.First
+		return page.FirstOffset
 	}
-	if snapshots == nil && page.First == 0 {
+	if snapshots == nil && page.FirstOffset == 0 {
 		return 0
 	}
 	if snapshots == nil {
-		e.log.Error().Uint64("first", page.First).Msg("jobs were lost to retention: no usable snapshot is kept")
-		return page.First
+		e.log.Error().Uint64("first", page.FirstOffset).Msg("jobs were lost to retention: no usable snapshot is kept")
+		return page.FirstOffset
 	}
-	covers := snapshots[0].Covers
+	covers := snapshots[0].EndOffset
 	if err := restore(snapshots); err != nil {
 		e.log.Error().Err(err).Uint64("covers", covers).Msg("restoring a snapshot failed")
-		return page.First
+		return page.FirstOffset
 	}
 	e.log.Info().Str("decision", "restore-snapshot").Uint64("covers", covers).Int("parts", len(snapshots)).Msg("")
 	return covers
@@ -70,15 +70,15 @@
 // newestSnapshot reads from an offset on for the newest complete snapshot that
 // covers the stream up to first or more.
 func (e *Entry) newestSnapshot(ctx context.Context, stream string, from, first uint64) ([]*record.Snapshot, error) {
-	var collector job.Collector
+	var collector job.SnapshotAssembler
 	var newest []*record.Snapshot
 	err := services.Scan(ctx, e.logPort, stream, from, func(r record.Record) {
 		part, ok := r.Message().(*record.Snapshot)
-		if !ok || part.Covers < first {
+		if !ok || part.EndOffset < first {
 			return
 		}
 		parts := collector.Add(part)
-		if parts != nil && (newest == nil || parts[0].Covers >= newest[0].Covers) {
+		if parts != nil && (newest == nil || parts[0].EndOffset >= newest[0].EndOffset) {
 			newest = parts
 		}
 	})
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -46,7 +46,7 @@
 	private, public, err := bundle.GenerateKey(rand.Reader)
 	b.must(err)
 	b.key = private
-	b.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", Public: public}}}
+	b.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", PublicKey: public}}}
 	return b
 }
 
@@ -105,7 +105,7 @@
 }
 
 // appendAll writes messages as one batch each and folds them.
-func (b *birth) appendAll(fold *job.Fold, seq *uint64, messages ...record.Message) {
+func (b *birth) appendAll(fold *job.StateMachine, seq *uint64, messages ...record.Message) {
 	b.t.Helper()
 	for _, m := range messages {
 		*seq++
@@ -129,7 +129,7 @@
 func TestEntryStartsAtSnapshot(t *testing.T) {
 	b := newBirth(t)
 	b.log.SetFaults(standin.LogFaults{Keep: 20})
-	var fold job.Fold
+	var fold job.StateMachine
 	var seq uint64
 	for i := range 40 {
 		b.appendAll(&fold, &seq, submit(i))
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -142,7 +142,7 @@
 		problem.New(http.StatusBadRequest, link.HeaderRepeat, `want "never" or nothing`).Write(w)
 		return nil, 0, false
 	}
-	body, err := readBody(w, r, service.BodyLimit)
+	body, err := readBody(w, r, service.MaxBodyBytes)
 	if err != nil {
 		problem.New(http.StatusRequestEntityTooLarge, "body", "the body is cut off or over the service's limit").Write(w)
 		return nil, 0, false
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -127,12 +127,12 @@
 	c.must(err)
 	private, public, err := bundle.GenerateKey(rand.Reader)
 	c.must(err)
-	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", Public: public}}}
+	roots := bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", PublicKey: public}}}
 	content, err := bundle.Format(&bundle.Document{
 		Version: 1, Operators: roots, Teams: []bundle.Team{{Name: "nursery"}},
 		Services: []bundle.Service{{
-			Name: "planner", Slots: 8, Connections: 64, BodyLimit: 1 << 20, Objective: bundle.Duration(time.Second),
-			Classes: []bundle.RequestClass{{Name: "preview", Priority: 9, Deadline: bundle.Duration(time.Minute), Expected: bundle.Duration(time.Millisecond)}},
+			Name: "planner", Slots: 8, MaxConnections: 64, MaxBodyBytes: 1 << 20, LatencyObjective: bundle.Duration(time.Second),
+			Classes: []bundle.RequestClass{{Name: "preview", Priority: 9, Deadline: bundle.Duration(time.Minute), ExpectedServiceTime: bundle.Duration(time.Millisecond)}},
 		}},
 	})
 	c.must(err)
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -69,7 +69,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	p := r.router(q.service.Name)
-	ticket := p.NewTicket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
+	ticket := p.NewTicket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.ExpectedServiceTime.Std())
 	d := p.Offer(now, r.random, ticket, skip)
 	if d.Victim != nil {
 		r.wake(d.Victim, endpoint.Decision{Verdict: endpoint.Shed, Reason: "a more important request took its place", RetryAfter: time.Second})
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -26,7 +26,7 @@
 type jobs struct {
 	mu   sync.Mutex
 	born time.Time
-	fold job.Fold
+	fold job.StateMachine
 	// began is when the newest read of the stream began.
 	began   time.Time
 	changed chan struct{}
@@ -34,8 +34,8 @@
 	// liveCount is how many of them were heard lately when they were counted.
 	liveCount int
 	counted   time.Time
-	relay     job.Relay
-	taker     job.Taker
+	relay     job.HeartbeatResponder
+	taker     job.Reclaimer
 	// forgot is when ended jobs were looked for last.
 	forgot time.Time
 
@@ -70,7 +70,7 @@
 	j.born = now
 	j.delivered = now
 	j.random = rand.New(rand.NewPCG(uint64(now.UnixNano()), 1)) //nolint:gosec // placement only
-	j.fold.Changed = func(id record.TaskID, owner *job.Job, t *job.Task) {
+	j.fold.OnTaskChange = func(id record.TaskID, owner *job.Job, t *job.Task) {
 		j.scheduler.TaskChanged(j.delivered, id, owner, t)
 	}
 }
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -43,11 +43,11 @@
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
 	for _, h := range heard {
-		e.jobs.taker.Heard(h.Worker, asked.Add(-time.Duration(h.AgoMS)*time.Millisecond))
+		e.jobs.taker.NoteContact(h.Worker, asked.Add(-time.Duration(h.AgoMS)*time.Millisecond))
 	}
 	for _, name := range suspects {
 		if e.jobs.taker.Lost(now, name, complete, unheardLostAfter) {
-			e.jobs.taker.Confirm(now, name)
+			e.jobs.taker.ConfirmLost(now, name)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	reply := new(link.SilenceReply)
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
-	if now.Sub(e.jobs.relay.Began()) > job.LostAfter {
+	if now.Sub(e.jobs.relay.LastReadBegan()) > job.LostAfter {
 		return reply, nil
 	}
 	for _, name := range q.Workers {
--- a/internal/entry/spill.go
+++ b/internal/entry/spill.go
@@ -151,7 +151,7 @@
 	}
 	e.routes.mu.Lock()
 	router := e.routes.router(q.service.Name)
-	wait, ok := router.EstimateWait(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.Expected.Std())
+	wait, ok := router.EstimateWait(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.ExpectedServiceTime.Std())
 	e.routes.mu.Unlock()
 	if !ok {
 		wait = deadline.Sub(now)
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -37,8 +37,8 @@
 		},
 		Expired: func(_ context.Context, page record.Page) uint64 {
 			// What still counts has been carried forward in this stream.
-			e.log.Info().Str("stream", stream).Uint64("first", page.First).Msg("reading on at the first offset kept")
-			return page.First
+			e.log.Info().Str("stream", stream).Uint64("first", page.FirstOffset).Msg("reading on at the first offset kept")
+			return page.FirstOffset
 		},
 	}
 }
@@ -53,13 +53,13 @@
 			e.log.Debug().Err(err).Uint64("position", uint64(r.Position())).Str("writer", r.Writer()).Msg("void record")
 		}
 		if s, ok := r.Message().(*record.Snapshot); ok && s.Part == s.Parts-1 {
-			e.carried.jobsCopied(now, writtenAt(s.WrittenMS), s.Covers)
+			e.carried.jobsCopied(now, writtenAt(s.WrittenMS), s.EndOffset)
 		}
 	}
 	e.jobs.fold.Advance(next)
 	if !began.IsZero() {
 		e.jobs.began = began
-		e.jobs.relay.Read(began)
+		e.jobs.relay.NoteRead(began)
 	}
 	if len(records) > 0 {
 		e.jobs.notify()
--- a/internal/entry/takeover.go
+++ b/internal/entry/takeover.go
@@ -23,10 +23,10 @@
 func (e *Entry) logTakeover(m record.Message) {
 	switch m := m.(type) {
 	case *record.Revoke:
-		for _, h := range m.Holds {
+		for _, h := range m.Assignments {
 			e.log.Info().Str("decision", "revoke").Str("task", h.Task.String()).Str("reason", m.Reason).Msg("")
 		}
 	case *record.Released:
-		e.log.Info().Str("decision", "take-over").Str("task", m.Hold.Task.String()).Str("reason", m.Reason).Msg("")
+		e.log.Info().Str("decision", "take-over").Str("task", m.Assignment.Task.String()).Str("reason", m.Reason).Msg("")
 	}
 }
--- a/internal/explore/batch/agent.go
+++ b/internal/explore/batch/agent.go
@@ -89,7 +89,7 @@
 	}
 	closed := false
 	for i, e := range a.w.entries {
-		b := &job.Beat{
+		b := &job.Heartbeat{
 			Worker: a.name, Incarnation: a.incarnation, Round: a.holder.Round(),
 			Ready: a.holder.Ledger().Ready(), Primary: i == a.primary, Reports: reports,
 		}
@@ -116,7 +116,7 @@
 	return 4 * usualDelay
 }
 
-func (a *agent) tell(e *entry, b *job.Beat, done func(*lease.LogReading)) {
+func (a *agent) tell(e *entry, b *job.Heartbeat, done func(*lease.LogReading)) {
 	if a.w.isCut(a.name, e.name) {
 		return
 	}
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -27,9 +27,9 @@
 	name string
 	host host
 
-	fold    job.Fold
-	relay   job.Relay
-	taker   job.Taker
+	fold    job.StateMachine
+	relay   job.HeartbeatResponder
+	taker   job.Reclaimer
 	heard   map[string]time.Time
 	placed  map[record.TaskID]time.Time
 	waiting []record.Message
@@ -45,7 +45,7 @@
 }
 
 func (e *entry) boot() {
-	e.fold, e.relay, e.taker = job.Fold{}, job.Relay{}, job.Taker{}
+	e.fold, e.relay, e.taker = job.StateMachine{}, job.HeartbeatResponder{}, job.Reclaimer{}
 	e.relay.SetRules(e.w.rules.Relay)
 	e.taker.SetRules(e.w.rules.Taker)
 	e.heard = make(map[string]time.Time)
@@ -124,13 +124,13 @@
 		}
 	}
 	e.host.after(2*callTimeout, next)
-	e.w.log.read(e.host.process(), e.fold.Next(), func(batches []batchOf, whole bool) {
+	e.w.log.read(e.host.process(), e.fold.NextOffset(), func(batches []batchOf, whole bool) {
 		if settled {
 			return
 		}
 		e.apply(batches)
 		if whole {
-			e.relay.Read(began)
+			e.relay.NoteRead(began)
 		}
 		next()
 	})
@@ -147,11 +147,11 @@
 	}
 }
 
-func (e *entry) heartbeat(b *job.Beat) lease.LogReading {
+func (e *entry) heartbeat(b *job.Heartbeat) lease.LogReading {
 	now := e.host.clock()
 	e.heard[b.Worker] = now
-	e.taker.Heard(b.Worker, now)
-	reading, records := e.relay.Answer(now, &e.fold, b)
+	e.taker.NoteContact(b.Worker, now)
+	reading, records := e.relay.Respond(now, &e.fold, b)
 	if len(records) > 0 {
 		e.queue(records...)
 	}
@@ -161,7 +161,7 @@
 // decide places pending tasks and takes over those of lost workers.
 func (e *entry) decide() {
 	e.host.after(decideEvery, e.decide)
-	if e.relay.Began().IsZero() {
+	if e.relay.LastReadBegan().IsZero() {
 		return
 	}
 	now := e.host.clock()
@@ -229,7 +229,7 @@
 
 func (e *entry) room(name string) worker.Resources {
 	left := machineSize
-	e.fold.Held(name, func(_ record.Hold, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
+	e.fold.EachActive(name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
 	return left
 }
 
@@ -256,7 +256,7 @@
 				e.w.reply(self, func() {
 					answers++
 					for name, d := range ago {
-						e.taker.Heard(name, asked.Add(-d))
+						e.taker.NoteContact(name, asked.Add(-d))
 					}
 				})
 			})
@@ -266,7 +266,7 @@
 		now := e.host.clock()
 		for _, name := range suspects {
 			if e.taker.Lost(now, name, answers >= entries-1, unasked) {
-				e.taker.Confirm(now, name)
+				e.taker.ConfirmLost(now, name)
 			}
 		}
 	})
@@ -275,7 +275,7 @@
 func (e *entry) heardAgo(names []string) map[string]time.Duration {
 	out := make(map[string]time.Duration)
 	now := e.host.clock()
-	if now.Sub(e.relay.Began()) > job.LostAfter {
+	if now.Sub(e.relay.LastReadBegan()) > job.LostAfter {
 		return out
 	}
 	for _, name := range names {
--- a/internal/explore/batch/history.go
+++ b/internal/explore/batch/history.go
@@ -24,18 +24,18 @@
 
 // startKey is one start of a task on one incarnation of a worker.
 type startKey struct {
-	hold        record.Hold
+	hold        record.AssignmentID
 	machine     string
 	incarnation int
 }
 
 // history is what has really happened, in true time.
 type history struct {
-	fold       job.Fold
+	fold       job.StateMachine
 	stretches  map[record.TaskID][]stretch
 	starts     map[startKey]int
 	done       map[record.TaskID]time.Duration
-	revoked    map[record.Hold]time.Duration
+	revoked    map[record.AssignmentID]time.Duration
 	cancelled  map[string]time.Duration
 	violations []string
 }
@@ -44,7 +44,7 @@
 	h.stretches = make(map[record.TaskID][]stretch)
 	h.starts = make(map[startKey]int)
 	h.done = make(map[record.TaskID]time.Duration)
-	h.revoked = make(map[record.Hold]time.Duration)
+	h.revoked = make(map[record.AssignmentID]time.Duration)
 	h.cancelled = make(map[string]time.Duration)
 }
 
@@ -60,9 +60,9 @@
 		}
 		switch m := r.Message().(type) {
 		case *record.Finished:
-			h.done[m.Hold.Task] = now
+			h.done[m.Assignment.Task] = now
 		case *record.Revoke:
-			for _, hold := range m.Holds {
+			for _, hold := range m.Assignments {
 				h.noteRevoked(now, hold)
 			}
 		case *record.Cancel:
@@ -72,7 +72,7 @@
 	h.fold.Advance(records[0].Position().Offset() + 1)
 }
 
-func (h *history) noteRevoked(now time.Duration, hold record.Hold) {
+func (h *history) noteRevoked(now time.Duration, hold record.AssignmentID) {
 	if _, ok := h.revoked[hold]; !ok {
 		h.revoked[hold] = now
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (h *history) started(hold record.Hold, m *machine) {
+func (h *history) started(hold record.AssignmentID, m *machine) {
 	k := startKey{hold: hold, machine: m.name, incarnation: m.incarnation}
 	h.starts[k]++
 	if h.starts[k] > 1 {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (h *history) ran(hold record.Hold, m *machine, from, to time.Duration) {
+func (h *history) ran(hold record.AssignmentID, m *machine, from, to time.Duration) {
 	s := stretch{epoch: hold.Epoch, machine: m.name, from: from, to: to}
 	h.stretches[hold.Task] = append(h.stretches[hold.Task], s)
 	h.checkTerms(hold, to)
@@ -105,7 +105,7 @@
 }
 
 // checkTerms checks that a withdrawn task has stopped within its takeover time.
-func (h *history) checkTerms(hold record.Hold, to time.Duration) {
+func (h *history) checkTerms(hold record.AssignmentID, to time.Duration) {
 	j, ok := h.fold.Job(hold.Task.Job)
 	if !ok {
 		return
@@ -167,13 +167,13 @@
 func (w *world) checkFolds() {
 	want := stateOf(&w.history.fold)
 	for _, e := range w.entries {
-		if e.fold.Next() == w.history.fold.Next() && !bytes.Equal(stateOf(&e.fold), want) {
+		if e.fold.NextOffset() == w.history.fold.NextOffset() && !bytes.Equal(stateOf(&e.fold), want) {
 			w.history.violate("%s has folded another state", e.name)
 		}
 	}
 }
 
-func stateOf(f *job.Fold) []byte {
+func stateOf(f *job.StateMachine) []byte {
 	parts, err := f.Snapshot("check", 1<<30)
 	if err != nil {
 		return nil
--- a/internal/explore/batch/log.go
+++ b/internal/explore/batch/log.go
@@ -46,7 +46,7 @@
 	offset := uint64(len(l.batches))
 	var records []record.Record
 	for i, m := range messages {
-		records = append(records, record.New(record.At(offset, i), writer, first+uint64(i), m))
+		records = append(records, record.New(record.NewPosition(offset, i), writer, first+uint64(i), m))
 	}
 	l.batches = append(l.batches, batchOf{records: records, at: l.w.now})
 	l.w.history.appended(l.w.now, records)
--- a/internal/explore/batch/machine.go
+++ b/internal/explore/batch/machine.go
@@ -20,7 +20,7 @@
 	rate        float64
 	born        time.Duration
 	incarnation int
-	tasks       map[record.Hold]*running
+	tasks       map[record.AssignmentID]*running
 }
 
 type running struct {
@@ -33,7 +33,7 @@
 }
 
 func newMachine(w *world, name string) *machine {
-	return &machine{w: w, name: name, rate: w.drift(), tasks: make(map[record.Hold]*running)}
+	return &machine{w: w, name: name, rate: w.drift(), tasks: make(map[record.AssignmentID]*running)}
 }
 
 func (m *machine) index() int { return slices.Index(m.w.workers, m) }
@@ -53,7 +53,7 @@
 	m.progress()
 	m.incarnation++
 	m.born = m.w.now
-	m.tasks = make(map[record.Hold]*running)
+	m.tasks = make(map[record.AssignmentID]*running)
 }
 
 // progress brings all tasks up to the present.
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *machine) advance(hold record.Hold, t *running) {
+func (m *machine) advance(hold record.AssignmentID, t *running) {
 	from, now := t.seen, m.w.now
 	t.seen = now
 	if t.state != lease.Running {
--- a/internal/explore/batch/mutant_test.go
+++ b/internal/explore/batch/mutant_test.go
@@ -29,7 +29,7 @@
 			r.Holder.LeaseEnd = func(t lease.Terms, _, now time.Duration) time.Duration { return t.LeaseEnd(now) }
 		},
 		"entry claims a newer reading": func(r *Rules) {
-			r.Relay.Heard = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
+			r.Relay.HeartbeatRound = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
 				return h.NewestRoundBefore(began.Add(time.Hour))
 			}
 		},
--- a/internal/explore/batch/world.go
+++ b/internal/explore/batch/world.go
@@ -47,8 +47,8 @@
 // Rules are the rules of the protocol that an exploration replaces.
 type Rules struct {
 	Holder lease.Rules
-	Taker  job.TakerRules
-	Relay  job.RelayRules
+	Taker  job.ReclaimerRules
+	Relay  job.HeartbeatResponderRules
 }
 
 // world is everything that takes part, in true time.
--- a/internal/explore/log/log.go
+++ b/internal/explore/log/log.go
@@ -61,7 +61,7 @@
 	readers   []*reader
 	followers []*follower
 	operators []string
-	carry     record.Carry
+	carry     record.CarryForwardSchedule
 	// acknowledged are the jobs named in records whose writer knows them written.
 	acknowledged map[string]uint64
 }
@@ -241,7 +241,7 @@
 	for _, n := range names {
 		public, ok := key(n).Public().(ed25519.PublicKey)
 		if ok {
-			o.Keys = append(o.Keys, bundle.Key{Name: n, Public: base64.StdEncoding.EncodeToString(public)})
+			o.Keys = append(o.Keys, bundle.Key{Name: n, PublicKey: base64.StdEncoding.EncodeToString(public)})
 		}
 	}
 	return o
--- a/internal/explore/log/operator.go
+++ b/internal/explore/log/operator.go
@@ -26,7 +26,7 @@
 func (w *world) attached() *reader {
 	var best *reader
 	for _, r := range w.readers {
-		if r.chain.Attached() && (best == nil || r.chain.Version() > best.chain.Version()) {
+		if r.chain.InSync() && (best == nil || r.chain.Version() > best.chain.Version()) {
 			best = r
 		}
 	}
@@ -63,7 +63,7 @@
 
 func signedBundle(version uint64, parent, signer, next string, variant int) *bundle.Signed {
 	d := &bundle.Document{Version: version, Parent: parent, Operators: operators(next)}
-	d.BatchClasses = []bundle.BatchClass{{Name: "shaping", Priority: variant, TakeoverAfter: 1e9, MaxAttempts: 1}}
+	d.BatchClasses = []bundle.BatchClass{{Name: "shaping", Priority: variant, TakeoverAfter: 1e9, MaxFailures: 1}}
 	content, err := bundle.Format(d)
 	if err != nil {
 		panic(err) // the document is the program's own
@@ -97,14 +97,14 @@
 
 func (w *world) carryBy(r *reader) error {
 	proof := r.chain.Proof()
-	if proof == nil || !r.chain.Attached() {
+	if proof == nil || !r.chain.InSync() {
 		return nil
 	}
 	signed, lineage, err := proof.Encode()
 	if err != nil {
 		return err
 	}
-	w.appendBundle(&record.Bundle{Signed: signed, Lineage: lineage, Carried: true, Covers: proof.Covers()})
+	w.appendBundle(&record.Bundle{Signed: signed, OperatorChanges: lineage, CarriedForward: true, EndOffset: proof.EndOffset()})
 	return nil
 }
 
--- a/internal/explore/log/reader.go
+++ b/internal/explore/log/reader.go
@@ -28,7 +28,7 @@
 func (w *world) read(r *reader) error {
 	if r.next < w.first {
 		r.next = w.first
-		r.chain.ReadFrom(w.first)
+		r.chain.NoteGap(w.first)
 		r.dedup = record.Deduper{}
 		r.seen = make(map[string]uint64)
 	}
@@ -47,7 +47,7 @@
 			}
 		}
 		r.next++
-		r.chain.ReadTo(r.next)
+		r.chain.NoteReadTo(r.next)
 	}
 	return w.complete(r, from)
 }
@@ -56,7 +56,7 @@
 func (w *world) take(r *reader, rec record.Record) error {
 	switch m := rec.Message().(type) {
 	case *record.Forget:
-		if !r.dedup.Fresh(rec) {
+		if !r.dedup.Accept(rec) {
 			return nil
 		}
 		if _, ok := r.seen[m.Jobs[0]]; ok {
@@ -83,18 +83,18 @@
 }
 
 func (w *world) takeBundle(c *bundle.Chain, m *record.Bundle, offset uint64) error {
-	proof, err := bundle.DecodeProof(m.Signed, m.Lineage, m.Covers)
+	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
 		return errors.Wrap(ErrLost, err.Error())
 	}
 	err = moveChain(c, func() error {
-		if m.Carried {
+		if m.CarriedForward {
 			return c.Adopt(proof)
 		}
 		return c.OfferAt(offset, proof.Signed())
 	})
-	if m.Carried && bundle.Digest(proof.Signed().Content()) == c.Digest() {
-		w.carry.Copied(w.time(), w.time(), m.Covers)
+	if m.CarriedForward && bundle.Digest(proof.Signed().Content()) == c.Digest() {
+		w.carry.NoteCopy(w.time(), w.time(), m.EndOffset)
 	}
 	return err
 }
--- a/internal/link/compact_test.go
+++ b/internal/link/compact_test.go
@@ -29,7 +29,7 @@
 	return &Heartbeat{
 		Worker: "worker-1", Rack: "rack-1", Service: "planner", Address: "10.0.0.1:8443", Incarnation: 7, Ready: true,
 		Total: worker.Resources{MilliCPU: 16000}, Bundle: "digest", BundleVersion: 4,
-		Tasks: []lease.Report{{Hold: record.Hold{Task: record.TaskID{Job: "job"}, Epoch: 9}, State: lease.Running}},
+		Tasks: []lease.Report{{Hold: record.AssignmentID{Task: record.TaskID{Job: "job"}, Epoch: 9}, State: lease.Running}},
 	}
 }
 
--- a/internal/services/log.go
+++ b/internal/services/log.go
@@ -56,7 +56,7 @@
 	}
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return 0, errors.Mark(errors.Wrap(err, "append to the log"), record.ErrUnknown)
+		return 0, errors.Mark(errors.Wrap(err, "append to the log"), record.ErrOutcomeUnknown)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	defer drain(resp.Body)
@@ -64,11 +64,11 @@
 		return 0, errors.Wrapf(record.ErrUnavailable, "append to %s", stream)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return 0, errors.Wrapf(record.ErrUnknown, "append to %s: status %d", stream, resp.StatusCode)
+		return 0, errors.Wrapf(record.ErrOutcomeUnknown, "append to %s: status %d", stream, resp.StatusCode)
 	}
 	var out LogOffset
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return 0, errors.Mark(errors.Wrap(err, "read the append's reply"), record.ErrUnknown)
+		return 0, errors.Mark(errors.Wrap(err, "read the append's reply"), record.ErrOutcomeUnknown)
 	}
 	return out.Offset, nil
 }
@@ -92,7 +92,7 @@
 	if err := json.NewDecoder(resp.Body).Decode(&in); err != nil {
 		return record.Page{}, errors.Mark(errors.Wrap(err, "read the log"), record.ErrUnavailable)
 	}
-	page := record.Page{First: in.First, Next: in.Next}
+	page := record.Page{FirstOffset: in.First, NextOffset: in.Next}
 	if resp.StatusCode == http.StatusGone {
 		return page, errors.Wrapf(record.ErrExpired, "stream %s offset %d, first kept %d", stream, from, in.First)
 	}
--- a/internal/services/queue.go
+++ b/internal/services/queue.go
@@ -30,13 +30,13 @@
 
 // group is the records that go into the same batch, or none of them does.
 type group struct {
-	records []record.Encoded
+	records []record.EncodedRecord
 	size    int
 	done    chan error
 }
 
 func newGroup(messages []record.Message) (*group, error) {
-	g := &group{records: make([]record.Encoded, len(messages)), done: make(chan error, 1)}
+	g := &group{records: make([]record.EncodedRecord, len(messages)), done: make(chan error, 1)}
 	for i, m := range messages {
 		var err error
 		if g.records[i], err = record.EncodeMessage(m); err != nil {
@@ -88,7 +88,7 @@
 }
 
 // take removes the groups of the next batch.
-func (q *queue) take() (groups []*group, records []record.Encoded) {
+func (q *queue) take() (groups []*group, records []record.EncodedRecord) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	size := 0
--- a/internal/services/scan.go
+++ b/internal/services/scan.go
@@ -17,7 +17,7 @@
 	if errors.Is(err, record.ErrExpired) {
 		err = nil
 	}
-	return page.First, page.Next, err
+	return page.FirstOffset, page.NextOffset, err
 }
 
 // Scan calls fn for every readable record from an offset to the stream's
@@ -40,7 +40,7 @@
 				fn(r)
 			}
 		}
-		if len(page.Batches) == 0 || from >= page.Next {
+		if len(page.Batches) == 0 || from >= page.NextOffset {
 			return nil
 		}
 	}
--- a/internal/services/tail.go
+++ b/internal/services/tail.go
@@ -43,7 +43,7 @@
 		began := time.Now()
 		page, err := t.read(ctx, next)
 		if errors.Is(err, record.ErrExpired) {
-			next = max(t.Expired(ctx, page), page.First)
+			next = max(t.Expired(ctx, page), page.FirstOffset)
 			continue
 		}
 		if err != nil {
@@ -53,7 +53,7 @@
 		}
 		backoff = retryMin
 		if t.Observed != nil {
-			t.Observed(page.First, page.Next)
+			t.Observed(page.FirstOffset, page.NextOffset)
 		}
 		next = t.deliver(page, next, began)
 	}
@@ -78,7 +78,7 @@
 	if n := len(page.Batches); n > 0 {
 		next = page.Batches[n-1].Offset + 1
 	}
-	if next != page.Next {
+	if next != page.NextOffset {
 		began = time.Time{}
 	}
 	t.Deliver(records, next, began)
--- a/internal/services/tail_test.go
+++ b/internal/services/tail_test.go
@@ -42,11 +42,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := &scriptedLog{stop: cancel, errs: make([]error, 5), pages: []record.Page{
-		{Next: 3, Batches: []record.RawBatch{batchAt(t, 0), batchAt(t, 1)}},
-		{Next: 3, Batches: []record.RawBatch{batchAt(t, 2)}},
-		{Next: 3},
-		{Next: 4},
-		{Next: 2},
+		{NextOffset: 3, Batches: []record.RawBatch{batchAt(t, 0), batchAt(t, 1)}},
+		{NextOffset: 3, Batches: []record.RawBatch{batchAt(t, 2)}},
+		{NextOffset: 3},
+		{NextOffset: 4},
+		{NextOffset: 2},
 	}}
 	want := []bool{false, true, true, false, false}
 	var got []bool
@@ -72,7 +72,7 @@
 	log := &scriptedLog{
 		stop:  cancel,
 		errs:  []error{errors.Wrap(record.ErrExpired, "read"), nil},
-		pages: []record.Page{{First: 5, Next: 9}, {First: 5, Next: 9, Batches: []record.RawBatch{batchAt(t, 7), batchAt(t, 8)}}},
+		pages: []record.Page{{FirstOffset: 5, NextOffset: 9}, {FirstOffset: 5, NextOffset: 9, Batches: []record.RawBatch{batchAt(t, 7), batchAt(t, 8)}}},
 	}
 	var first, next uint64
 	tail := Tail{
--- a/internal/services/worker.go
+++ b/internal/services/worker.go
@@ -68,8 +68,8 @@
 }
 
 // Hold returns the task's hold.
-func (t *WorkerTask) Hold() record.Hold {
-	return record.Hold{Task: record.TaskID{Job: t.Job, Index: t.Index}, Epoch: record.Position(t.Epoch)}
+func (t *WorkerTask) Hold() record.AssignmentID {
+	return record.AssignmentID{Task: record.TaskID{Job: t.Job, Index: t.Index}, Epoch: record.Position(t.Epoch)}
 }
 
 // StartOrder asks a worker to run a task.
@@ -184,4 +184,4 @@
 
 // TaskKey names a task under one epoch, so that two epochs of a task are two
 // tasks to the worker.
-func TaskKey(h record.Hold) string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
+func TaskKey(h record.AssignmentID) string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -87,7 +87,7 @@
 	if w.queue.withdraw(g) {
 		return errors.Mark(errors.Wrap(ctx.Err(), "append not begun"), record.ErrUnavailable)
 	}
-	return errors.Mark(errors.Wrap(ctx.Err(), "append under way"), record.ErrUnknown)
+	return errors.Mark(errors.Wrap(ctx.Err(), "append under way"), record.ErrOutcomeUnknown)
 }
 
 // Enqueue queues messages without waiting for the log. They keep their order
@@ -179,7 +179,7 @@
 }
 
 // appendBatch goes on until the log has the batch or ctx ends.
-func (w *Writer) appendBatch(ctx context.Context, records []record.Encoded, first uint64) error {
+func (w *Writer) appendBatch(ctx context.Context, records []record.EncodedRecord, first uint64) error {
 	data, err := record.EncodeBatch(w.name, first, records)
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 // endOfWait marks what a caller learns about a batch that was given up.
 func endOfWait(err error, unknown bool) error {
 	if unknown {
-		return errors.Wrapf(record.ErrUnknown, "append given up: %v", err)
+		return errors.Wrapf(record.ErrOutcomeUnknown, "append given up: %v", err)
 	}
 	return errors.Wrap(err, "append")
 }
@@ -249,8 +249,8 @@
 		call, cancel := context.WithTimeout(ctx, appendTimeout)
 		page, err := w.log.Read(call, w.stream, from, 0)
 		cancel()
-		if errors.Is(err, record.ErrExpired) && page.First > from {
-			from = page.First
+		if errors.Is(err, record.ErrExpired) && page.FirstOffset > from {
+			from = page.FirstOffset
 			continue
 		}
 		if err != nil {
@@ -258,13 +258,13 @@
 		}
 		for _, b := range page.Batches {
 			from = b.Offset + 1
-			writer, seq, err := record.Identity(b.Data)
+			writer, seq, err := record.BatchHeader(b.Data)
 			if err == nil && writer == w.name && seq == first {
 				w.floor, w.known = from, true
 				return true, nil
 			}
 		}
-		if from >= page.Next || len(page.Batches) == 0 {
+		if from >= page.NextOffset || len(page.Batches) == 0 {
 			w.floor, w.known = from, true
 			return false, nil
 		}
--- a/internal/services/writer_test.go
+++ b/internal/services/writer_test.go
@@ -42,10 +42,10 @@
 	case "refused":
 		return 0, record.ErrUnavailable
 	case "vanished":
-		return 0, record.ErrUnknown
+		return 0, record.ErrOutcomeUnknown
 	case "late":
 		l.late = data
-		return 0, record.ErrUnknown
+		return 0, record.ErrOutcomeUnknown
 	}
 	offset := l.first + uint64(len(l.batches))
 	l.batches = append(l.batches, data)
@@ -62,7 +62,7 @@
 			l.first += uint64(len(l.batches))
 			l.batches = nil
 		}
-		return 0, record.ErrUnknown
+		return 0, record.ErrOutcomeUnknown
 	}
 	return offset, nil
 }
@@ -70,7 +70,7 @@
 func (l *faultyLog) read(_ context.Context, _ string, from uint64, _ time.Duration) (record.Page, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	page := record.Page{First: l.first, Next: l.first + uint64(len(l.batches))}
+	page := record.Page{FirstOffset: l.first, NextOffset: l.first + uint64(len(l.batches))}
 	if l.failedReads > 0 && len(l.batches) > 0 {
 		l.failedReads--
 		return record.Page{}, record.ErrUnavailable
@@ -78,7 +78,7 @@
 	if from < l.first {
 		return page, record.ErrExpired
 	}
-	for o := from; o < page.Next && len(page.Batches) < faultyPage; o++ {
+	for o := from; o < page.NextOffset && len(page.Batches) < faultyPage; o++ {
 		page.Batches = append(page.Batches, record.RawBatch{Offset: o, Data: l.batches[o-l.first]})
 	}
 	return page, nil
@@ -100,7 +100,7 @@
 		}
 		batches++
 		for _, r := range records {
-			if d.Fresh(r) {
+			if d.Accept(r) {
 				jobs = append(jobs, r.Message().(*record.Forget).Jobs...)
 			}
 		}
@@ -188,10 +188,10 @@
 			second = w.Append(ctx, &record.Forget{Jobs: []string{"second"}}, &record.Forget{Jobs: []string{"third"}})
 		})
 		calls.Wait()
-		if !errors.Is(first, record.ErrUnknown) {
-			t.Errorf("append under way: got %v, want %v", first, record.ErrUnknown)
+		if !errors.Is(first, record.ErrOutcomeUnknown) {
+			t.Errorf("append under way: got %v, want %v", first, record.ErrOutcomeUnknown)
 		}
-		if !errors.Is(second, record.ErrUnavailable) || errors.Is(second, record.ErrUnknown) {
+		if !errors.Is(second, record.ErrUnavailable) || errors.Is(second, record.ErrOutcomeUnknown) {
 			t.Errorf("append not begun: got %v, want %v", second, record.ErrUnavailable)
 		}
 		close(hang)
--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -38,8 +38,8 @@
 // Key is an operator's ed25519 public key.
 type Key struct {
 	Name string `yaml:"name" json:"name"`
-	// Public is the key in standard base64.
-	Public string `yaml:"public-key" json:"public-key"`
+	// PublicKey is the key in standard base64.
+	PublicKey string `yaml:"public-key" json:"public-key"`
 }
 
 // Service is a latency-critical service.
@@ -48,12 +48,12 @@
 	Classes []RequestClass `yaml:"classes" json:"classes"`
 	// Slots is the number of requests that an endpoint processes at a time.
 	Slots int `yaml:"slots" json:"slots"`
-	// Connections is the maximum number of connections that an endpoint accepts.
-	Connections int `yaml:"connections" json:"connections"`
-	// BodyLimit is the maximum size of a request body in bytes.
-	BodyLimit int64 `yaml:"body-limit" json:"body-limit"`
-	// Objective is the latency that the service should meet at the 99th percentile.
-	Objective Duration `yaml:"objective" json:"objective"`
+	// MaxConnections is the maximum number of connections that an endpoint accepts.
+	MaxConnections int `yaml:"connections" json:"connections"`
+	// MaxBodyBytes is the maximum size of a request body in bytes.
+	MaxBodyBytes int64 `yaml:"body-limit" json:"body-limit"`
+	// LatencyObjective is the latency that the service should meet at the 99th percentile.
+	LatencyObjective Duration `yaml:"objective" json:"objective"`
 }
 
 // RequestClass is a class of requests of one service.
@@ -63,8 +63,8 @@
 	Priority int `yaml:"priority" json:"priority"`
 	// Deadline is the default for requests that have none.
 	Deadline Duration `yaml:"deadline" json:"deadline"`
-	// Expected is the declared service time of a request.
-	Expected Duration `yaml:"expected" json:"expected"`
+	// ExpectedServiceTime is the declared service time of a request.
+	ExpectedServiceTime Duration `yaml:"expected" json:"expected"`
 }
 
 // BatchClass is a class of jobs.
@@ -74,8 +74,8 @@
 	// TakeoverAfter is how long a lost worker's task is left alone before it is
 	// started elsewhere.
 	TakeoverAfter Duration `yaml:"takeover-after" json:"takeover-after"`
-	// MaxAttempts is the number of failed runs after which a task fails for good.
-	MaxAttempts int `yaml:"max-attempts" json:"max-attempts"`
+	// MaxFailures is the number of failed runs after which a task fails for good.
+	MaxFailures int `yaml:"max-attempts" json:"max-attempts"`
 	// Size is the default for the resources of a task.
 	Size worker.Resources `yaml:"size,omitempty" json:"size,omitzero"`
 	// Urgent means that jobs of this class are placed before all others.
--- a/pkg/bundle/chain.go
+++ b/pkg/bundle/chain.go
@@ -83,9 +83,9 @@
 	return &Proof{signed: c.signed, operatorChanges: c.operatorChanges, endOffset: c.endOffset}
 }
 
-// Accepted returns the digest of the bundle that came in force with a version, or
+// AcceptedDigest returns the digest of the bundle that came in force with a version, or
 // "" if it is not remembered.
-func (c *Chain) Accepted(version uint64) string { return c.digestByVersion[version] }
+func (c *Chain) AcceptedDigest(version uint64) string { return c.digestByVersion[version] }
 
 // Check returns the error that Offer would return, without changing anything.
 func (c *Chain) Check(s *Signed) error {
@@ -134,23 +134,23 @@
 	}
 }
 
-// ReadFrom notes that part of the log was skipped and that reading continues at an
+// NoteGap notes that part of the log was skipped and that reading continues at an
 // offset.
-func (c *Chain) ReadFrom(offset uint64) {
+func (c *Chain) NoteGap(offset uint64) {
 	c.readFromOffset = offset
 	c.undecided = nil
 }
 
-// ReadTo notes that every bundle before an offset of the log has been offered.
-func (c *Chain) ReadTo(next uint64) {
+// NoteReadTo notes that every bundle before an offset of the log has been offered.
+func (c *Chain) NoteReadTo(next uint64) {
 	if c.endOffset >= c.readFromOffset && next > c.endOffset {
 		c.endOffset = next
 	}
 }
 
-// Attached reports whether the chain has read the log without a gap since its end
+// InSync reports whether the chain has read the log without a gap since its end
 // offset, so that it can decide on the next bundle.
-func (c *Chain) Attached() bool { return c.endOffset >= c.readFromOffset }
+func (c *Chain) InSync() bool { return c.endOffset >= c.readFromOffset }
 
 // validate returns the document of s if s may come in force now.
 func (c *Chain) validate(s *Signed) (*Document, error) {
--- a/pkg/bundle/chain_test.go
+++ b/pkg/bundle/chain_test.go
@@ -23,7 +23,7 @@
 	o := Operators{Threshold: threshold}
 	for _, n := range names {
 		public := testKey(n).Public().(ed25519.PublicKey)
-		o.Keys = append(o.Keys, Key{Name: n, Public: base64.StdEncoding.EncodeToString(public)})
+		o.Keys = append(o.Keys, Key{Name: n, PublicKey: base64.StdEncoding.EncodeToString(public)})
 	}
 	return o
 }
@@ -94,8 +94,8 @@
 	return &Document{
 		Version: version, Operators: operators,
 		Services: []Service{{
-			Name: "planner", Slots: slots, Connections: 64, BodyLimit: 1 << 20, Objective: 1e9,
-			Classes: []RequestClass{{Name: "preview", Priority: 9, Deadline: 1e9, Expected: 1e6}},
+			Name: "planner", Slots: slots, MaxConnections: 64, MaxBodyBytes: 1 << 20, LatencyObjective: 1e9,
+			Classes: []RequestClass{{Name: "preview", Priority: 9, Deadline: 1e9, ExpectedServiceTime: 1e6}},
 		}},
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 var chainErrors = map[string]error{
-	"accepted": nil, "superseded": ErrSuperseded, "no-parent": ErrNoParent, "in-force": ErrInForce, "signatures": ErrSignatures,
+	"accepted": nil, "superseded": ErrSuperseded, "no-parent": ErrNoParent, "in-force": ErrInForce, "signatures": ErrTooFewSignatures,
 }
 
 // TestChainFaults runs the cases of testdata/chain.json: bundles offered in and out
@@ -148,7 +148,7 @@
 	t.Helper()
 	before := chain.Version()
 	if s.ReadFrom > 0 {
-		chain.ReadFrom(s.ReadFrom)
+		chain.NoteGap(s.ReadFrom)
 		return
 	}
 	err := applyChainStep(t, chain, bundles, s)
@@ -245,10 +245,10 @@
 			t.Fatal(err)
 		}
 	}
-	if got, want := chain.Accepted(2), Digest(b["b2"].Content()); got != want {
+	if got, want := chain.AcceptedDigest(2), Digest(b["b2"].Content()); got != want {
 		t.Errorf("version 2: got %s, want %s", got, want)
 	}
-	if got := chain.Accepted(7); got != "" {
+	if got := chain.AcceptedDigest(7); got != "" {
 		t.Errorf("version 7: got %q, want none", got)
 	}
 }
--- a/pkg/bundle/key.go
+++ b/pkg/bundle/key.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrKey means that a key or a list of operators could not be parsed.
-var ErrKey = errors.New("the key is not valid")
+// ErrInvalidKey means that a key or a list of operators could not be parsed.
+var ErrInvalidKey = errors.New("the key is not valid")
 
 // GenerateKey returns a new private key, and its public key in base64.
 func GenerateKey(random io.Reader) (ed25519.PrivateKey, string, error) {
@@ -30,7 +30,7 @@
 func ParsePrivateKey(text string) (ed25519.PrivateKey, error) {
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, errors.Wrap(ErrKey, "private key: want 32 bytes in base64")
+		return nil, errors.Wrap(ErrInvalidKey, "private key: want 32 bytes in base64")
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
@@ -42,9 +42,9 @@
 	for _, pair := range strings.Split(text, ",") {
 		name, public, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
-			return Operators{}, errors.Wrapf(ErrKey, "operator %q: want name=public-key", pair)
+			return Operators{}, errors.Wrapf(ErrInvalidKey, "operator %q: want name=public-key", pair)
 		}
-		o.Keys = append(o.Keys, Key{Name: name, Public: public})
+		o.Keys = append(o.Keys, Key{Name: name, PublicKey: public})
 	}
 	var c checker
 	c.operators(&o)
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -131,20 +131,20 @@
 	for i, k := range o.Keys {
 		at := fmt.Sprintf("operators.keys[%d]", i)
 		c.name(at, k.Name, seen)
-		raw, err := base64.StdEncoding.DecodeString(k.Public)
+		raw, err := base64.StdEncoding.DecodeString(k.PublicKey)
 		c.require(err == nil && len(raw) == ed25519.PublicKeySize, at+".public-key",
 			"must be an ed25519 public key in base64")
-		c.require(!keys[k.Public], at+".public-key", "is used twice")
-		keys[k.Public] = true
+		c.require(!keys[k.PublicKey], at+".public-key", "is used twice")
+		keys[k.PublicKey] = true
 	}
 }
 
 func (c *checker) service(at string, s *Service) {
 	c.require(len(s.Classes) > 0, at+".classes", "must name at least one class")
 	c.require(s.Slots > 0, at+".slots", "must be at least 1")
-	c.require(s.Connections >= s.Slots, at+".connections", "must be at least slots")
-	c.require(s.BodyLimit > 0, at+".body-limit", "must be at least 1 byte")
-	c.require(s.Objective > 0, at+".objective", "must be longer than 0")
+	c.require(s.MaxConnections >= s.Slots, at+".connections", "must be at least slots")
+	c.require(s.MaxBodyBytes > 0, at+".body-limit", "must be at least 1 byte")
+	c.require(s.LatencyObjective > 0, at+".objective", "must be longer than 0")
 	seen := names{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -152,14 +152,14 @@
 		c.name(in, class.Name, seen)
 		c.priority(in, class.Priority)
 		c.require(class.Deadline > 0, in+".deadline", "must be longer than 0")
-		c.require(class.Expected > 0, in+".expected", "must be longer than 0")
+		c.require(class.ExpectedServiceTime > 0, in+".expected", "must be longer than 0")
 	}
 }
 
 func (c *checker) batchClass(at string, b *BatchClass) {
 	c.priority(at, b.Priority)
 	c.require(b.TakeoverAfter > 0, at+".takeover-after", "must be longer than 0")
-	c.require(b.MaxAttempts > 0, at+".max-attempts", "must be at least 1")
+	c.require(b.MaxFailures > 0, at+".max-attempts", "must be at least 1")
 	c.require(b.Size.Valid(), at+".size", "must not be negative")
 }
 
--- a/pkg/bundle/proof.go
+++ b/pkg/bundle/proof.go
@@ -22,8 +22,8 @@
 // Signed returns the proof's bundle.
 func (p *Proof) Signed() *Signed { return p.signed }
 
-// Covers returns the offset of the log before which no newer bundle came in force.
-func (p *Proof) Covers() uint64 { return p.endOffset }
+// EndOffset returns the offset of the log before which no newer bundle came in force.
+func (p *Proof) EndOffset() uint64 { return p.endOffset }
 
 // Encode encodes the bundle and the bundles that changed the operators.
 func (p *Proof) Encode() (signed []byte, operatorChanges [][]byte, err error) {
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -12,8 +12,8 @@
 
 // Errors returned when signed bundles are decoded and verified.
 var (
-	// ErrSignatures means that too few operators have signed.
-	ErrSignatures = errors.New("too few operators have signed the bundle")
+	// ErrTooFewSignatures means that too few operators have signed.
+	ErrTooFewSignatures = errors.New("too few operators have signed the bundle")
 	// ErrCorrupt means that a signed bundle could not be decoded.
 	ErrCorrupt = errors.New("the signed bundle is corrupt")
 )
@@ -86,14 +86,14 @@
 		}
 	}
 	if valid < o.Threshold || o.Threshold < 1 {
-		return errors.Wrapf(ErrSignatures, "got %d valid signatures, want %d", valid, o.Threshold)
+		return errors.Wrapf(ErrTooFewSignatures, "got %d valid signatures, want %d", valid, o.Threshold)
 	}
 	return nil
 }
 
 // hasSigned reports whether the bundle has a valid signature by this key's operator.
 func (k *Key) hasSigned(s *Signed) bool {
-	public, err := base64.StdEncoding.DecodeString(k.Public)
+	public, err := base64.StdEncoding.DecodeString(k.PublicKey)
 	if err != nil || len(public) != ed25519.PublicKeySize {
 		return false
 	}
--- a/pkg/job/ended.go
+++ b/pkg/job/ended.go
@@ -11,17 +11,17 @@
 	position record.Position
 }
 
-func (sm *Fold) addEnded(j *Job) {
+func (sm *StateMachine) addEnded(j *Job) {
 	sm.ended = append(sm.ended, endedJob{id: j.spec.ID, position: j.ended})
 }
 
 // stillKnown reports whether the state still contains a listed job.
-func (sm *Fold) stillKnown(e endedJob) bool {
+func (sm *StateMachine) stillKnown(e endedJob) bool {
 	j, ok := sm.jobs[e.id]
 	return ok && j.ended == e.position
 }
 
-func (sm *Fold) trimEnded() {
+func (sm *StateMachine) trimEnded() {
 	for len(sm.ended) > 0 && !sm.stillKnown(sm.ended[0]) {
 		sm.ended = sm.ended[1:]
 	}
@@ -29,7 +29,7 @@
 
 // EndedBefore returns the ids of up to limit jobs that ended before beforeMS, in
 // Unix milliseconds, oldest first. These jobs can be dropped by a Forget record.
-func (sm *Fold) EndedBefore(beforeMS int64, limit int) []string {
+func (sm *StateMachine) EndedBefore(beforeMS int64, limit int) []string {
 	var out []string
 	for _, e := range sm.ended {
 		if !sm.stillKnown(e) {
--- a/pkg/job/failover.go
+++ b/pkg/job/failover.go
@@ -21,7 +21,7 @@
 // one: their tasks are revoked, then released after the takeover time, and then
 // the jobs are moved. The zero value is ready for use.
 type Failover struct {
-	reclaimer Taker
+	reclaimer Reclaimer
 	// lastQueued maps a job id to when a record about the job was last returned.
 	lastQueued map[string]time.Time
 }
@@ -37,7 +37,7 @@
 // detects the violation.
 func (o *Failover) SetFaults(f FailoverFaults) {
 	if f.NoWait {
-		o.reclaimer.SetRules(TakerRules{TakeoverAt: func(_ lease.Terms, _, seen time.Time) time.Time { return seen }})
+		o.reclaimer.SetRules(ReclaimerRules{TakeoverAt: func(_ lease.Terms, _, seen time.Time) time.Time { return seen }})
 	}
 }
 
@@ -45,12 +45,12 @@
 // and those to append to the stream of the local one. The states of the two
 // streams are lost and own; home is the local data centre. Jobs whose failover
 // target is another data centre are left to that one.
-func (o *Failover) Decide(now time.Time, lost, own *Fold, home string, target func(job string) string) (lostRecords []record.Message, submits []*record.Submit) {
+func (o *Failover) Decide(now time.Time, lost, own *StateMachine, home string, target func(job string) string) (lostRecords []record.Message, submits []*record.Submit) {
 	if o.lastQueued == nil {
 		o.lastQueued = make(map[string]time.Time)
 	}
 	for _, worker := range o.reclaimer.Suspects(now, lost) {
-		o.reclaimer.Confirm(now, worker)
+		o.reclaimer.ConfirmLost(now, worker)
 	}
 	lostRecords = o.reclaimer.Decide(now, lost)
 	lost.Each(func(j *Job) bool {
@@ -79,7 +79,7 @@
 }
 
 // resubmit completes a move whose Submit record is not yet in the local stream.
-func (o *Failover) resubmit(now time.Time, j *Job, own *Fold, home string) *record.Submit {
+func (o *Failover) resubmit(now time.Time, j *Job, own *StateMachine, home string) *record.Submit {
 	if !needsResubmission(now, j, own, home) || !o.allowQueue(now, j) {
 		return nil
 	}
@@ -96,7 +96,7 @@
 
 // Pending reports whether a job that was moved to the data centre home still has
 // to be submitted there.
-func (o *Failover) Pending(now time.Time, lost, own *Fold, home string) bool {
+func (o *Failover) Pending(now time.Time, lost, own *StateMachine, home string) bool {
 	pending := false
 	lost.Each(func(j *Job) bool {
 		pending = needsResubmission(now, j, own, home)
@@ -109,7 +109,7 @@
 // there. A move that is not completed within resubmitWithin is abandoned: home
 // may have received the job, run it and dropped it since, and must not run it
 // again.
-func needsResubmission(now time.Time, j *Job, own *Fold, home string) bool {
+func needsResubmission(now time.Time, j *Job, own *StateMachine, home string) bool {
 	if j.MovedTo() != home || now.Sub(time.UnixMilli(j.endedMS)) > resubmitWithin {
 		return false
 	}
@@ -121,7 +121,7 @@
 // another stream.
 func Resubmission(j *Job) *record.Submit {
 	m := &record.Submit{
-		Spec: j.spec, Hops: j.moves + 1,
+		Spec: j.spec, Moves: j.moves + 1,
 		Checkpoints: make(map[uint32]string), Ended: make(map[uint32]record.Outcome),
 	}
 	for i := range j.tasks {
@@ -143,7 +143,7 @@
 // hasActiveTask reports whether a worker may still run one of the job's tasks.
 func (j *Job) hasActiveTask() bool {
 	for i := range j.tasks {
-		if j.tasks[i].phase.Held() {
+		if j.tasks[i].phase.Active() {
 			return true
 		}
 	}
--- a/pkg/job/failover_test.go
+++ b/pkg/job/failover_test.go
@@ -11,7 +11,7 @@
 // streams holds the states of the streams of a lost data centre and of its
 // failover target, dc-1.
 type streams struct {
-	lost, own Fold
+	lost, own StateMachine
 	offsets   [2]uint64
 	// releasedAfter is the time from the newest revocation to its release.
 	revokedAt     time.Time
@@ -26,11 +26,11 @@
 		case *record.Released:
 			s.releasedAfter = now.Sub(s.revokedAt)
 		}
-		_ = s.lost.Apply(record.New(record.At(s.offsets[0], 0), "heir", s.offsets[0]+1, m))
+		_ = s.lost.Apply(record.New(record.NewPosition(s.offsets[0], 0), "heir", s.offsets[0]+1, m))
 		s.offsets[0]++
 	}
 	for _, m := range submits {
-		_ = s.own.Apply(record.New(record.At(s.offsets[1], 0), "heir", s.offsets[1]+1, m))
+		_ = s.own.Apply(record.New(record.NewPosition(s.offsets[1], 0), "heir", s.offsets[1]+1, m))
 		s.offsets[1]++
 	}
 }
@@ -54,8 +54,8 @@
 	}
 	s.apply(time.Time{}, lostRecords, nil)
 	j, _ := s.lost.Job("job-1")
-	assignment := record.Hold{Task: record.TaskID{Job: "job-1"}, Epoch: j.Task(0).Epoch()}
-	s.apply(time.Time{}, []record.Message{&record.Finished{Hold: assignment, Outcome: record.OutcomeSucceeded}}, nil)
+	assignment := record.AssignmentID{Task: record.TaskID{Job: "job-1"}, Epoch: j.Task(0).Epoch()}
+	s.apply(time.Time{}, []record.Message{&record.Finished{Assignment: assignment, Outcome: record.OutcomeSucceeded}}, nil)
 	return s
 }
 
@@ -144,7 +144,7 @@
 	if got, want := s.lostPhase("job-2"), Moved; got != want {
 		t.Errorf("after a repeated first submission: got %s, want %s", got, want)
 	}
-	back.Hops++
+	back.Moves++
 	s.apply(time.Time{}, []record.Message{back}, nil)
 	if got, want := s.lostPhase("job-2"), Pending; got != want {
 		t.Errorf("after the move back: got %s, want %s", got, want)
--- a/pkg/job/heartbeat.go
+++ b/pkg/job/heartbeat.go
@@ -11,8 +11,8 @@
 // forgetSilentAfter is how long the state of a silent agent or worker is kept.
 const forgetSilentAfter = 10 * time.Minute
 
-// Beat is the part of an agent's heartbeat that concerns its worker's tasks.
-type Beat struct {
+// Heartbeat is the part of an agent's heartbeat that concerns its worker's tasks.
+type Heartbeat struct {
 	Worker string
 	// Incarnation is higher for an agent that has replaced another one.
 	Incarnation uint64
@@ -25,36 +25,36 @@
 	Reports []lease.Report
 }
 
-// Relay decides at an entry (a process that accepts and schedules work) what an
+// HeartbeatResponder decides at an entry (a process that accepts and schedules work) what an
 // agent is told about the log in reply to its heartbeat, and which records its
 // reports call for. The zero value has not read the log.
-type Relay struct {
+type HeartbeatResponder struct {
 	// lastReadBegan is when the newest read of the log that was applied in full began.
 	lastReadBegan time.Time
 	agents        map[string]*agentState
 	requeue       requeueLimiter
 	prunedAt      time.Time
-	rules         RelayRules
+	rules         HeartbeatResponderRules
 }
 
-// RelayRules are the rules on which the safety of these decisions depends. A nil field
+// HeartbeatResponderRules are the rules on which the safety of these decisions depends. A nil field
 // stands for the rule of the protocol. The schedule explorer replaces a rule to
 // prove that it detects the resulting failure.
-type RelayRules struct {
-	// Heard returns the agent's newest round whose heartbeat was received before
+type HeartbeatResponderRules struct {
+	// HeartbeatRound returns the agent's newest round whose heartbeat was received before
 	// a read of the log that began at the given time.
-	Heard func(h *lease.HeartbeatTracker, began time.Time) uint64
+	HeartbeatRound func(h *lease.HeartbeatTracker, began time.Time) uint64
 }
 
-func (r *RelayRules) heartbeatRound(h *lease.HeartbeatTracker, began time.Time) uint64 {
-	if r.Heard != nil {
-		return r.Heard(h, began)
+func (r *HeartbeatResponderRules) heartbeatRound(h *lease.HeartbeatTracker, began time.Time) uint64 {
+	if r.HeartbeatRound != nil {
+		return r.HeartbeatRound(h, began)
 	}
 	return h.NewestRoundBefore(began)
 }
 
 // SetRules replaces rules of the protocol, for the schedule explorer.
-func (r *Relay) SetRules(rules RelayRules) { r.rules = rules }
+func (r *HeartbeatResponder) SetRules(rules HeartbeatResponderRules) { r.rules = rules }
 
 // agentState is what is known of the agent of one worker.
 type agentState struct {
@@ -63,23 +63,23 @@
 	lastHeartbeat time.Time
 }
 
-// Read notes that every record that was in the log when a read began has been
+// NoteRead notes that every record that was in the log when a read began has been
 // applied.
-func (r *Relay) Read(began time.Time) { r.lastReadBegan = began }
+func (r *HeartbeatResponder) NoteRead(began time.Time) { r.lastReadBegan = began }
 
-// Began returns when the newest completed read of the log began, or the zero
+// LastReadBegan returns when the newest completed read of the log began, or the zero
 // time before the first.
-func (r *Relay) Began() time.Time { return r.lastReadBegan }
+func (r *HeartbeatResponder) LastReadBegan() time.Time { return r.lastReadBegan }
 
-// Answer returns what the log says about the heartbeat's worker, and the records
+// Respond returns what the log says about the heartbeat's worker, and the records
 // that the heartbeat's reports call for. The reading is empty until the log has
 // been read once, and for a heartbeat of an agent that has been replaced.
-func (r *Relay) Answer(now time.Time, sm *Fold, hb *Beat) (lease.LogReading, []record.Message) {
+func (r *HeartbeatResponder) Respond(now time.Time, sm *StateMachine, hb *Heartbeat) (lease.LogReading, []record.Message) {
 	a := r.agent(now, hb)
 	if hb.Incarnation < a.incarnation || r.lastReadBegan.IsZero() {
 		return lease.LogReading{}, nil
 	}
-	reading := lease.LogReading{HeartbeatRound: r.rules.heartbeatRound(&a.heartbeats, r.lastReadBegan), NextPosition: record.At(sm.Next(), 0)}
+	reading := lease.LogReading{HeartbeatRound: r.rules.heartbeatRound(&a.heartbeats, r.lastReadBegan), NextPosition: record.NewPosition(sm.NextOffset(), 0)}
 	records := r.checkReports(now, sm, hb, &reading)
 	if hb.Ready {
 		addOrders(sm, hb, &reading)
@@ -91,7 +91,7 @@
 // clock. If the clock went back before an agent was replaced, the new agent has
 // the lower incarnation; it is accepted once its predecessor has been silent for
 // longer than LostAfter.
-func (r *Relay) agent(now time.Time, hb *Beat) *agentState {
+func (r *HeartbeatResponder) agent(now time.Time, hb *Heartbeat) *agentState {
 	if r.agents == nil {
 		r.agents = make(map[string]*agentState)
 	}
@@ -108,7 +108,7 @@
 	return a
 }
 
-func (r *Relay) prune(now time.Time) {
+func (r *HeartbeatResponder) prune(now time.Time) {
 	if now.Sub(r.prunedAt) < forgetSilentAfter {
 		return
 	}
@@ -123,7 +123,7 @@
 // checkReports compares the reports with the state of the jobs. It adds to the
 // reading what the agent must stop, and returns the records that the reports
 // call for.
-func (r *Relay) checkReports(now time.Time, sm *Fold, hb *Beat, reading *lease.LogReading) []record.Message {
+func (r *HeartbeatResponder) checkReports(now time.Time, sm *StateMachine, hb *Heartbeat, reading *lease.LogReading) []record.Message {
 	var out []record.Message
 	started := new(record.Started)
 	for i := range hb.Reports {
@@ -131,7 +131,7 @@
 		if report.Hold.Epoch >= reading.NextPosition {
 			continue
 		}
-		t, ok := sm.Current(hb.Worker, report.Hold)
+		t, ok := sm.CurrentTask(hb.Worker, report.Hold)
 		if !ok {
 			reading.Stop = append(reading.Stop, lease.StopOrder{Hold: report.Hold, Settled: true})
 			continue
@@ -145,12 +145,12 @@
 			continue
 		}
 		if s, ok := m.(*record.Started); ok {
-			started.Holds = append(started.Holds, s.Holds...)
+			started.Assignments = append(started.Assignments, s.Assignments...)
 			continue
 		}
 		out = append(out, m)
 	}
-	if len(started.Holds) > 0 {
+	if len(started.Assignments) > 0 {
 		out = append(out, started)
 	}
 	return out
@@ -161,30 +161,30 @@
 	switch r.State {
 	case lease.Running:
 		if t.Phase() == Assigned {
-			return &record.Started{Holds: []record.Hold{r.Hold}}
+			return &record.Started{Assignments: []record.AssignmentID{r.Hold}}
 		}
 		if r.Ref != "" && r.Ref != t.Checkpoint() {
-			return &record.Checkpointed{Hold: r.Hold, Ref: r.Ref}
+			return &record.Checkpointed{Assignment: r.Hold, Ref: r.Ref}
 		}
 		return nil
 	case lease.Succeeded:
-		return &record.Finished{Hold: r.Hold, Outcome: record.OutcomeSucceeded, Detail: r.Detail, AtMS: now.UnixMilli()}
+		return &record.Finished{Assignment: r.Hold, Outcome: record.OutcomeSucceeded, Detail: r.Detail, AtMS: now.UnixMilli()}
 	case lease.Failed:
-		return &record.Finished{Hold: r.Hold, Outcome: record.OutcomeFailed, Detail: r.Detail, AtMS: now.UnixMilli()}
+		return &record.Finished{Assignment: r.Hold, Outcome: record.OutcomeFailed, Detail: r.Detail, AtMS: now.UnixMilli()}
 	case lease.Stopped:
-		return &record.Released{Hold: r.Hold, Ref: r.Ref, Reason: r.Detail, AtMS: now.UnixMilli()}
+		return &record.Released{Assignment: r.Hold, Ref: r.Ref, Reason: r.Detail, AtMS: now.UnixMilli()}
 	}
 	return nil
 }
 
 // addOrders adds orders for the worker's tasks that the heartbeat does not
 // report: to start those assigned to it, and to stop those revoked.
-func addOrders(sm *Fold, hb *Beat, reading *lease.LogReading) {
-	reported := make(map[record.Hold]bool, len(hb.Reports))
+func addOrders(sm *StateMachine, hb *Heartbeat, reading *lease.LogReading) {
+	reported := make(map[record.AssignmentID]bool, len(hb.Reports))
 	for i := range hb.Reports {
 		reported[hb.Reports[i].Hold] = true
 	}
-	sm.Held(hb.Worker, func(assignment record.Hold, owner *Job, t *Task) {
+	sm.EachActive(hb.Worker, func(assignment record.AssignmentID, owner *Job, t *Task) {
 		if reported[assignment] {
 			return
 		}
--- a/pkg/job/reclaimer.go
+++ b/pkg/job/reclaimer.go
@@ -23,18 +23,18 @@
 	reasonTakeover = "the takeover time has passed"
 )
 
-// Taker decides at an entry when the tasks of silent workers are revoked, and
+// Reclaimer decides at an entry when the tasks of silent workers are revoked, and
 // when revoked tasks are released so that they can start on another worker. The
 // zero value is ready for use; silence counts from its first use at the earliest.
-type Taker struct {
+type Reclaimer struct {
 	// startedAt is when the zero value was first used.
 	startedAt   time.Time
 	lastContact map[string]time.Time
 	confirmedAt map[string]time.Time
 	// revocations holds the revocations in effect.
-	revocations map[record.Hold]revocation
+	revocations map[record.AssignmentID]revocation
 	requeue     requeueLimiter
-	rules       TakerRules
+	rules       ReclaimerRules
 }
 
 // revocation holds when this entry decided on a revocation, or the zero time if
@@ -44,17 +44,17 @@
 	seenAt    time.Time
 }
 
-// TakerRules are the rules on which the safety of takeovers depends. A nil field
+// ReclaimerRules are the rules on which the safety of takeovers depends. A nil field
 // stands for the rule of the protocol. The schedule explorer replaces the rules
 // one at a time to prove that it detects the resulting failure.
-type TakerRules struct {
+type ReclaimerRules struct {
 	// TakeoverAt returns when a task may be released whose revocation was
 	// decided and first seen in the log at these times; decided is zero if
 	// another entry decided it.
 	TakeoverAt func(t lease.Terms, decided, seen time.Time) time.Time
 }
 
-func (r *TakerRules) takeoverAt(t lease.Terms, decided, seen time.Time) time.Time {
+func (r *ReclaimerRules) takeoverAt(t lease.Terms, decided, seen time.Time) time.Time {
 	if r.TakeoverAt != nil {
 		return r.TakeoverAt(t, decided, seen)
 	}
@@ -62,11 +62,11 @@
 }
 
 // SetRules replaces rules of the protocol, for the schedule explorer.
-func (rc *Taker) SetRules(r TakerRules) { rc.rules = r }
+func (rc *Reclaimer) SetRules(r ReclaimerRules) { rc.rules = r }
 
-// Heard notes that the worker was heard from at the given time, by this entry or
+// NoteContact notes that the worker was heard from at the given time, by this entry or
 // another one.
-func (rc *Taker) Heard(worker string, at time.Time) {
+func (rc *Reclaimer) NoteContact(worker string, at time.Time) {
 	rc.init(at)
 	if at.After(rc.lastContact[worker]) {
 		rc.lastContact[worker] = at
@@ -74,30 +74,30 @@
 	}
 }
 
-// HeardAt returns when the worker was last heard from, or the zero time.
-func (rc *Taker) HeardAt(worker string) time.Time { return rc.lastContact[worker] }
+// LastContact returns when the worker was last heard from, or the zero time.
+func (rc *Reclaimer) LastContact(worker string) time.Time { return rc.lastContact[worker] }
 
-// Confirm notes that no other entry has recently heard from the worker.
-func (rc *Taker) Confirm(now time.Time, worker string) {
+// ConfirmLost notes that no other entry has recently heard from the worker.
+func (rc *Reclaimer) ConfirmLost(now time.Time, worker string) {
 	rc.init(now)
 	rc.confirmedAt[worker] = now
 }
 
-func (rc *Taker) init(now time.Time) {
+func (rc *Reclaimer) init(now time.Time) {
 	if rc.lastContact == nil {
 		rc.startedAt = now
 		rc.lastContact = make(map[string]time.Time)
 		rc.confirmedAt = make(map[string]time.Time)
-		rc.revocations = make(map[record.Hold]revocation)
+		rc.revocations = make(map[record.AssignmentID]revocation)
 	}
 }
 
 // Suspects returns the workers that may run tasks and have been silent for longer
 // than LostAfter. They count as lost once they are confirmed as lost.
-func (rc *Taker) Suspects(now time.Time, sm *Fold) []string {
+func (rc *Reclaimer) Suspects(now time.Time, sm *StateMachine) []string {
 	rc.init(now)
 	var out []string
-	sm.Workers(func(worker string) {
+	sm.EachWorker(func(worker string) {
 		if rc.silent(now, worker) && !rc.lost(now, worker) {
 			out = append(out, worker)
 		}
@@ -109,15 +109,15 @@
 // Lost reports whether a worker is still silent after the other entries were
 // asked. Unless all of them could be asked, the worker must also have been silent
 // for longer than minSilence.
-func (rc *Taker) Lost(now time.Time, worker string, allAsked bool, minSilence time.Duration) bool {
+func (rc *Reclaimer) Lost(now time.Time, worker string, allAsked bool, minSilence time.Duration) bool {
 	return rc.silent(now, worker) && (allAsked || rc.silence(now, worker) > minSilence)
 }
 
-func (rc *Taker) silent(now time.Time, worker string) bool {
+func (rc *Reclaimer) silent(now time.Time, worker string) bool {
 	return rc.silence(now, worker) > LostAfter
 }
 
-func (rc *Taker) silence(now time.Time, worker string) time.Duration {
+func (rc *Reclaimer) silence(now time.Time, worker string) time.Duration {
 	at := rc.lastContact[worker]
 	if at.Before(rc.startedAt) {
 		at = rc.startedAt
@@ -125,14 +125,14 @@
 	return now.Sub(at)
 }
 
-func (rc *Taker) lost(now time.Time, worker string) bool {
+func (rc *Reclaimer) lost(now time.Time, worker string) bool {
 	at, ok := rc.confirmedAt[worker]
 	return ok && now.Sub(at) < confirmationValidFor
 }
 
 // Decide returns the records that revoke the tasks of lost workers, and those
 // that release revoked tasks whose takeover time has passed.
-func (rc *Taker) Decide(now time.Time, sm *Fold) []record.Message {
+func (rc *Reclaimer) Decide(now time.Time, sm *StateMachine) []record.Message {
 	rc.init(now)
 	rc.trackRevocations(now, sm)
 	out := rc.releaseDue(now, sm)
@@ -145,32 +145,32 @@
 
 // trackRevocations notes when each revocation was first seen in the log, and drops
 // those that are no longer in effect.
-func (rc *Taker) trackRevocations(now time.Time, sm *Fold) {
+func (rc *Reclaimer) trackRevocations(now time.Time, sm *StateMachine) {
 	for assignment := range rc.revocations {
 		if !sm.isRevoked(assignment) {
 			delete(rc.revocations, assignment)
 		}
 	}
-	sm.Revoked(func(assignment record.Hold, _ *Job, _ *Task) {
+	sm.EachRevoked(func(assignment record.AssignmentID, _ *Job, _ *Task) {
 		if _, ok := rc.revocations[assignment]; !ok {
 			rc.revocations[assignment] = revocation{decidedAt: rc.requeue.firstQueued(assignment, record.KindRevoke), seenAt: now}
 		}
 	})
 }
 
-func (rc *Taker) releaseDue(now time.Time, sm *Fold) []record.Message {
+func (rc *Reclaimer) releaseDue(now time.Time, sm *StateMachine) []record.Message {
 	var due []*record.Released
-	sm.Revoked(func(assignment record.Hold, j *Job, task *Task) {
+	sm.EachRevoked(func(assignment record.AssignmentID, j *Job, task *Task) {
 		terms := lease.TermsFromMS(j.Spec().TakeoverMS)
 		revoked := rc.revocations[assignment]
 		if !now.After(rc.rules.takeoverAt(terms, revoked.decidedAt, revoked.seenAt)) {
 			return
 		}
 		if rc.requeue.allow(now, assignment, record.KindReleased) {
-			due = append(due, &record.Released{Hold: assignment, Reason: reasonTakeover, Revoked: task.RevokedAt(), AtMS: now.UnixMilli()})
+			due = append(due, &record.Released{Assignment: assignment, Reason: reasonTakeover, Revoked: task.RevokedAt(), AtMS: now.UnixMilli()})
 		}
 	})
-	slices.SortFunc(due, func(a, b *record.Released) int { return a.Hold.Compare(b.Hold) })
+	slices.SortFunc(due, func(a, b *record.Released) int { return a.Assignment.Compare(b.Assignment) })
 	var out []record.Message
 	for _, m := range due {
 		out = append(out, m)
@@ -178,13 +178,13 @@
 	return out
 }
 
-func (rc *Taker) revokeLost(now time.Time, sm *Fold) record.Message {
-	var lost []record.Hold
-	sm.Workers(func(worker string) {
+func (rc *Reclaimer) revokeLost(now time.Time, sm *StateMachine) record.Message {
+	var lost []record.AssignmentID
+	sm.EachWorker(func(worker string) {
 		if !rc.silent(now, worker) || !rc.lost(now, worker) {
 			return
 		}
-		sm.Held(worker, func(assignment record.Hold, _ *Job, task *Task) {
+		sm.EachActive(worker, func(assignment record.AssignmentID, _ *Job, task *Task) {
 			if task.Phase() == Revoked || !rc.requeue.allow(now, assignment, record.KindRevoke) {
 				return
 			}
@@ -194,13 +194,13 @@
 	if len(lost) == 0 {
 		return nil
 	}
-	slices.SortFunc(lost, record.Hold.Compare)
-	return &record.Revoke{Holds: lost, Reason: reasonSilent}
+	slices.SortFunc(lost, record.AssignmentID.Compare)
+	return &record.Revoke{Assignments: lost, Reason: reasonSilent}
 }
 
 // prune drops workers that have been silent for longer than forgetSilentAfter and
 // have no task, and confirmations that are no longer valid.
-func (rc *Taker) prune(now time.Time, sm *Fold) {
+func (rc *Reclaimer) prune(now time.Time, sm *StateMachine) {
 	for worker, at := range rc.lastContact {
 		if now.Sub(at) > forgetSilentAfter && len(sm.byWorker[worker]) == 0 {
 			delete(rc.lastContact, worker)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (sm *Fold) isRevoked(h record.Hold) bool {
+func (sm *StateMachine) isRevoked(h record.AssignmentID) bool {
 	epoch, ok := sm.revokedEpochs[h.Task]
 	return ok && epoch == h.Epoch
 }
--- a/pkg/job/requeue_limiter.go
+++ b/pkg/job/requeue_limiter.go
@@ -14,7 +14,7 @@
 const forgetQueuedAfter = 10 * requeueAfter
 
 type queuedKey struct {
-	assignment record.Hold
+	assignment record.AssignmentID
 	kind       record.Kind
 }
 
@@ -32,7 +32,7 @@
 
 // allow reports whether a record of this kind about the assignment may be queued
 // now. If so, it counts the record as queued.
-func (c *requeueLimiter) allow(now time.Time, assignment record.Hold, kind record.Kind) bool {
+func (c *requeueLimiter) allow(now time.Time, assignment record.AssignmentID, kind record.Kind) bool {
 	if c.queued == nil {
 		c.queued = make(map[queuedKey]queuedTimes)
 	}
@@ -52,7 +52,7 @@
 
 // firstQueued returns when a record of this kind about the assignment was first
 // queued, or the zero time if none was.
-func (c *requeueLimiter) firstQueued(assignment record.Hold, kind record.Kind) time.Time {
+func (c *requeueLimiter) firstQueued(assignment record.AssignmentID, kind record.Kind) time.Time {
 	return c.queued[queuedKey{assignment: assignment, kind: kind}].first
 }
 
--- a/pkg/job/snapshot.go
+++ b/pkg/job/snapshot.go
@@ -62,7 +62,7 @@
 // records to append. The chunks in a part take at most maxPartBytes bytes,
 // unless the part has only one chunk. Snapshots of the same state are the same.
 // Snapshot must be called between two batches.
-func (sm *Fold) Snapshot(id string, maxPartBytes int) ([]*record.Snapshot, error) {
+func (sm *StateMachine) Snapshot(id string, maxPartBytes int) ([]*record.Snapshot, error) {
 	maxPartBytes = max(maxPartBytes, minPartBytes)
 	parts := []snapshotPart{{Writers: sm.dedup.Writers()}}
 	size := 0
@@ -84,20 +84,20 @@
 	return sm.encode(id, parts)
 }
 
-func (sm *Fold) encode(id string, parts []snapshotPart) ([]*record.Snapshot, error) {
+func (sm *StateMachine) encode(id string, parts []snapshotPart) ([]*record.Snapshot, error) {
 	out := make([]*record.Snapshot, len(parts))
 	for i := range parts {
 		data, err := cbor.Marshal(&parts[i])
 		if err != nil {
 			return nil, errors.Wrap(err, "encode snapshot part")
 		}
-		out[i] = &record.Snapshot{ID: id, Part: uint32(i), Parts: uint32(len(parts)), Covers: sm.nextOffset, State: data}
+		out[i] = &record.Snapshot{ID: id, Part: uint32(i), Parts: uint32(len(parts)), EndOffset: sm.nextOffset, State: data}
 	}
 	return out, nil
 }
 
 // jobsBySubmission returns the jobs in the order of their submission.
-func (sm *Fold) jobsBySubmission() []*Job {
+func (sm *StateMachine) jobsBySubmission() []*Job {
 	out := make([]*Job, 0, len(sm.jobs))
 	for _, j := range sm.jobs {
 		out = append(out, j)
@@ -149,18 +149,18 @@
 // apply is then the first one at the snapshot's end offset. If Restore returns an
 // error, the state is unchanged. OnTaskChange is called for every task of the
 // snapshot, and for every task of a job that the snapshot does not contain.
-func (sm *Fold) Restore(parts []*record.Snapshot) error {
+func (sm *StateMachine) Restore(parts []*record.Snapshot) error {
 	if len(parts) == 0 {
 		return errors.Wrap(ErrSnapshot, "no parts")
 	}
-	if parts[0].Covers < sm.nextOffset {
-		return errors.Wrapf(ErrOldSnapshot, "the snapshot ends at offset %d, the state at offset %d", parts[0].Covers, sm.nextOffset)
+	if parts[0].EndOffset < sm.nextOffset {
+		return errors.Wrapf(ErrOldSnapshot, "the snapshot ends at offset %d, the state at offset %d", parts[0].EndOffset, sm.nextOffset)
 	}
-	var fresh Fold
+	var fresh StateMachine
 	fresh.init()
-	fresh.nextOffset = parts[0].Covers
+	fresh.nextOffset = parts[0].EndOffset
 	for i, p := range parts {
-		if p.ID != parts[0].ID || int(p.Part) != i || int(p.Parts) != len(parts) || p.Covers != fresh.nextOffset {
+		if p.ID != parts[0].ID || int(p.Part) != i || int(p.Parts) != len(parts) || p.EndOffset != fresh.nextOffset {
 			return errors.Wrapf(ErrSnapshot, "part %d of %d", i, len(parts))
 		}
 		if err := fresh.restorePart(p.State); err != nil {
@@ -171,13 +171,13 @@
 		return err
 	}
 	old := sm.jobs
-	fresh.Changed = sm.Changed
+	fresh.OnTaskChange = sm.OnTaskChange
 	*sm = fresh
 	sm.notifyRestored(old)
 	return nil
 }
 
-func (sm *Fold) restorePart(state []byte) error {
+func (sm *StateMachine) restorePart(state []byte) error {
 	var part snapshotPart
 	if err := cbor.Unmarshal(state, &part); err != nil {
 		return err
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func (sm *Fold) restoreChunk(c *jobChunk) error {
+func (sm *StateMachine) restoreChunk(c *jobChunk) error {
 	if c.Spec != nil {
 		sm.restoring = &Job{
 			spec: *c.Spec, submitted: c.Submitted, cancelled: c.Cancelled, ended: c.Ended, endedMS: c.EndedMS,
@@ -222,7 +222,7 @@
 }
 
 // rebuildIndexes computes the fields that are derived from the restored jobs.
-func (sm *Fold) rebuildIndexes() error {
+func (sm *StateMachine) rebuildIndexes() error {
 	sm.restoring = nil
 	for id, j := range sm.jobs {
 		if len(j.tasks) != int(j.spec.Tasks) {
@@ -234,7 +234,7 @@
 				j.openTasks++
 			}
 			task := record.TaskID{Job: id, Index: uint32(i)}
-			if t.phase.Held() {
+			if t.phase.Active() {
 				sm.addToWorker(task, t)
 			}
 			if t.phase == Revoked {
@@ -256,7 +256,7 @@
 
 // notifyRestored calls OnTaskChange for all tasks that a restored snapshot may have
 // changed; old holds the jobs from before.
-func (sm *Fold) notifyRestored(old map[string]*Job) {
+func (sm *StateMachine) notifyRestored(old map[string]*Job) {
 	for id, j := range old {
 		if sm.jobs[id] != nil {
 			continue
--- a/pkg/job/snapshot_assembler.go
+++ b/pkg/job/snapshot_assembler.go
@@ -5,17 +5,17 @@
 // maxIncompleteSnapshots limits the number of incomplete snapshots that are kept.
 const maxIncompleteSnapshots = 8
 
-// Collector assembles snapshots from their parts as these are read from the
+// SnapshotAssembler assembles snapshots from their parts as these are read from the
 // stream. The zero value is ready for use.
-type Collector struct {
+type SnapshotAssembler struct {
 	open  map[string][]*record.Snapshot
 	order []string
 }
 
 // Add adds a part. If the part completes its snapshot, Add returns all parts of
 // the snapshot in order; otherwise it returns nil.
-func (c *Collector) Add(p *record.Snapshot) []*record.Snapshot {
-	if p.Part >= p.Parts || p.Parts > record.MaxBatch {
+func (c *SnapshotAssembler) Add(p *record.Snapshot) []*record.Snapshot {
+	if p.Part >= p.Parts || p.Parts > record.MaxBatchRecords {
 		return nil
 	}
 	parts, ok := c.open[p.ID]
@@ -29,7 +29,7 @@
 	parts[p.Part] = p
 	c.open[p.ID] = parts
 	for _, q := range parts {
-		if q == nil || q.Covers != p.Covers {
+		if q == nil || q.EndOffset != p.EndOffset {
 			return nil
 		}
 	}
@@ -37,7 +37,7 @@
 	return parts
 }
 
-func (c *Collector) remember(id string) {
+func (c *SnapshotAssembler) remember(id string) {
 	if c.open == nil {
 		c.open = make(map[string][]*record.Snapshot)
 	}
--- a/pkg/job/snapshot_test.go
+++ b/pkg/job/snapshot_test.go
@@ -11,7 +11,7 @@
 )
 
 // state returns the whole state as the bytes of a snapshot.
-func state(t *testing.T, sm *Fold) []byte {
+func state(t *testing.T, sm *StateMachine) []byte {
 	t.Helper()
 	parts, err := sm.Snapshot("state", minPartBytes)
 	if err != nil {
@@ -27,7 +27,7 @@
 // collect passes the parts to a SnapshotAssembler in random order, some of them twice.
 func collect(t *testing.T, random *rand.Rand, parts []*record.Snapshot) []*record.Snapshot {
 	t.Helper()
-	var c Collector
+	var c SnapshotAssembler
 	for range 3 {
 		for _, i := range random.Perm(len(parts)) {
 			if whole := c.Add(parts[i]); whole != nil {
@@ -47,7 +47,7 @@
 	for seed := range uint64(60) {
 		s := newStream(seed)
 		cut := s.random.Uint64N(batches)
-		var restored *Fold
+		var restored *StateMachine
 		for offset := range uint64(batches) {
 			batch := s.next(offset)
 			s.apply(&s.state, batch, offset)
@@ -59,7 +59,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				restored = new(Fold)
+				restored = new(StateMachine)
 				if err := restored.Restore(collect(t, s.random, parts)); err != nil {
 					t.Fatalf("seed %d: restore: %v", seed, err)
 				}
@@ -72,7 +72,7 @@
 	}
 }
 
-func checkIndexes(t *testing.T, seed uint64, whole, restored *Fold) {
+func checkIndexes(t *testing.T, seed uint64, whole, restored *StateMachine) {
 	t.Helper()
 	if got, want := len(restored.byWorker), len(whole.byWorker); got != want {
 		t.Errorf("seed %d: workers with tasks: got %d, want %d", seed, got, want)
@@ -125,32 +125,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fresh Fold
+	var fresh StateMachine
 	if err := fresh.Restore(parts[1:]); !errors.Is(err, ErrSnapshot) {
 		t.Errorf("first part missing: got %v, want %v", err, ErrSnapshot)
 	}
 	if err := fresh.Restore(nil); !errors.Is(err, ErrSnapshot) {
 		t.Errorf("no parts: got %v, want %v", err, ErrSnapshot)
 	}
-	var ahead Fold
-	ahead.Advance(parts[0].Covers + 1)
+	var ahead StateMachine
+	ahead.Advance(parts[0].EndOffset + 1)
 	if err := ahead.Restore(parts); !errors.Is(err, ErrOldSnapshot) {
 		t.Errorf("snapshot of an earlier state: got %v, want %v", err, ErrOldSnapshot)
 	}
 }
 
 func TestRestoreNotifiesOfEveryTask(t *testing.T) {
-	var before Fold
-	_ = before.Apply(record.New(record.At(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "stays", Tasks: 2}}))
+	var before StateMachine
+	_ = before.Apply(record.New(record.NewPosition(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "stays", Tasks: 2}}))
 	before.Advance(1)
 	parts, err := before.Snapshot("x", minPartBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var sm Fold
-	_ = sm.Apply(record.New(record.At(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "gone", Tasks: 1}}))
+	var sm StateMachine
+	_ = sm.Apply(record.New(record.NewPosition(0, 0), "a", 1, &record.Submit{Spec: record.Spec{ID: "gone", Tasks: 1}}))
 	notified := make(map[record.TaskID]bool)
-	sm.Changed = func(id record.TaskID, _ *Job, t *Task) { notified[id] = t != nil }
+	sm.OnTaskChange = func(id record.TaskID, _ *Job, t *Task) { notified[id] = t != nil }
 	if err := sm.Restore(parts); err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/job/state.go
+++ b/pkg/job/state.go
@@ -44,8 +44,8 @@
 // Ended reports whether a task in this phase will never run again in this stream.
 func (p Phase) Ended() bool { return p >= Succeeded }
 
-// Held reports whether a worker may be running a task in this phase.
-func (p Phase) Held() bool { return p == Assigned || p == Running || p == Revoked }
+// Active reports whether a worker may be running a task in this phase.
+func (p Phase) Active() bool { return p == Assigned || p == Running || p == Revoked }
 
 // Task is the state of one task.
 type Task struct {
@@ -140,9 +140,9 @@
 	return phase
 }
 
-// Hops returns how often the job was moved between data centres before it came
+// Moves returns how often the job was moved between data centres before it came
 // to this stream.
-func (j *Job) Hops() uint32 { return j.moves }
+func (j *Job) Moves() uint32 { return j.moves }
 
 // MovedTo returns the data centre in whose stream the job continues, or "".
 func (j *Job) MovedTo() string {
--- a/pkg/job/state_machine.go
+++ b/pkg/job/state_machine.go
@@ -6,12 +6,12 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// ErrVoid means that a record has no effect on the state.
-var ErrVoid = errors.New("the record has no effect")
+// ErrNoEffect means that a record has no effect on the state.
+var ErrNoEffect = errors.New("the record has no effect")
 
-// Fold is the state of all jobs of one stream, computed by applying the stream's
+// StateMachine is the state of all jobs of one stream, computed by applying the stream's
 // records in order. The zero value is the state before the first record.
-type Fold struct {
+type StateMachine struct {
 	jobs map[string]*Job
 	// byWorker maps a worker to the epochs of the tasks that it may run.
 	byWorker map[string]map[record.TaskID]record.Position
@@ -22,33 +22,33 @@
 	nextOffset    uint64
 	// restoring is the job whose chunks are currently read from a snapshot.
 	restoring *Job
-	// Changed is called, if set, after a task's phase was set by a submission or
+	// OnTaskChange is called, if set, after a task's phase was set by a submission or
 	// has changed, and for each task of a job that a Forget record has dropped (t
 	// is then nil).
-	Changed func(id record.TaskID, j *Job, t *Task)
+	OnTaskChange func(id record.TaskID, j *Job, t *Task)
 }
 
-// Next returns the log offset after the last batch that was applied.
-func (sm *Fold) Next() uint64 { return sm.nextOffset }
+// NextOffset returns the log offset after the last batch that was applied.
+func (sm *StateMachine) NextOffset() uint64 { return sm.nextOffset }
 
 // Advance notes that every batch before offset next has been applied.
-func (sm *Fold) Advance(next uint64) {
+func (sm *StateMachine) Advance(next uint64) {
 	if next > sm.nextOffset {
 		sm.nextOffset = next
 	}
 }
 
 // Job returns the job with the given id.
-func (sm *Fold) Job(id string) (*Job, bool) {
+func (sm *StateMachine) Job(id string) (*Job, bool) {
 	j, ok := sm.jobs[id]
 	return j, ok
 }
 
 // Len returns the number of jobs.
-func (sm *Fold) Len() int { return len(sm.jobs) }
+func (sm *StateMachine) Len() int { return len(sm.jobs) }
 
 // Each calls fn for every job, in no particular order, until it returns false.
-func (sm *Fold) Each(fn func(*Job) bool) {
+func (sm *StateMachine) Each(fn func(*Job) bool) {
 	for _, j := range sm.jobs {
 		if !fn(j) {
 			return
@@ -56,31 +56,31 @@
 	}
 }
 
-// Held calls fn for every task that the worker may run, revoked ones included.
-func (sm *Fold) Held(worker string, fn func(assignment record.Hold, j *Job, t *Task)) {
+// EachActive calls fn for every task that the worker may run, revoked ones included.
+func (sm *StateMachine) EachActive(worker string, fn func(assignment record.AssignmentID, j *Job, t *Task)) {
 	for id, epoch := range sm.byWorker[worker] {
 		j := sm.jobs[id.Job]
-		fn(record.Hold{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
+		fn(record.AssignmentID{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
 	}
 }
 
-// Workers calls fn for every worker that may run at least one task.
-func (sm *Fold) Workers(fn func(worker string)) {
+// EachWorker calls fn for every worker that may run at least one task.
+func (sm *StateMachine) EachWorker(fn func(worker string)) {
 	for name := range sm.byWorker {
 		fn(name)
 	}
 }
 
-// Revoked calls fn for every revoked task that has not been released.
-func (sm *Fold) Revoked(fn func(assignment record.Hold, j *Job, t *Task)) {
+// EachRevoked calls fn for every revoked task that has not been released.
+func (sm *StateMachine) EachRevoked(fn func(assignment record.AssignmentID, j *Job, t *Task)) {
 	for id, epoch := range sm.revokedEpochs {
 		j := sm.jobs[id.Job]
-		fn(record.Hold{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
+		fn(record.AssignmentID{Task: id, Epoch: epoch}, j, &j.tasks[id.Index])
 	}
 }
 
-// Current returns the task if the assignment is in effect and is to this worker.
-func (sm *Fold) Current(worker string, assignment record.Hold) (*Task, bool) {
+// CurrentTask returns the task if the assignment is in effect and is to this worker.
+func (sm *StateMachine) CurrentTask(worker string, assignment record.AssignmentID) (*Task, bool) {
 	t := sm.currentTask(assignment)
 	if t == nil || t.worker != worker {
 		return nil, false
@@ -90,15 +90,15 @@
 
 // Apply applies one record. If the record has no effect, it leaves the state
 // unchanged and returns an error marked ErrNoEffect.
-func (sm *Fold) Apply(r record.Record) error {
+func (sm *StateMachine) Apply(r record.Record) error {
 	sm.Advance(r.Position().Offset())
-	if !sm.dedup.Fresh(r) {
-		return errors.Wrap(ErrVoid, "the record is a duplicate")
+	if !sm.dedup.Accept(r) {
+		return errors.Wrap(ErrNoEffect, "the record is a duplicate")
 	}
 	return sm.apply(r)
 }
 
-func (sm *Fold) apply(r record.Record) error {
+func (sm *StateMachine) apply(r record.Record) error {
 	switch m := r.Message().(type) {
 	case *record.Submit:
 		return sm.submit(r.Position(), m)
@@ -124,12 +124,12 @@
 	return nil
 }
 
-func (sm *Fold) submit(at record.Position, m *record.Submit) error {
-	if j, ok := sm.jobs[m.Spec.ID]; ok && (j.MovedTo() == "" || m.Hops <= j.moves) {
-		return errors.Wrap(ErrVoid, "the job exists already")
+func (sm *StateMachine) submit(at record.Position, m *record.Submit) error {
+	if j, ok := sm.jobs[m.Spec.ID]; ok && (j.MovedTo() == "" || m.Moves <= j.moves) {
+		return errors.Wrap(ErrNoEffect, "the job exists already")
 	}
 	if m.Spec.ID == "" || m.Spec.Tasks == 0 {
-		return errors.Wrap(ErrVoid, "the job has no id or no tasks")
+		return errors.Wrap(ErrNoEffect, "the job has no id or no tasks")
 	}
 	sm.init()
 	j := sm.newJob(at, m)
@@ -140,9 +140,9 @@
 	return nil
 }
 
-func (sm *Fold) newJob(at record.Position, m *record.Submit) *Job {
+func (sm *StateMachine) newJob(at record.Position, m *record.Submit) *Job {
 	n := int(m.Spec.Tasks)
-	j := &Job{spec: m.Spec, submitted: at, moves: m.Hops, tasks: make([]Task, n), openTasks: n}
+	j := &Job{spec: m.Spec, submitted: at, moves: m.Moves, tasks: make([]Task, n), openTasks: n}
 	for i, ref := range m.Checkpoints {
 		if int(i) < n {
 			j.tasks[i].checkpoint = ref
@@ -163,7 +163,7 @@
 	return Failed
 }
 
-func (sm *Fold) init() {
+func (sm *StateMachine) init() {
 	if sm.jobs == nil {
 		sm.jobs = make(map[string]*Job)
 		sm.byWorker = make(map[string]map[record.TaskID]record.Position)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (sm *Fold) assign(at record.Position, m *record.Assign) error {
+func (sm *StateMachine) assign(at record.Position, m *record.Assign) error {
 	for i, p := range m.Placements {
 		if err := sm.assignable(&p, m.Placements[:i]); err != nil {
 			return err
@@ -190,25 +190,25 @@
 	return nil
 }
 
-func (sm *Fold) assignable(p *record.Placement, earlier []record.Placement) error {
+func (sm *StateMachine) assignable(p *record.Placement, earlier []record.Placement) error {
 	t := sm.task(p.Task)
 	if t == nil || t.attempt != p.Attempt {
-		return errors.Wrapf(ErrVoid, "%s: the task is not at attempt %d", p.Task, p.Attempt)
+		return errors.Wrapf(ErrNoEffect, "%s: the task is not at attempt %d", p.Task, p.Attempt)
 	}
 	if t.phase != Pending {
-		return errors.Wrapf(ErrVoid, "%s: the task is %s", p.Task, t.phase)
+		return errors.Wrapf(ErrNoEffect, "%s: the task is %s", p.Task, t.phase)
 	}
 	for _, e := range earlier {
 		if e.Task == p.Task {
-			return errors.Wrapf(ErrVoid, "%s: the record assigns the task twice", p.Task)
+			return errors.Wrapf(ErrNoEffect, "%s: the record assigns the task twice", p.Task)
 		}
 	}
 	return nil
 }
 
-func (sm *Fold) started(m *record.Started) error {
+func (sm *StateMachine) started(m *record.Started) error {
 	applied := false
-	for _, h := range m.Holds {
+	for _, h := range m.Assignments {
 		t := sm.currentTask(h)
 		if t == nil || t.phase != Assigned {
 			continue
@@ -220,24 +220,24 @@
 	return noEffectUnless(applied, "every assignment in the record is stale or has started already")
 }
 
-func (sm *Fold) checkpointed(m *record.Checkpointed) error {
-	t := sm.currentTask(m.Hold)
+func (sm *StateMachine) checkpointed(m *record.Checkpointed) error {
+	t := sm.currentTask(m.Assignment)
 	if t == nil {
-		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+		return errors.Wrapf(ErrNoEffect, "%s: stale epoch", m.Assignment.Task)
 	}
 	t.checkpoint = m.Ref
 	return nil
 }
 
-func (sm *Fold) finished(at record.Position, m *record.Finished) error {
-	t := sm.currentTask(m.Hold)
+func (sm *StateMachine) finished(at record.Position, m *record.Finished) error {
+	t := sm.currentTask(m.Assignment)
 	if t == nil {
-		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+		return errors.Wrapf(ErrNoEffect, "%s: stale epoch", m.Assignment.Task)
 	}
-	j := sm.jobs[m.Hold.Task.Job]
-	sm.removeFromWorker(m.Hold.Task, t)
+	j := sm.jobs[m.Assignment.Task.Job]
+	sm.removeFromWorker(m.Assignment.Task, t)
 	t.detail = m.Detail
-	defer sm.notifyChange(m.Hold.Task, j, t)
+	defer sm.notifyChange(m.Assignment.Task, j, t)
 	if m.Outcome == record.OutcomeSucceeded {
 		sm.endTask(endRecord{at, m.AtMS}, j, t, Succeeded)
 		return nil
@@ -254,9 +254,9 @@
 	return nil
 }
 
-func (sm *Fold) revoke(at record.Position, m *record.Revoke) error {
+func (sm *StateMachine) revoke(at record.Position, m *record.Revoke) error {
 	applied := false
-	for _, h := range m.Holds {
+	for _, h := range m.Assignments {
 		t := sm.currentTask(h)
 		if t == nil || t.phase == Revoked {
 			continue
@@ -269,21 +269,21 @@
 	return noEffectUnless(applied, "every assignment in the record is stale or revoked already")
 }
 
-func (sm *Fold) released(at record.Position, m *record.Released) error {
-	t := sm.currentTask(m.Hold)
+func (sm *StateMachine) released(at record.Position, m *record.Released) error {
+	t := sm.currentTask(m.Assignment)
 	if t == nil {
-		return errors.Wrapf(ErrVoid, "%s: stale epoch", m.Hold.Task)
+		return errors.Wrapf(ErrNoEffect, "%s: stale epoch", m.Assignment.Task)
 	}
 	if m.Revoked != 0 && m.Revoked != t.revokedAt {
-		return errors.Wrapf(ErrVoid, "%s: the task was not revoked at position %d", m.Hold.Task, m.Revoked)
+		return errors.Wrapf(ErrNoEffect, "%s: the task was not revoked at position %d", m.Assignment.Task, m.Revoked)
 	}
-	j := sm.jobs[m.Hold.Task.Job]
-	sm.removeFromWorker(m.Hold.Task, t)
+	j := sm.jobs[m.Assignment.Task.Job]
+	sm.removeFromWorker(m.Assignment.Task, t)
 	if m.Ref != "" {
 		t.checkpoint = m.Ref
 	}
 	t.detail = m.Reason
-	defer sm.notifyChange(m.Hold.Task, j, t)
+	defer sm.notifyChange(m.Assignment.Task, j, t)
 	if j.cancelled {
 		sm.endTask(endRecord{at, m.AtMS}, j, t, Cancelled)
 		return nil
@@ -292,7 +292,7 @@
 	return nil
 }
 
-func (sm *Fold) cancel(at record.Position, m *record.Cancel) error {
+func (sm *StateMachine) cancel(at record.Position, m *record.Cancel) error {
 	applied := false
 	for _, id := range m.Jobs {
 		j, ok := sm.jobs[id]
@@ -310,7 +310,7 @@
 	return noEffectUnless(applied, "no job is open")
 }
 
-func (sm *Fold) cancelTask(e endRecord, id record.TaskID, j *Job) {
+func (sm *StateMachine) cancelTask(e endRecord, id record.TaskID, j *Job) {
 	t := &j.tasks[id.Index]
 	switch t.phase {
 	case Pending:
@@ -320,14 +320,14 @@
 	}
 }
 
-func (sm *Fold) move(at record.Position, m *record.Move) error {
+func (sm *StateMachine) move(at record.Position, m *record.Move) error {
 	j, ok := sm.jobs[m.Job]
 	if !ok || j.cancelled || j.Ended() {
-		return errors.Wrapf(ErrVoid, "%s: the job is not open", m.Job)
+		return errors.Wrapf(ErrNoEffect, "%s: the job is not open", m.Job)
 	}
 	for i := range j.tasks {
-		if j.tasks[i].phase.Held() {
-			return errors.Wrapf(ErrVoid, "%s: a worker may still run a task of the job", m.Job)
+		if j.tasks[i].phase.Active() {
+			return errors.Wrapf(ErrNoEffect, "%s: a worker may still run a task of the job", m.Job)
 		}
 	}
 	for i := range j.tasks {
@@ -340,7 +340,7 @@
 	return nil
 }
 
-func (sm *Fold) forget(m *record.Forget) error {
+func (sm *StateMachine) forget(m *record.Forget) error {
 	applied := false
 	for _, id := range m.Jobs {
 		if j, ok := sm.jobs[id]; ok && j.Ended() {
--- a/pkg/job/state_machine_index.go
+++ b/pkg/job/state_machine_index.go
@@ -6,13 +6,13 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-func (sm *Fold) notifyChange(id record.TaskID, j *Job, t *Task) {
-	if sm.Changed != nil {
-		sm.Changed(id, j, t)
+func (sm *StateMachine) notifyChange(id record.TaskID, j *Job, t *Task) {
+	if sm.OnTaskChange != nil {
+		sm.OnTaskChange(id, j, t)
 	}
 }
 
-func (sm *Fold) task(id record.TaskID) *Task {
+func (sm *StateMachine) task(id record.TaskID) *Task {
 	j, ok := sm.jobs[id.Job]
 	if !ok || int(id.Index) >= len(j.tasks) {
 		return nil
@@ -21,15 +21,15 @@
 }
 
 // currentTask returns the task if the assignment is its current one, or nil.
-func (sm *Fold) currentTask(a record.Hold) *Task {
+func (sm *StateMachine) currentTask(a record.AssignmentID) *Task {
 	t := sm.task(a.Task)
-	if t == nil || !t.phase.Held() || t.epoch != a.Epoch {
+	if t == nil || !t.phase.Active() || t.epoch != a.Epoch {
 		return nil
 	}
 	return t
 }
 
-func (sm *Fold) addToWorker(id record.TaskID, t *Task) {
+func (sm *StateMachine) addToWorker(id record.TaskID, t *Task) {
 	m := sm.byWorker[t.worker]
 	if m == nil {
 		m = make(map[record.TaskID]record.Position)
@@ -38,7 +38,7 @@
 	m[id] = t.epoch
 }
 
-func (sm *Fold) removeFromWorker(id record.TaskID, t *Task) {
+func (sm *StateMachine) removeFromWorker(id record.TaskID, t *Task) {
 	m := sm.byWorker[t.worker]
 	delete(m, id)
 	delete(sm.revokedEpochs, id)
@@ -48,7 +48,7 @@
 }
 
 // markRevoked marks an assigned or running task as revoked.
-func (sm *Fold) markRevoked(at record.Position, id record.TaskID, t *Task) {
+func (sm *StateMachine) markRevoked(at record.Position, id record.TaskID, t *Task) {
 	t.phase = Revoked
 	t.revokedAt = at
 	sm.revokedEpochs[id] = t.epoch
@@ -61,7 +61,7 @@
 	atMS     int64
 }
 
-func (sm *Fold) endTask(e endRecord, j *Job, t *Task, p Phase) {
+func (sm *StateMachine) endTask(e endRecord, j *Job, t *Task, p Phase) {
 	t.phase = p
 	j.openTasks--
 	j.endedMS = max(j.endedMS, e.atMS)
@@ -75,5 +75,5 @@
 	if applied {
 		return nil
 	}
-	return errors.Wrap(ErrVoid, reason)
+	return errors.Wrap(ErrNoEffect, reason)
 }
--- a/pkg/job/stream_test.go
+++ b/pkg/job/stream_test.go
@@ -11,9 +11,9 @@
 // of the batch before.
 type stream struct {
 	random      *rand.Rand
-	state       Fold
+	state       StateMachine
 	seq         map[string]uint64
-	assignments []record.Hold
+	assignments []record.AssignmentID
 	last        []record.Record
 }
 
@@ -30,7 +30,7 @@
 	var out []record.Record
 	for i := range 1 + s.random.IntN(5) {
 		s.seq[writer]++
-		out = append(out, record.New(record.At(offset, i), writer, s.seq[writer], s.message()))
+		out = append(out, record.New(record.NewPosition(offset, i), writer, s.seq[writer], s.message()))
 	}
 	s.last = out
 	return out
@@ -39,17 +39,17 @@
 func (s *stream) copyOf(offset uint64) []record.Record {
 	out := make([]record.Record, len(s.last))
 	for i, r := range s.last {
-		out[i] = record.New(record.At(offset, i), r.Writer(), r.Seq(), r.Message())
+		out[i] = record.New(record.NewPosition(offset, i), r.Writer(), r.Seq(), r.Message())
 	}
 	return out
 }
 
-func (s *stream) apply(f *Fold, batch []record.Record, offset uint64) {
+func (s *stream) apply(f *StateMachine, batch []record.Record, offset uint64) {
 	for _, r := range batch {
 		_ = f.Apply(r)
 		if m, ok := r.Message().(*record.Assign); ok {
 			for _, p := range m.Placements {
-				s.assignments = append(s.assignments, record.Hold{Task: p.Task, Epoch: r.Position()})
+				s.assignments = append(s.assignments, record.AssignmentID{Task: p.Task, Epoch: r.Position()})
 			}
 		}
 	}
@@ -58,9 +58,9 @@
 
 func (s *stream) id() string { return fmt.Sprintf("job-%d", s.random.IntN(12)) }
 
-func (s *stream) assignment() record.Hold {
+func (s *stream) assignment() record.AssignmentID {
 	if len(s.assignments) == 0 {
-		return record.Hold{}
+		return record.AssignmentID{}
 	}
 	recent := s.assignments[max(0, len(s.assignments)-12):]
 	return recent[s.random.IntN(len(recent))]
@@ -77,15 +77,15 @@
 			Worker: fmt.Sprintf("worker-%d", s.random.IntN(4)), Attempt: s.random.Uint32N(3),
 		}}}
 	case 6:
-		return &record.Started{Holds: []record.Hold{s.assignment(), s.assignment()}}
+		return &record.Started{Assignments: []record.AssignmentID{s.assignment(), s.assignment()}}
 	case 7:
-		return &record.Checkpointed{Hold: s.assignment(), Ref: fmt.Sprintf("ref-%d", s.random.IntN(100))}
+		return &record.Checkpointed{Assignment: s.assignment(), Ref: fmt.Sprintf("ref-%d", s.random.IntN(100))}
 	case 8:
-		return &record.Finished{Hold: s.assignment(), Outcome: record.Outcome(1 + s.random.IntN(2)), AtMS: atMS}
+		return &record.Finished{Assignment: s.assignment(), Outcome: record.Outcome(1 + s.random.IntN(2)), AtMS: atMS}
 	case 9:
-		return &record.Revoke{Holds: []record.Hold{s.assignment()}}
+		return &record.Revoke{Assignments: []record.AssignmentID{s.assignment()}}
 	case 10:
-		return &record.Released{Hold: s.assignment(), Ref: "ref", AtMS: atMS}
+		return &record.Released{Assignment: s.assignment(), Ref: "ref", AtMS: atMS}
 	case 11:
 		return &record.Cancel{Jobs: []string{s.id()}, AtMS: atMS}
 	case 12:
--- a/pkg/lease/action.go
+++ b/pkg/lease/action.go
@@ -35,7 +35,7 @@
 // Action is one call to the worker.
 type Action struct {
 	kind       ActionKind
-	assignment record.Hold
+	assignment record.AssignmentID
 	leaseEnd   time.Duration
 	order      *StartOrder
 }
@@ -44,7 +44,7 @@
 func (a Action) Kind() ActionKind { return a.kind }
 
 // Assignment returns the assignment of the task that the action is for.
-func (a Action) Assignment() record.Hold { return a.assignment }
+func (a Action) Assignment() record.AssignmentID { return a.assignment }
 
 // LeaseEnd returns when the lease ends on the worker's clock. It is set for starts
 // and renewals only.
@@ -71,7 +71,7 @@
 	return out
 }
 
-func (h *Holder) nextAction(id record.Hold, t *heldTask) (Action, bool) {
+func (h *Holder) nextAction(id record.AssignmentID, t *heldTask) (Action, bool) {
 	a := Action{assignment: id, order: t.startOrder}
 	switch {
 	case !t.listed:
--- a/pkg/lease/apply.go
+++ b/pkg/lease/apply.go
@@ -8,13 +8,13 @@
 
 // Decision says what the holder did about one start order and why, for a log line.
 type Decision struct {
-	assignment record.Hold
+	assignment record.AssignmentID
 	name       string
 	reason     string
 }
 
 // Assignment returns the assignment that the decision is about.
-func (d Decision) Assignment() record.Hold { return d.assignment }
+func (d Decision) Assignment() record.AssignmentID { return d.assignment }
 
 // Name returns the name of the decision in the log line.
 func (d Decision) Name() string { return d.name }
@@ -29,7 +29,7 @@
 	if ownRound && h.initialPosition == 0 {
 		h.initialPosition = r.NextPosition
 	}
-	stopped := make(map[record.Hold]bool, len(r.Stop))
+	stopped := make(map[record.AssignmentID]bool, len(r.Stop))
 	for _, s := range r.Stop {
 		stopped[s.Hold] = true
 		h.applyStop(s)
@@ -86,7 +86,7 @@
 	return found
 }
 
-func (h *Holder) known(id record.Hold) bool {
+func (h *Holder) known(id record.AssignmentID) bool {
 	_, pending := h.pendingReports[id]
 	return pending || h.tasks[id] != nil
 }
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -24,15 +24,15 @@
 	uptime      time.Duration
 	// uptimes maps a round to the worker's clock before that round's heartbeat.
 	uptimes map[uint64]time.Duration
-	tasks   map[record.Hold]*heldTask
+	tasks   map[record.AssignmentID]*heldTask
 	// pendingReports holds reports on tasks that the worker does not list. Such
 	// a task is not started, and its report is repeated until it is settled.
-	pendingReports map[record.Hold]Report
+	pendingReports map[record.AssignmentID]Report
 	// settledRounds maps a settled task to the round in which it was last known.
 	// A log reading that is not newer may not show the task's end, so it cannot
 	// start the task again. Readings older than uptimeRounds rounds start
 	// nothing, which bounds the map.
-	settledRounds map[record.Hold]uint64
+	settledRounds map[record.AssignmentID]uint64
 	// initialUptime is the worker's clock at the first listing, and
 	// initialPosition the log's end soon after. Orders from before that
 	// position may have been refused by the agent's predecessor.
@@ -77,9 +77,9 @@
 func (h *Holder) Observe(now time.Time, l *Listing) {
 	h.round++
 	if h.tasks == nil {
-		h.tasks = make(map[record.Hold]*heldTask)
-		h.pendingReports = make(map[record.Hold]Report)
-		h.settledRounds = make(map[record.Hold]uint64)
+		h.tasks = make(map[record.AssignmentID]*heldTask)
+		h.pendingReports = make(map[record.AssignmentID]Report)
+		h.settledRounds = make(map[record.AssignmentID]uint64)
 		h.uptimes = make(map[uint64]time.Duration)
 		h.initialUptime = l.Uptime
 	}
@@ -115,7 +115,7 @@
 
 // mergeListing updates the tasks from the worker's listing.
 func (h *Holder) mergeListing(l *Listing) {
-	listed := make(map[record.Hold]bool, len(l.Tasks))
+	listed := make(map[record.AssignmentID]bool, len(l.Tasks))
 	for i := range l.Tasks {
 		listed[l.Tasks[i].Hold] = true
 		h.mergeTask(&l.Tasks[i])
@@ -144,7 +144,7 @@
 	t.maxLeaseEnd = max(t.maxLeaseEnd, l.Until)
 }
 
-func (h *Holder) mergeMissing(id record.Hold, t *heldTask) {
+func (h *Holder) mergeMissing(id record.AssignmentID, t *heldTask) {
 	if t.listed {
 		h.dropLostTask(id, t)
 		return
@@ -163,7 +163,7 @@
 // dropLostTask drops a task that the worker no longer lists, or has lost with
 // its VM. It may have been reported before, so it is not started again under
 // this epoch.
-func (h *Holder) dropLostTask(id record.Hold, t *heldTask) {
+func (h *Holder) dropLostTask(id record.AssignmentID, t *heldTask) {
 	delete(h.tasks, id)
 	switch {
 	case t.settled:
@@ -177,7 +177,7 @@
 
 // reportStopped queues a report that a task does not run and can be started
 // elsewhere.
-func (h *Holder) reportStopped(id record.Hold, detail string) {
+func (h *Holder) reportStopped(id record.AssignmentID, detail string) {
 	h.pendingReports[id] = Report{Hold: id, State: Stopped, Detail: detail}
 }
 
@@ -195,7 +195,7 @@
 	h.ledger.Rebuild(total, grants, now)
 }
 
-func ledgerKey(h record.Hold) string { return h.String() }
+func ledgerKey(h record.AssignmentID) string { return h.String() }
 
 // Reports returns the task reports for this round's heartbeat.
 func (h *Holder) Reports(l *Listing) []Report {
--- a/pkg/lease/holder_test.go
+++ b/pkg/lease/holder_test.go
@@ -35,16 +35,16 @@
 	return reports, b.holder.Actions()
 }
 
-func assignment(job string, epoch uint64) record.Hold {
-	return record.Hold{Task: record.TaskID{Job: job}, Epoch: record.At(epoch, 0)}
+func assignment(job string, epoch uint64) record.AssignmentID {
+	return record.AssignmentID{Task: record.TaskID{Job: job}, Epoch: record.NewPosition(epoch, 0)}
 }
 
-func order(h record.Hold) StartOrder {
+func order(h record.AssignmentID) StartOrder {
 	return StartOrder{Hold: h, Spec: record.Spec{ID: h.Task.Job, Size: testSize, TakeoverMS: 10_000}}
 }
 
 // addTask adds a task with a lease up to until to the worker's listing.
-func (b *testBench) addTask(h record.Hold, s State, until time.Duration) {
+func (b *testBench) addTask(h record.AssignmentID, s State, until time.Duration) {
 	b.listing.Tasks = append(b.listing.Tasks, Task{Hold: h, Size: testSize, State: s, Until: until, Terms: NewTerms(10 * time.Second)})
 }
 
@@ -71,10 +71,10 @@
 
 func TestStartNeedsAReadBegunAfterTheHeartbeat(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	_, actions := b.round(&LogReading{NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
+	_, actions := b.round(&LogReading{NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
 	wantKinds(t, "reading without a heartbeat round", actions)
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
-	_, actions = b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0)})
+	_, actions = b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
 	wantKinds(t, "reading of heartbeat round 2", actions, ActionStart)
 	if got, want := actions[0].LeaseEnd(), 2*time.Second+9900*time.Millisecond; got != want {
 		t.Errorf("lease: got %s, want %s", got, want)
@@ -83,8 +83,8 @@
 
 func TestLostStartKeepsItsRoom(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
 	if got, want := b.holder.Ledger().Free(), testSize; got != want {
 		t.Errorf("free resources after a start without reply: got %v, want %v", got, want)
 	}
@@ -101,8 +101,8 @@
 
 func TestPredecessorsOrdersAreNotFollowed(t *testing.T) {
 	b, old, fresh := newTestBench(), assignment("old", 8), assignment("new", 11)
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0)})
-	_, actions := b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(12, 0), Start: []StartOrder{order(fresh), order(old), order(assignment("old", 7))}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(10, 0)})
+	_, actions := b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(12, 0), Start: []StartOrder{order(fresh), order(old), order(assignment("old", 7))}})
 	wantKinds(t, "resources reserved for two starts that may arrive", actions)
 	b.listing.Uptime += 10 * time.Second
 	reports, _ := b.round(&LogReading{})
@@ -114,9 +114,9 @@
 func TestLostVMKeepsAReportedEnd(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 8)
 	b.addTask(h, Succeeded, 5*time.Second)
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0)})
 	b.listing = Listing{Incarnation: "2", Total: b.listing.Total}
-	reports, actions := b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.At(9, 0), Start: []StartOrder{order(h)}})
+	reports, actions := b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.NewPosition(9, 0), Start: []StartOrder{order(h)}})
 	wantKinds(t, "order for a task that has ended", actions)
 	if len(reports) != 1 || reports[0].State != Succeeded {
 		t.Errorf("reports: got %v, want one that says succeeded", reports)
@@ -126,7 +126,7 @@
 func TestEndedTaskStaysUntilItsLeaseHasEnded(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 8)
 	b.addTask(h, Succeeded, 3*time.Second)
-	settled := &LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0), Stop: []StopOrder{{Hold: h, Settled: true}}}
+	settled := &LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0), Stop: []StopOrder{{Hold: h, Settled: true}}}
 	_, actions := b.round(settled)
 	wantKinds(t, "settled before the lease's end", actions)
 	b.listing.Uptime += 12 * time.Second
@@ -136,10 +136,10 @@
 
 func TestOnlyReportedTasksAreRenewed(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(9, 0)})
-	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.At(10, 0), Start: []StartOrder{order(h)}})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0)})
+	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
 	// Another entry's log reading in the same round does not name the task.
-	b.holder.Apply(b.now, &LogReading{HeartbeatRound: 2, NextPosition: record.At(12, 0)}, false)
+	b.holder.Apply(b.now, &LogReading{HeartbeatRound: 2, NextPosition: record.NewPosition(12, 0)}, false)
 	if got, want := b.holder.tasks[h].confirmedRound, uint64(1); got != want {
 		t.Errorf("newest round that confirms the task: got %d, want %d", got, want)
 	}
--- a/pkg/lease/message.go
+++ b/pkg/lease/message.go
@@ -25,7 +25,7 @@
 // Report is an agent's report on one task.
 type Report struct {
 	_      struct{} `cbor:",toarray"`
-	Hold   record.Hold
+	Hold   record.AssignmentID
 	State  State
 	Ref    string
 	Detail string
@@ -33,9 +33,9 @@
 
 // StartOrder tells an agent to start a task.
 type StartOrder struct {
-	Hold       record.Hold `cbor:"1,keyasint"`
-	Spec       record.Spec `cbor:"2,keyasint"`
-	Checkpoint string      `cbor:"3,keyasint,omitempty"`
+	Hold       record.AssignmentID `cbor:"1,keyasint"`
+	Spec       record.Spec         `cbor:"2,keyasint"`
+	Checkpoint string              `cbor:"3,keyasint,omitempty"`
 	// Started says that the task was reported as started before.
 	Started bool `cbor:"4,keyasint,omitempty"`
 }
@@ -43,7 +43,7 @@
 // StopOrder tells an agent to stop a task.
 type StopOrder struct {
 	_    struct{} `cbor:",toarray"`
-	Hold record.Hold
+	Hold record.AssignmentID
 	// Settled says that the log has the task's end already, so that the agent
 	// need not report it.
 	Settled bool
@@ -73,7 +73,7 @@
 
 // Task is one task in a worker's listing.
 type Task struct {
-	Hold  record.Hold
+	Hold  record.AssignmentID
 	Size  worker.Resources
 	State State
 	// Ref refers to the newest checkpoint.
--- a/pkg/queue/change.go
+++ b/pkg/queue/change.go
@@ -29,7 +29,7 @@
 	case t.Phase() == job.Pending:
 		s.release(id)
 		s.enqueue(now, id, j, t)
-	case t.Phase().Held():
+	case t.Phase().Active():
 		s.dequeue(now, id, j, t.Phase() == job.Revoked)
 		s.allocate(now, id, j, t)
 	default:
--- a/pkg/queue/decision.go
+++ b/pkg/queue/decision.go
@@ -33,7 +33,7 @@
 	job        *job.Job
 	message    record.Message
 	placements []record.Placement
-	revoked    []record.Hold
+	revoked    []record.AssignmentID
 	reason     string
 }
 
@@ -52,7 +52,7 @@
 func (d *Decision) Placements() []record.Placement { return d.placements }
 
 // Revoked returns the assignments that are revoked by a preemption.
-func (d *Decision) Revoked() []record.Hold { return d.revoked }
+func (d *Decision) Revoked() []record.AssignmentID { return d.revoked }
 
 // Reason returns the reason in words, for logs.
 func (d *Decision) Reason() string { return d.reason }
@@ -193,8 +193,8 @@
 	d := Decision{kind: KindPreempt, job: owner, reason: preemptReason}
 	for _, v := range victims {
 		h, _ := s.fleet.Allocation(v)
-		d.revoked = append(d.revoked, record.Hold{Task: taskID(v), Epoch: record.Position(h.Epoch)})
+		d.revoked = append(d.revoked, record.AssignmentID{Task: taskID(v), Epoch: record.Position(h.Epoch)})
 	}
-	d.message = &record.Revoke{Holds: d.revoked, Reason: preemptReason}
+	d.message = &record.Revoke{Assignments: d.revoked, Reason: preemptReason}
 	return d
 }
--- a/pkg/queue/scheduler.go
+++ b/pkg/queue/scheduler.go
@@ -72,7 +72,7 @@
 
 // Configure applies the batch classes and team quotas of a configuration
 // bundle.
-func (s *Scheduler) Configure(now time.Time, d *bundle.Document, jobs *job.Fold) {
+func (s *Scheduler) Configure(now time.Time, d *bundle.Document, jobs *job.StateMachine) {
 	if !slices.EqualFunc(s.teams, d.Teams, sameQuota) {
 		for i := range s.teams {
 			s.queue.SetQuota(s.teams[i].Name, worker.Resources{})
@@ -102,7 +102,7 @@
 
 // requeueAll adds all pending tasks to the queue again, under the current batch
 // classes.
-func (s *Scheduler) requeueAll(now time.Time, jobs *job.Fold) {
+func (s *Scheduler) requeueAll(now time.Time, jobs *job.StateMachine) {
 	jobs.Each(func(j *job.Job) bool {
 		if j.Ended() {
 			return true
@@ -136,7 +136,7 @@
 type BackupDelayFunc func(jobID string) time.Duration
 
 // Decide returns the placements, preemptions and parked jobs that are due now.
-func (s *Scheduler) Decide(now time.Time, jobs *job.Fold, backup BackupDelayFunc, random *rand.Rand) []Decision {
+func (s *Scheduler) Decide(now time.Time, jobs *job.StateMachine, backup BackupDelayFunc, random *rand.Rand) []Decision {
 	s.housekeep(now)
 	var out []Decision
 	for failedPlacements := 0; failedPlacements < maxFailedPlacements && len(out) < maxPlacements; {
--- a/pkg/queue/scheduler_test.go
+++ b/pkg/queue/scheduler_test.go
@@ -18,7 +18,7 @@
 // accepts every record.
 type testScheduler struct {
 	scheduler queue.Scheduler
-	jobs      job.Fold
+	jobs      job.StateMachine
 	now       time.Time
 	logOffset uint64
 	random    *rand.Rand
@@ -28,7 +28,7 @@
 
 func newTestScheduler(workers int, total worker.Resources) *testScheduler {
 	s := &testScheduler{now: epoch, random: rand.New(rand.NewPCG(1, 2)), total: total}
-	s.jobs.Changed = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
+	s.jobs.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
 	for i := range workers {
 		s.names = append(s.names, fmt.Sprintf("worker-%d", i))
 	}
@@ -43,7 +43,7 @@
 func (s *testScheduler) heartbeats() {
 	for i, name := range s.names {
 		free := s.total
-		s.jobs.Held(name, func(_ record.Hold, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
+		s.jobs.EachActive(name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
 		s.scheduler.ApplyReport(s.now, &worker.Report{
 			Name: name, Rack: fmt.Sprint("rack-", i/3), Total: s.total, Free: free, Ready: true,
 		}, nil)
@@ -52,7 +52,7 @@
 
 func (s *testScheduler) apply(m record.Message) {
 	s.logOffset++
-	_ = s.jobs.Apply(record.New(record.At(s.logOffset, 0), "test", s.logOffset, m))
+	_ = s.jobs.Apply(record.New(record.NewPosition(s.logOffset, 0), "test", s.logOffset, m))
 }
 
 func (s *testScheduler) submit(id, class string, tasks uint32, gang bool, size worker.Resources) {
@@ -78,8 +78,8 @@
 	return j.Task(index)
 }
 
-func (s *testScheduler) hold(id string, index int) record.Hold {
-	return record.Hold{Task: record.TaskID{Job: id, Index: uint32(index)}, Epoch: s.task(id, index).Epoch()}
+func (s *testScheduler) hold(id string, index int) record.AssignmentID {
+	return record.AssignmentID{Task: record.TaskID{Job: id, Index: uint32(index)}, Epoch: s.task(id, index).Epoch()}
 }
 
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
@@ -93,7 +93,7 @@
 			t.Fatalf("got task %d in phase %s while the gang does not fit, want pending", i, got)
 		}
 	}
-	s.apply(&record.Finished{Hold: s.hold("small", 0), Outcome: record.OutcomeSucceeded})
+	s.apply(&record.Finished{Assignment: s.hold("small", 0), Outcome: record.OutcomeSucceeded})
 	decisions := s.tick()
 	if len(decisions) != 1 || len(decisions[0].Placements()) != 3 {
 		t.Fatalf("got %d decisions, want one with three placements", len(decisions))
@@ -109,12 +109,12 @@
 	s := newTestScheduler(4, cpu(4000))
 	s.submit("gang", "shaping", 2, true, cpu(4000))
 	s.tick()
-	s.apply(&record.Revoke{Holds: []record.Hold{s.hold("gang", 0), s.hold("gang", 1)}})
-	s.apply(&record.Released{Hold: s.hold("gang", 0)})
+	s.apply(&record.Revoke{Assignments: []record.AssignmentID{s.hold("gang", 0), s.hold("gang", 1)}})
+	s.apply(&record.Released{Assignment: s.hold("gang", 0)})
 	if got := len(s.tick()); got != 0 {
 		t.Fatalf("got %d decisions while a task is revoked, want none", got)
 	}
-	s.apply(&record.Released{Hold: s.hold("gang", 1)})
+	s.apply(&record.Released{Assignment: s.hold("gang", 1)})
 	if got := s.tick(); len(got) != 1 || len(got[0].Placements()) != 2 {
 		t.Fatalf("got %v, want one decision for both tasks", got)
 	}
@@ -156,7 +156,7 @@
 		}
 	}
 	victim := decisions[0].Revoked()[0]
-	s.apply(&record.Released{Hold: victim})
+	s.apply(&record.Released{Assignment: victim})
 	for range 3 {
 		s.tick()
 	}
@@ -183,7 +183,7 @@
 					outcome = record.OutcomeFailed
 					failures++
 				}
-				s.apply(&record.Finished{Hold: s.hold(p.Task.Job, 0), Outcome: outcome})
+				s.apply(&record.Finished{Assignment: s.hold(p.Task.Job, 0), Outcome: outcome})
 			}
 		}
 	}
@@ -203,7 +203,7 @@
 	for range 300 {
 		for _, d := range s.tick() {
 			for _, p := range d.Placements() {
-				s.apply(&record.Finished{Hold: s.hold(p.Task.Job, int(p.Task.Index)), Outcome: record.OutcomeFailed})
+				s.apply(&record.Finished{Assignment: s.hold(p.Task.Job, int(p.Task.Index)), Outcome: record.OutcomeFailed})
 			}
 		}
 		s.now = s.now.Add(time.Second)
@@ -225,7 +225,7 @@
 		s.submit(id, "shaping", 1, false, cpu(1000))
 		s.apply(&record.Assign{Placements: []record.Placement{{Task: record.TaskID{Job: id}, Worker: s.names[0]}}})
 		s.now = s.now.Add(time.Millisecond)
-		s.apply(&record.Finished{Hold: s.hold(id, 0), Outcome: record.OutcomeSucceeded})
+		s.apply(&record.Finished{Assignment: s.hold(id, 0), Outcome: record.OutcomeSucceeded})
 	}
 	now := s.now.UnixMilli()
 	add := func(id string, neededMS, expectedMS int64) {
@@ -260,7 +260,7 @@
 // free capacity.
 func TestLargeTaskIsEventuallyPlaced(t *testing.T) {
 	s := newTestScheduler(3, cpu(4000))
-	var running []record.Hold
+	var running []record.AssignmentID
 	for i := range 20_000 {
 		if i == 100 {
 			s.submit("large", "shaping", 1, false, cpu(4000))
@@ -279,7 +279,7 @@
 			return
 		}
 		if len(running) > 8 {
-			s.apply(&record.Finished{Hold: running[0], Outcome: record.OutcomeSucceeded})
+			s.apply(&record.Finished{Assignment: running[0], Outcome: record.OutcomeSucceeded})
 			running = running[1:]
 		}
 	}
--- a/pkg/record/carry_forward.go
+++ b/pkg/record/carry_forward.go
@@ -19,12 +19,12 @@
 	nextOffset uint64
 }
 
-// Carry decides when a record that must outlive the log's retention, such as a
+// CarryForwardSchedule decides when a record that must outlive the log's retention, such as a
 // snapshot, is carried forward: a new copy of it is appended before the log drops
 // the old one. The retention is not configured here; a lower bound of it is
 // learned from the age of the batches that the stream still keeps. The zero value
 // is ready for use.
-type Carry struct {
+type CarryForwardSchedule struct {
 	firstOffset, nextOffset uint64
 	observedAt              time.Time
 	samples                 []sample
@@ -39,7 +39,7 @@
 }
 
 // Observe notes which offsets the stream keeps: those from first on and before next.
-func (c *Carry) Observe(now time.Time, first, next uint64) {
+func (c *CarryForwardSchedule) Observe(now time.Time, first, next uint64) {
 	c.firstOffset, c.nextOffset, c.observedAt = first, next, now
 	expired := 0
 	for expired < len(c.samples) && c.samples[expired].nextOffset <= first {
@@ -58,7 +58,7 @@
 
 // dropEveryOtherSample halves the number of samples and doubles the least interval
 // between later ones.
-func (c *Carry) dropEveryOtherSample() {
+func (c *CarryForwardSchedule) dropEveryOtherSample() {
 	kept := make([]sample, 0, maxSamples)
 	for i := 0; i < len(c.samples); i += 2 {
 		kept = append(kept, c.samples[i])
@@ -67,9 +67,9 @@
 	c.minSampleInterval = max(2*c.minSampleInterval, time.Second)
 }
 
-// Retention returns a lower bound of how long the stream keeps a batch: the
+// MinRetention returns a lower bound of how long the stream keeps a batch: the
 // observed age of the oldest batch that it still keeps.
-func (c *Carry) Retention(now time.Time) time.Duration {
+func (c *CarryForwardSchedule) MinRetention(now time.Time) time.Duration {
 	for _, s := range c.samples {
 		if s.nextOffset > c.firstOffset {
 			return now.Sub(s.observedAt)
@@ -78,10 +78,10 @@
 	return 0
 }
 
-// Copied notes a copy that is usable as long as the stream keeps the batches from
+// NoteCopy notes a copy that is usable as long as the stream keeps the batches from
 // offset on. The time of writing is on the writer's clock; a time after now and
 // the zero time count as now.
-func (c *Carry) Copied(now, written time.Time, offset uint64) {
+func (c *CarryForwardSchedule) NoteCopy(now, written time.Time, offset uint64) {
 	if c.copied && offset < c.copyOffset {
 		return
 	}
@@ -91,12 +91,12 @@
 	c.copied, c.copyOffset, c.copiedAt = true, offset, written
 }
 
-// Offset returns the offset from which the stream must be kept for the newest
+// CopyOffset returns the offset from which the stream must be kept for the newest
 // copy to be usable.
-func (c *Carry) Offset() uint64 { return c.copyOffset }
+func (c *CarryForwardSchedule) CopyOffset() uint64 { return c.copyOffset }
 
 // Due reports whether a new copy should be written now, and why.
-func (c *Carry) Due(now time.Time) (reason string, due bool) {
+func (c *CarryForwardSchedule) Due(now time.Time) (reason string, due bool) {
 	switch {
 	case c.observedAt.IsZero():
 		return "", false
@@ -106,7 +106,7 @@
 		return "the copy has expired", true
 	case c.firstOffset > 0 && c.copyOffset < c.firstOffset+(c.nextOffset-c.firstOffset)/2:
 		return "the copy is in the older half of the batches kept", true
-	case now.Sub(c.copiedAt) > max(minCopyAge, c.Retention(now)/retentionDivisor):
+	case now.Sub(c.copiedAt) > max(minCopyAge, c.MinRetention(now)/retentionDivisor):
 		return "a third of the known retention has passed since the copy was written", true
 	}
 	return "", false
--- a/pkg/record/carry_forward_test.go
+++ b/pkg/record/carry_forward_test.go
@@ -24,11 +24,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var carry Carry
+			var carry CarryForwardSchedule
 			now := time.Unix(1000, 0)
 			appended := []time.Time{now}
 			first := uint64(0)
-			carry.Copied(now, now, 0)
+			carry.NoteCopy(now, now, 0)
 			copies := 0
 			last := now
 			for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(time.Second) {
@@ -43,12 +43,12 @@
 					first = next - c.count
 				}
 				carry.Observe(now, first, next)
-				if carry.Offset() < first {
-					t.Fatalf("after %s: copy at %d, first kept %d", now.Sub(time.Unix(1000, 0)), carry.Offset(), first)
+				if carry.CopyOffset() < first {
+					t.Fatalf("after %s: copy at %d, first kept %d", now.Sub(time.Unix(1000, 0)), carry.CopyOffset(), first)
 				}
 				if _, due := carry.Due(now); due {
 					appended = append(appended, now)
-					carry.Copied(now, now, next)
+					carry.NoteCopy(now, now, next)
 					copies++
 				}
 			}
@@ -62,17 +62,17 @@
 // TestCarryForwardAfterRestart checks that the age of a copy counts from when it was
 // written, not from when a restarted process read it.
 func TestCarryForwardAfterRestart(t *testing.T) {
-	var carry Carry
+	var carry CarryForwardSchedule
 	now := time.Unix(100000, 0)
 	carry.Observe(now, 0, 10)
 	if _, due := carry.Due(now); !due {
 		t.Error("no copy known: got not due, want due")
 	}
-	carry.Copied(now, now.Add(-2*minCopyAge), 4)
+	carry.NoteCopy(now, now.Add(-2*minCopyAge), 4)
 	if _, due := carry.Due(now); !due {
 		t.Error("old copy: got not due, want due")
 	}
-	carry.Copied(now, now.Add(time.Hour), 5)
+	carry.NoteCopy(now, now.Add(time.Hour), 5)
 	if reason, due := carry.Due(now); due {
 		t.Errorf("copy from a clock ahead: got due (%s), want not due", reason)
 	}
--- a/pkg/record/codec_test.go
+++ b/pkg/record/codec_test.go
@@ -78,7 +78,7 @@
 	if _, _, err := Decode(0, []byte("not a batch")); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("text: got %v, want %v", err, ErrCorrupt)
 	}
-	if _, _, err := Decode(0, []byte{0xa0}); !errors.Is(err, ErrForeign) {
-		t.Errorf("no version: got %v, want %v", err, ErrForeign)
+	if _, _, err := Decode(0, []byte{0xa0}); !errors.Is(err, ErrUnsupported) {
+		t.Errorf("no version: got %v, want %v", err, ErrUnsupported)
 	}
 }
--- a/pkg/record/dedup.go
+++ b/pkg/record/dedup.go
@@ -25,8 +25,8 @@
 	prunedAtOffset uint64
 }
 
-// Fresh notes a record and reports whether it is new, that is, not a duplicate.
-func (d *Deduper) Fresh(r Record) bool {
+// Accept notes a record and reports whether it is new, that is, not a duplicate.
+func (d *Deduper) Accept(r Record) bool {
 	offset := r.position.Offset()
 	last, ok := d.writers[r.writer]
 	if ok && offset <= last.Offset+dedupWindowOffsets && r.seq <= last.Seq {
--- a/pkg/record/dedup_test.go
+++ b/pkg/record/dedup_test.go
@@ -23,13 +23,13 @@
 	}
 	var whole Deduper
 	for i, c := range cases {
-		r := New(At(c.offset, 0), c.writer, c.seq, &Forget{})
+		r := New(NewPosition(c.offset, 0), c.writer, c.seq, &Forget{})
 		var restored Deduper
 		restored.Restore(whole.Writers())
-		if got := whole.Fresh(r); got != c.want {
+		if got := whole.Accept(r); got != c.want {
 			t.Errorf("case %d: got %t, want %t", i, got, c.want)
 		}
-		if got := restored.Fresh(r); got != c.want {
+		if got := restored.Accept(r); got != c.want {
 			t.Errorf("case %d after a snapshot: got %t, want %t", i, got, c.want)
 		}
 	}
@@ -40,7 +40,7 @@
 func TestDeduperForgetsOldWriters(t *testing.T) {
 	var d Deduper
 	for i := range uint64(100) {
-		d.Fresh(New(At(i*dedupWindowOffsets/8, 0), string(rune('a'+i)), 1, &Forget{}))
+		d.Accept(New(NewPosition(i*dedupWindowOffsets/8, 0), string(rune('a'+i)), 1, &Forget{}))
 	}
 	if got, want := len(d.Writers()), 20; got > want {
 		t.Errorf("writers kept: got %d, want at most %d", got, want)
--- a/pkg/record/log.go
+++ b/pkg/record/log.go
@@ -12,9 +12,9 @@
 	// ErrUnavailable means that the log service did not accept the call; nothing
 	// was written.
 	ErrUnavailable = errors.New("the log service is not available")
-	// ErrUnknown means that the reply was lost: the call may or may not have taken
+	// ErrOutcomeUnknown means that the reply was lost: the call may or may not have taken
 	// effect.
-	ErrUnknown = errors.New("the log service's reply was lost")
+	ErrOutcomeUnknown = errors.New("the log service's reply was lost")
 	// ErrExpired means that the offset is older than the log's retention.
 	ErrExpired = errors.New("the offset is older than the log's retention")
 )
@@ -24,9 +24,9 @@
 	// Batches are in the order of their offsets without gaps, starting at the
 	// requested offset.
 	Batches []RawBatch
-	// First is the oldest offset that the log still keeps, Next is the offset of
+	// FirstOffset is the oldest offset that the log still keeps, Next is the offset of
 	// the next append.
-	First, Next uint64
+	FirstOffset, NextOffset uint64
 }
 
 // RawBatch is one batch in encoded form, as it was appended.
--- a/pkg/record/messages.go
+++ b/pkg/record/messages.go
@@ -69,20 +69,20 @@
 // String returns the task's name, as in "job-1.0".
 func (t TaskID) String() string { return fmt.Sprintf("%s.%d", t.Job, t.Index) }
 
-// Hold identifies one assignment of a task to a worker. The epoch is the position
+// AssignmentID identifies one assignment of a task to a worker. The epoch is the position
 // of the Assign record; it serves as the fencing token: later records about the
 // task have no effect unless they carry the epoch of its current assignment.
-type Hold struct {
+type AssignmentID struct {
 	_     struct{} `cbor:",toarray"`
 	Task  TaskID
 	Epoch Position
 }
 
 // String returns the name under which the worker lists the task.
-func (h Hold) String() string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
+func (h AssignmentID) String() string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
 
 // Compare orders assignments by job, task index and epoch.
-func (h Hold) Compare(o Hold) int {
+func (h AssignmentID) Compare(o AssignmentID) int {
 	return cmp.Or(
 		cmp.Compare(h.Task.Job, o.Task.Job),
 		cmp.Compare(h.Task.Index, o.Task.Index),
@@ -129,9 +129,9 @@
 	// Ended holds the outcomes of the tasks that had ended before the job was moved
 	// from another stream, by task index.
 	Ended map[uint32]Outcome `cbor:"3,keyasint,omitempty"`
-	// Hops is how often the job has been moved between streams so far. A job that
+	// Moves is how often the job has been moved between streams so far. A job that
 	// was moved out of a stream can return to it with a higher count.
-	Hops uint32 `cbor:"4,keyasint,omitempty"`
+	Moves uint32 `cbor:"4,keyasint,omitempty"`
 }
 
 // Placement assigns one task to one worker.
@@ -150,13 +150,13 @@
 
 // Started says that workers have started tasks.
 type Started struct {
-	Holds []Hold `cbor:"1,keyasint"`
+	Assignments []AssignmentID `cbor:"1,keyasint"`
 }
 
 // Checkpointed says that a checkpoint of a task, with the reference Ref, was saved.
 type Checkpointed struct {
-	Hold Hold   `cbor:"1,keyasint"`
-	Ref  string `cbor:"2,keyasint"`
+	Assignment AssignmentID `cbor:"1,keyasint"`
+	Ref        string       `cbor:"2,keyasint"`
 }
 
 // Outcome is how a run of a task ended.
@@ -170,25 +170,25 @@
 
 // Finished says that a run of a task ended.
 type Finished struct {
-	Hold    Hold    `cbor:"1,keyasint"`
-	Outcome Outcome `cbor:"2,keyasint"`
-	Detail  string  `cbor:"3,keyasint,omitempty"`
+	Assignment AssignmentID `cbor:"1,keyasint"`
+	Outcome    Outcome      `cbor:"2,keyasint"`
+	Detail     string       `cbor:"3,keyasint,omitempty"`
 	// AtMS is the writer's time in Unix milliseconds.
 	AtMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Revoke withdraws tasks from workers that may still run them.
 type Revoke struct {
-	Holds  []Hold `cbor:"1,keyasint"`
-	Reason string `cbor:"2,keyasint,omitempty"`
+	Assignments []AssignmentID `cbor:"1,keyasint"`
+	Reason      string         `cbor:"2,keyasint,omitempty"`
 }
 
 // Released says that a worker no longer runs a task, so that it can be assigned
 // again.
 type Released struct {
-	Hold   Hold   `cbor:"1,keyasint"`
-	Ref    string `cbor:"2,keyasint,omitempty"`
-	Reason string `cbor:"3,keyasint,omitempty"`
+	Assignment AssignmentID `cbor:"1,keyasint"`
+	Ref        string       `cbor:"2,keyasint,omitempty"`
+	Reason     string       `cbor:"3,keyasint,omitempty"`
 	// Revoked is the position of the revocation after which the writer has waited
 	// for the takeover time; 0 if the worker itself confirmed the stop.
 	Revoked Position `cbor:"4,keyasint,omitempty"`
@@ -223,9 +223,9 @@
 	ID    string `cbor:"1,keyasint"`
 	Part  uint32 `cbor:"2,keyasint"`
 	Parts uint32 `cbor:"3,keyasint"`
-	// Covers is the offset before which all batches are included in the state.
-	Covers uint64 `cbor:"4,keyasint"`
-	State  []byte `cbor:"5,keyasint"`
+	// EndOffset is the offset before which all batches are included in the state.
+	EndOffset uint64 `cbor:"4,keyasint"`
+	State     []byte `cbor:"5,keyasint"`
 	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
 	WrittenMS int64 `cbor:"6,keyasint,omitempty"`
 }
@@ -234,16 +234,16 @@
 // forward.
 type Bundle struct {
 	Signed []byte `cbor:"1,keyasint"`
-	// Carried means that the bundle was already in force and was written again so
+	// CarriedForward means that the bundle was already in force and was written again so
 	// that it outlives the log's retention.
-	Carried bool `cbor:"2,keyasint,omitempty"`
-	// Lineage holds, in encoded form, the earlier bundles that changed the operators.
-	Lineage [][]byte `cbor:"3,keyasint,omitempty"`
+	CarriedForward bool `cbor:"2,keyasint,omitempty"`
+	// OperatorChanges holds, in encoded form, the earlier bundles that changed the operators.
+	OperatorChanges [][]byte `cbor:"3,keyasint,omitempty"`
 	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
 	WrittenMS int64 `cbor:"4,keyasint,omitempty"`
-	// Covers is, for a bundle carried forward, the offset before which no newer one
+	// EndOffset is, for a bundle carried forward, the offset before which no newer one
 	// came in force.
-	Covers uint64 `cbor:"5,keyasint,omitempty"`
+	EndOffset uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Member says that an entry has started, is still running, or is leaving.
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -13,16 +13,16 @@
 // indexBits is the number of bits in a Position for the record's index.
 const indexBits = 16
 
-// MaxBatch is the greatest number of records in one batch.
-const MaxBatch = 1 << indexBits
+// MaxBatchRecords is the greatest number of records in one batch.
+const MaxBatchRecords = 1 << indexBits
 
 // Errors returned by Decode.
 var (
 	// ErrCorrupt means that a batch or record could not be decoded.
 	ErrCorrupt = errors.New("the record is corrupt")
-	// ErrForeign means that a batch has no version or more than MaxBatchRecords
+	// ErrUnsupported means that a batch has no version or more than MaxBatchRecords
 	// records, so that this program does not support it.
-	ErrForeign = errors.New("the batch has no version or too many records")
+	ErrUnsupported = errors.New("the batch has no version or too many records")
 )
 
 // Position is the place of a record in its stream: the log offset of its batch and
@@ -30,8 +30,8 @@
 // position is before every record.
 type Position uint64
 
-// At returns the position of the record at index in the batch at offset.
-func At(offset uint64, index int) Position {
+// NewPosition returns the position of the record at index in the batch at offset.
+func NewPosition(offset uint64, index int) Position {
 	return Position((offset+1)<<indexBits | uint64(index))
 }
 
@@ -83,22 +83,22 @@
 	Body cbor.RawMessage
 }
 
-// Encoded is one encoded record.
-type Encoded struct{ wire wireRecord }
+// EncodedRecord is one encoded record.
+type EncodedRecord struct{ wire wireRecord }
 
 // Size returns the number of bytes of the encoded message.
-func (e Encoded) Size() int { return len(e.wire.Body) }
+func (e EncodedRecord) Size() int { return len(e.wire.Body) }
 
 // EncodeMessage encodes one record.
-func EncodeMessage(m Message) (Encoded, error) {
+func EncodeMessage(m Message) (EncodedRecord, error) {
 	body, err := cbor.Marshal(m)
-	return Encoded{wire: wireRecord{Kind: m.Kind(), Body: body}}, errors.Wrap(err, "encode record")
+	return EncodedRecord{wire: wireRecord{Kind: m.Kind(), Body: body}}, errors.Wrap(err, "encode record")
 }
 
 // Encode encodes messages as one batch. The first message has the sequence number
 // firstSeq, and each following one the next number.
 func Encode(writer string, firstSeq uint64, messages []Message) ([]byte, error) {
-	records := make([]Encoded, len(messages))
+	records := make([]EncodedRecord, len(messages))
 	for i, m := range messages {
 		var err error
 		if records[i], err = EncodeMessage(m); err != nil {
@@ -109,9 +109,9 @@
 }
 
 // EncodeBatch encodes one batch of records that are already encoded.
-func EncodeBatch(writer string, firstSeq uint64, records []Encoded) ([]byte, error) {
-	if len(records) > MaxBatch {
-		return nil, errors.Newf("a batch must have at most %d records, got %d", MaxBatch, len(records))
+func EncodeBatch(writer string, firstSeq uint64, records []EncodedRecord) ([]byte, error) {
+	if len(records) > MaxBatchRecords {
+		return nil, errors.Newf("a batch must have at most %d records, got %d", MaxBatchRecords, len(records))
 	}
 	b := wireBatch{Version: Version, Writer: writer, FirstSeq: firstSeq, Records: make([]wireRecord, len(records))}
 	for i, r := range records {
@@ -129,8 +129,8 @@
 	if err := cbor.Unmarshal(data, &b); err != nil {
 		return nil, 0, errors.Mark(errors.Wrap(err, "decode batch"), ErrCorrupt)
 	}
-	if b.Version == 0 || len(b.Records) > MaxBatch {
-		return nil, 0, ErrForeign
+	if b.Version == 0 || len(b.Records) > MaxBatchRecords {
+		return nil, 0, ErrUnsupported
 	}
 	records = make([]Record, 0, len(b.Records))
 	for i, w := range b.Records {
@@ -139,14 +139,14 @@
 			skipped++
 			continue
 		}
-		records = append(records, New(At(offset, i), b.Writer, b.FirstSeq+uint64(i), m))
+		records = append(records, New(NewPosition(offset, i), b.Writer, b.FirstSeq+uint64(i), m))
 	}
 	return records, skipped, nil
 }
 
-// Identity returns the writer and the first sequence number of an encoded batch,
+// BatchHeader returns the writer and the first sequence number of an encoded batch,
 // which identify the batch.
-func Identity(data []byte) (writer string, firstSeq uint64, err error) {
+func BatchHeader(data []byte) (writer string, firstSeq uint64, err error) {
 	var b struct {
 		Writer   string `cbor:"2,keyasint"`
 		FirstSeq uint64 `cbor:"3,keyasint"`
