--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -17,13 +17,13 @@
 
 	"savoryhoist.example/savoryhoist/internal/clock"
 	"savoryhoist.example/savoryhoist/internal/store"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
 // Intervals and timeouts of an entry.
 const (
-	// pingEvery is how often other entries ping the dispatcher; tenure.ClaimAfter allows
+	// pingEvery is how often other entries ping the dispatcher; leadership.ClaimAfter allows
 	// four missed pings.
 	pingEvery = 300 * time.Millisecond
 	// tickEvery is how often an entry checks its peers, the workers and the term for timeouts.
@@ -37,7 +37,7 @@
 	// entry cannot become the successor.
 	silentAfter = 900 * time.Millisecond
 	// leaderLeaseRenewEvery is how often an idle dispatcher writes to the store to renew
-	// its leadership lease, well within tenure.ProofFor.
+	// its leadership lease, well within leadership.ProofFor.
 	leaderLeaseRenewEvery = 2 * time.Second
 )
 
@@ -86,7 +86,7 @@
 	storeFailures int
 	// firstStoreFailure is when the first of these calls began.
 	firstStoreFailure time.Time
-	candidate         tenure.Candidate
+	candidate         leadership.Candidate
 	// entries maps the peer addresses of other entries to their names, empty where not known yet.
 	entries map[string]string
 	// links holds the connections that other entries opened to this one, by their peer address.
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -18,7 +18,7 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 	"savoryhoist.example/savoryhoist/internal/store"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/worker"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
@@ -251,7 +251,7 @@
 	}
 	want := dispatch.InterferenceLimit{Serving: "serve", Filling: "press", Share: 0.07}
 	a.term.scheduler.MergeInterferenceLimits([]dispatch.InterferenceLimit{want})
-	a.term.leaderLease = tenure.LeaderLease{} // a renewal is due, so that flush stores records
+	a.term.leaderLease = leadership.LeaderLease{} // a renewal is due, so that flush stores records
 	a.flush(ctx, a.term)
 	for range 2 { // the first attempt only records the claim of the other entry
 		if err := b.claim(ctx, "test"); err != nil {
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -11,7 +11,7 @@
 
 	"savoryhoist.example/savoryhoist/internal/clock"
 	"savoryhoist.example/savoryhoist/internal/peer"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 )
 
 // probeTimeout bounds one probe of another entry.
@@ -91,7 +91,7 @@
 }
 
 // followTerm stays connected to a dispatcher until the connection or its term ends.
-func (c *Coordinator) followTerm(ctx context.Context, claim tenure.Claim) {
+func (c *Coordinator) followTerm(ctx context.Context, claim leadership.Claim) {
 	conn, err := peer.Dial(ctx, claim.Address)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -145,7 +145,7 @@
 }
 
 // handleDispatcherMessage handles a message from the dispatcher.
-func (c *Coordinator) handleDispatcherMessage(ctx context.Context, cc *callConn, claim tenure.Claim, m *peer.Message) {
+func (c *Coordinator) handleDispatcherMessage(ctx context.Context, cc *callConn, claim leadership.Claim, m *peer.Message) {
 	now := clock.Steady()
 	switch {
 	case m.Welcome != nil:
@@ -176,7 +176,7 @@
 
 // handleWelcome handles the first message from an entry that should be the
 // dispatcher, and closes the connection if it is not.
-func (c *Coordinator) handleWelcome(now time.Time, cc *callConn, claim tenure.Claim, w *peer.Welcome) {
+func (c *Coordinator) handleWelcome(now time.Time, cc *callConn, claim leadership.Claim, w *peer.Welcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addEntries(w.Entries)
@@ -215,12 +215,12 @@
 }
 
 // handleResigned records that a dispatcher has resigned. The successor that it
-// named claims at once; other entries wait for tenure.ClaimAfter.
+// named claims at once; other entries wait for leadership.ClaimAfter.
 func (c *Coordinator) handleResigned(r *peer.Resigned) {
 	c.mu.Lock()
 	c.candidate.NoteResigned(r.Term)
 	if r.Heir != "" && r.Heir != c.settings.Name {
-		c.successorUntil = clock.Steady().Add(tenure.ElectionTimeout)
+		c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
 	}
 	c.mu.Unlock()
 	c.log.Info().Uint64("term", r.Term).Str("heir", r.Heir).Msg("dispatcher resigned")
@@ -251,7 +251,7 @@
 
 // entriesHearing counts the other entries that have heard from the dispatcher
 // lately or know a newer claim, which it records.
-func (c *Coordinator) entriesHearing(ctx context.Context, claim tenure.Claim) int {
+func (c *Coordinator) entriesHearing(ctx context.Context, claim leadership.Claim) int {
 	c.mu.Lock()
 	var addresses []string
 	for a := range c.entries {
@@ -278,7 +278,7 @@
 				c.candidate.ObserveClaim(clock.Steady(), newer)
 				c.mu.Unlock()
 				hearing++
-			} else if w.Term == claim.Term && w.Term != 0 && !w.Resigned && w.HeardMS < tenure.ElectionTimeout.Milliseconds() {
+			} else if w.Term == claim.Term && w.Term != 0 && !w.Resigned && w.HeardMS < leadership.ElectionTimeout.Milliseconds() {
 				hearing++
 			}
 		})
@@ -289,7 +289,7 @@
 
 // hasStopped probes the process of a claim and reports whether it is certain that
 // the process no longer acts as the dispatcher, and why.
-func (c *Coordinator) hasStopped(ctx context.Context, claim tenure.Claim) (bool, string) {
+func (c *Coordinator) hasStopped(ctx context.Context, claim leadership.Claim) (bool, string) {
 	w, err := c.probe(ctx, claim.Address)
 	var refusedBy *net.OpError
 	switch {
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -10,7 +10,7 @@
 	"savoryhoist.example/savoryhoist/internal/clock"
 	"savoryhoist.example/savoryhoist/internal/peer"
 	"savoryhoist.example/savoryhoist/internal/store"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 )
 
 // resignAfter is how long the store has failed the dispatcher before it resigns in
@@ -153,7 +153,7 @@
 		return nil
 	}
 	c.mu.Unlock()
-	own := tenure.Claim{Entry: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen}
+	own := leadership.Claim{Entry: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen}
 	record, err := store.ClaimRecord(&own)
 	if err != nil {
 		return err
@@ -169,9 +169,9 @@
 }
 
 // newestClaim returns the newest claim and the end offset of store.TopicDispatch.
-func (c *Coordinator) newestClaim(ctx context.Context) (tenure.Claim, uint64, error) {
+func (c *Coordinator) newestClaim(ctx context.Context) (leadership.Claim, uint64, error) {
 	type found struct {
-		claim tenure.Claim
+		claim leadership.Claim
 		end   uint64
 	}
 	got, err := callStore(ctx, c, 0, func(ctx context.Context) (found, error) {
@@ -186,7 +186,7 @@
 
 // beginTerm makes this entry the dispatcher: it has the store reject writes of
 // earlier terms, and reads the workers and jobs.
-func (c *Coordinator) beginTerm(ctx context.Context, own, previous tenure.Claim, reason string) error {
+func (c *Coordinator) beginTerm(ctx context.Context, own, previous leadership.Claim, reason string) error {
 	t := &term{number: own.Term, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
 	sent := clock.Steady()
 	c.mu.Lock()
@@ -260,7 +260,7 @@
 
 // watchPredecessor probes the earlier dispatcher until it is known to have stopped,
 // or until none of its runs can be left.
-func (c *Coordinator) watchPredecessor(ctx context.Context, t *term, previous tenure.Claim) {
+func (c *Coordinator) watchPredecessor(ctx context.Context, t *term, previous leadership.Claim) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		current := c.term == t && !t.earlierRunsOver
@@ -289,7 +289,7 @@
 	}
 	c.term = nil
 	c.candidate.NoteResigned(t.number)
-	c.successorUntil = clock.Steady().Add(tenure.ElectionTimeout)
+	c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
 	successor := c.chooseSuccessor(clock.Steady())
 	m := &peer.Message{Resigned: &peer.Resigned{Term: t.number, Heir: successor}}
 	for _, a := range t.agents {
--- a/internal/coordinator/superseded_test.go
+++ b/internal/coordinator/superseded_test.go
@@ -10,7 +10,7 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 	"savoryhoist.example/savoryhoist/internal/store"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/worker"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
@@ -27,7 +27,7 @@
 	held.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", Attempts: 2}})
 	held.scheduler.BeginTerm(ownTerm, []string{"unheard"})
 	held.leaderLease.Renew(clock.Steady())
-	c.candidate.ObserveClaim(clock.Steady(), tenure.Claim{Term: ownTerm, Entry: "entry-a"})
+	c.candidate.ObserveClaim(clock.Steady(), leadership.Claim{Term: ownTerm, Entry: "entry-a"})
 	c.term = held
 	return c, held
 }
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -6,7 +6,7 @@
 	"savoryhoist.example/savoryhoist/internal/clock"
 	"savoryhoist.example/savoryhoist/internal/peer"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
@@ -14,8 +14,8 @@
 type term struct {
 	number      uint64
 	scheduler   dispatch.Scheduler
-	leaderLease tenure.LeaderLease
-	predecessor tenure.Predecessor
+	leaderLease leadership.LeaderLease
+	predecessor leadership.Predecessor
 	agents      map[string]*agentLink
 	// registered holds the workers whose names are stored, so that a later dispatcher waits for them.
 	registered map[string]bool
@@ -122,7 +122,7 @@
 		if silence > silentAfter {
 			t.scheduler.MarkSilent(a.name)
 		}
-		if t.expired(now, c, tenure.WorkerLeaseEndsBy(a.lastContact)) {
+		if t.expired(now, c, leadership.WorkerLeaseEndsBy(a.lastContact)) {
 			a.leaseExpired = true
 			c.count("workers-lost", 1)
 			n := t.scheduler.WorkerLeaseExpired(now, a.name)
--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -10,7 +10,7 @@
 
 	"savoryhoist.example/savoryhoist/internal/standin"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/worker"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
@@ -50,7 +50,7 @@
 	life    uint64
 	clockMS int64
 	clockAt time.Time
-	grant   tenure.WorkerLease
+	grant   leadership.WorkerLease
 	rows    []dispatch.RunStatus
 	ends    []dispatch.RunEnd
 	told    uint64
@@ -78,7 +78,7 @@
 
 // forget drops what a process holds in memory.
 func (a *agent) forget() {
-	a.term, a.conn, a.life, a.clockMS, a.clockAt, a.grant = 0, nil, 0, 0, time.Time{}, tenure.WorkerLease{}
+	a.term, a.conn, a.life, a.clockMS, a.clockAt, a.grant = 0, nil, 0, 0, time.Time{}, leadership.WorkerLease{}
 	a.rows, a.ends, a.told, a.noted, a.sure, a.seq = nil, nil, 0, 0, time.Time{}, 0
 	a.unanswered = make(map[runKey]time.Time)
 	a.orders, a.fencing, a.pings = make(map[runKey]bool), make(map[runKey]time.Time), make(map[uint64]time.Time)
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -8,7 +8,7 @@
 
 	"savoryhoist.example/savoryhoist/internal/store"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
@@ -24,7 +24,7 @@
 	process
 	index     int
 	name      string
-	candidate tenure.Candidate
+	candidate leadership.Candidate
 	followed  time.Time
 	term      *dispatching
 	// apartUntil is until when it reaches neither the store nor other entries.
@@ -35,9 +35,9 @@
 type dispatching struct {
 	number      uint64
 	board       dispatch.Scheduler
-	holder      tenure.LeaderLease
-	predecessor tenure.Predecessor
-	before      tenure.Claim
+	holder      leadership.LeaderLease
+	predecessor leadership.Predecessor
+	before      leadership.Claim
 	agents      map[string]*link
 	known       map[string]bool
 	settled     bool
@@ -63,7 +63,7 @@
 func (e *entry) restart(down time.Duration) {
 	e.generation++
 	e.downUntil = e.w.now + down
-	e.candidate, e.term, e.followed = tenure.Candidate{}, nil, time.Time{}
+	e.candidate, e.term, e.followed = leadership.Candidate{}, nil, time.Time{}
 }
 
 func (e *entry) tick() {
@@ -134,7 +134,7 @@
 	if err != nil || e.candidate.ObserveClaim(now, found) {
 		return
 	}
-	own := tenure.Claim{Entry: e.name, Incarnation: e.generation, Address: e.name}
+	own := leadership.Claim{Entry: e.name, Incarnation: e.generation, Address: e.name}
 	record, err := store.ClaimRecord(&own)
 	if err != nil {
 		return
@@ -152,7 +152,7 @@
 }
 
 // begin reads the state and begins to dispatch.
-func (e *entry) begin(now time.Time, own, before tenure.Claim) {
+func (e *entry) begin(now time.Time, own, before leadership.Claim) {
 	e.candidate.ObserveClaim(now, own)
 	t := &dispatching{number: own.Term, before: before, agents: make(map[string]*link), known: make(map[string]bool)}
 	if _, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number}); err != nil {
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -14,7 +14,7 @@
 
 	"savoryhoist.example/savoryhoist/internal/standin"
 	"savoryhoist.example/savoryhoist/internal/store"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/worker"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
@@ -41,13 +41,13 @@
 	// LapsesAt returns when everything on a worker has ended.
 	LapsesAt func(heard time.Time) time.Time
 	// EndsAt returns when what an earlier dispatcher ordered has ended.
-	EndsAt func(p *tenure.Predecessor) time.Time
+	EndsAt func(p *leadership.Predecessor) time.Time
 	// Ended reports whether what must have ended by a time has ended.
-	Ended func(h *tenure.LeaderLease, now, by time.Time) bool
+	Ended func(h *leadership.LeaderLease, now, by time.Time) bool
 	// Valid reports whether a dispatcher may go on.
-	Valid func(h *tenure.LeaderLease, now time.Time) bool
+	Valid func(h *leadership.LeaderLease, now time.Time) bool
 	// Left returns how long a worker may go on.
-	Left func(g *tenure.WorkerLease, now time.Time) time.Duration
+	Left func(g *leadership.WorkerLease, now time.Time) time.Duration
 	// NoteFirst lets runners forget ends before they are stored.
 	NoteFirst bool
 	// NoFence takes a start that was not answered for one that never runs.
@@ -69,22 +69,22 @@
 
 func (r *Rules) fill() {
 	if r.LapsesAt == nil {
-		r.LapsesAt = tenure.WorkerLeaseEndsBy
+		r.LapsesAt = leadership.WorkerLeaseEndsBy
 	}
 	if r.EndsAt == nil {
-		r.EndsAt = func(p *tenure.Predecessor) time.Time { return p.LeasesEndBy() }
+		r.EndsAt = func(p *leadership.Predecessor) time.Time { return p.LeasesEndBy() }
 	}
 	if r.Ended == nil {
-		r.Ended = func(h *tenure.LeaderLease, now, by time.Time) bool {
+		r.Ended = func(h *leadership.LeaderLease, now, by time.Time) bool {
 			ended, _ := h.ConfirmsEnd(now, by)
 			return ended
 		}
 	}
 	if r.Valid == nil {
-		r.Valid = func(h *tenure.LeaderLease, now time.Time) bool { return h.Valid(now) }
+		r.Valid = func(h *leadership.LeaderLease, now time.Time) bool { return h.Valid(now) }
 	}
 	if r.Left == nil {
-		r.Left = func(g *tenure.WorkerLease, now time.Time) time.Duration { return g.Remaining(now) }
+		r.Left = func(g *leadership.WorkerLease, now time.Time) time.Duration { return g.Remaining(now) }
 	}
 }
 
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 )
 
 const (
@@ -31,12 +31,12 @@
 		from uint64
 	}{
 		{"a lost worker is given up while its grant lasts", Rules{LapsesAt: func(heard time.Time) time.Time { return heard.Add(3 * time.Second) }}, 0},
-		{"workers that did not report are not waited for", Rules{EndsAt: func(*tenure.Predecessor) time.Time { return time.Time{} }}, 0},
-		{"a dispatcher goes on without a proof", Rules{Valid: func(*tenure.LeaderLease, time.Time) bool { return true }}, 2940},
-		{"a worker goes on beyond its grant", Rules{Left: func(g *tenure.WorkerLease, now time.Time) time.Duration {
+		{"workers that did not report are not waited for", Rules{EndsAt: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
+		{"a dispatcher goes on without a proof", Rules{Valid: func(*leadership.LeaderLease, time.Time) bool { return true }}, 2940},
+		{"a worker goes on beyond its grant", Rules{Left: func(g *leadership.WorkerLease, now time.Time) time.Duration {
 			return g.Remaining(now.Add(-2 * time.Second))
 		}}, 0},
-		{"a worker is taken for lost though a later dispatcher may hear it", Rules{Ended: func(_ *tenure.LeaderLease, now, by time.Time) bool {
+		{"a worker is taken for lost though a later dispatcher may hear it", Rules{Ended: func(_ *leadership.LeaderLease, now, by time.Time) bool {
 			return !now.Before(by)
 		}}, 0},
 		{"ends are forgotten before they are stored", Rules{NoteFirst: true}, 0},
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -4,7 +4,7 @@
 
 import (
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
@@ -54,10 +54,10 @@
 
 // Welcome answers a Hello.
 type Welcome struct {
-	Name        string       `cbor:"1,keyasint"`
-	Incarnation uint64       `cbor:"2,keyasint"`
-	Term        uint64       `cbor:"3,keyasint,omitempty"`
-	Claim       tenure.Claim `cbor:"4,keyasint,omitempty"`
+	Name        string           `cbor:"1,keyasint"`
+	Incarnation uint64           `cbor:"2,keyasint"`
+	Term        uint64           `cbor:"3,keyasint,omitempty"`
+	Claim       leadership.Claim `cbor:"4,keyasint,omitempty"`
 	// Dispatches is set if the entry holds the term and takes reports.
 	Dispatches bool `cbor:"5,keyasint,omitempty"`
 	// Entries are the addresses of the entries known.
--- a/internal/attendant/attendant.go
+++ b/internal/runneragent/agent.go
@@ -1,11 +1,11 @@
-// Package attendant is the runner agent: the process beside the runner of a worker.
+// Package runneragent is the runner agent: the process beside the runner of a worker.
 // It carries out the dispatcher's orders and reports the runs that the runner lists.
 // It renews the leases of runs at the runner, up to the end of the worker lease,
 // which the dispatcher renews by answering the agent's pings.
 //
 // A life of a runner is the time between two restarts. It is identified by its start
 // time, since another life may have the same instance name.
-package attendant
+package runneragent
 
 import (
 	"context"
@@ -20,14 +20,14 @@
 	"savoryhoist.example/savoryhoist/internal/peer"
 	"savoryhoist.example/savoryhoist/internal/store"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
 // Intervals and timeouts of an agent.
 const (
 	// pingEvery is how often the agent pings the dispatcher to renew the worker lease,
-	// less than a tenth of tenure.GrantFor.
+	// less than a tenth of leadership.GrantFor.
 	pingEvery = 400 * time.Millisecond
 	// pollWait is how long the runner may delay its answer to a poll until a run ends.
 	pollWait = time.Second
@@ -89,7 +89,7 @@
 	// runnerClockMS is the latest reading of the runner's clock, runnerClockReadAt when it arrived.
 	runnerClockMS     int64
 	runnerClockReadAt time.Time
-	workerLease       tenure.WorkerLease
+	workerLease       leadership.WorkerLease
 	// lastRunLeaseEnd is the latest end of any run lease that was asked of the runner.
 	lastRunLeaseEnd time.Time
 	// reportedEmpty is set once the dispatcher was told that the worker runs nothing.
@@ -122,7 +122,7 @@
 func New(s Settings, runner Runner, port store.Port, logger *log.Logger, registry gometrics.Registry) *Agent {
 	a := &Agent{
 		settings: s, runner: runner, store: port, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
-		lastRunLeaseEnd: clock.Steady().Add(tenure.WorkerLeaseDuration), // an earlier agent process may have renewed run leases up to then
+		lastRunLeaseEnd: clock.Steady().Add(leadership.WorkerLeaseDuration), // an earlier agent process may have renewed run leases up to then
 		unlistedStarts:  make(map[runKey]*dispatch.Start), unansweredStarts: make(map[runKey]time.Time), entries: make(map[string]bool), pingSentAt: make(map[uint64]time.Time),
 	}
 	for _, e := range s.Entries {
--- a/internal/attendant/attendant_test.go
+++ b/internal/runneragent/agent_test.go
@@ -1,4 +1,4 @@
-package attendant
+package runneragent
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"savoryhoist.example/savoryhoist/internal/peer"
 	"savoryhoist.example/savoryhoist/internal/store"
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
-	"savoryhoist.example/savoryhoist/pkg/tenure"
+	"savoryhoist.example/savoryhoist/pkg/leadership"
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
@@ -177,7 +177,7 @@
 	}{
 		{"the runner did not carry it out", func(s *fixture, _ *peer.Orders) { s.runner.startErr = ErrNotRun }},
 		{"the order is for another life", func(_ *fixture, o *peer.Orders) { o.Starts[0].Life = 6 }},
-		{"no worker lease", func(s *fixture, _ *peer.Orders) { s.agent.workerLease = tenure.WorkerLease{} }},
+		{"no worker lease", func(s *fixture, _ *peer.Orders) { s.agent.workerLease = leadership.WorkerLease{} }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFixture(t)
--- a/internal/attendant/lives_test.go
+++ b/internal/runneragent/lives_test.go
@@ -1,4 +1,4 @@
-package attendant
+package runneragent
 
 import (
 	"context"
--- a/pkg/tenure/tenure.go
+++ b/pkg/leadership/leadership.go
@@ -1,11 +1,11 @@
-// Package tenure elects the dispatcher, the leader among the entries, and computes leases: when
+// Package leadership elects the dispatcher, the leader among the entries, and computes leases: when
 // an entry may claim leadership, how long a dispatcher may act, and how long a worker may go on
 // without contact with it.
 //
 // A claim is a record in the store that is appended only if the end of its topic has not moved,
 // so that its offset gives each claim a term of its own. The current time is on a clock that
 // also advances while the machine is suspended.
-package tenure
+package leadership
 
 import "time"
 
--- a/pkg/tenure/tenure_test.go
+++ b/pkg/leadership/leadership_test.go
@@ -1,4 +1,4 @@
-package tenure
+package leadership
 
 import (
 	"encoding/json"
