--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -23,7 +23,7 @@
 
 // Intervals and timeouts of an entry.
 const (
-	// pingEvery is how often other entries ping the dispatcher; leadership.ClaimAfter allows
+	// pingEvery is how often other entries ping the dispatcher; leadership.ElectionTimeout allows
 	// four missed pings.
 	pingEvery = 300 * time.Millisecond
 	// tickEvery is how often an entry checks its peers, the workers and the term for timeouts.
@@ -37,7 +37,7 @@
 	// entry cannot become the successor.
 	silentAfter = 900 * time.Millisecond
 	// leaderLeaseRenewEvery is how often an idle dispatcher writes to the store to renew
-	// its leadership lease, well within leadership.ProofFor.
+	// its leadership lease, well within leadership.LeaderLeaseDuration.
 	leaderLeaseRenewEvery = 2 * time.Second
 )
 
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -215,7 +215,7 @@
 }
 
 // handleResigned records that a dispatcher has resigned. The successor that it
-// named claims at once; other entries wait for leadership.ClaimAfter.
+// named claims at once; other entries wait for leadership.ElectionTimeout.
 func (c *Coordinator) handleResigned(r *peer.Resigned) {
 	c.mu.Lock()
 	c.candidate.NoteResigned(r.Term)
--- a/internal/runneragent/agent.go
+++ b/internal/runneragent/agent.go
@@ -27,7 +27,7 @@
 // Intervals and timeouts of an agent.
 const (
 	// pingEvery is how often the agent pings the dispatcher to renew the worker lease,
-	// less than a tenth of leadership.GrantFor.
+	// less than a tenth of leadership.WorkerLeaseDuration.
 	pingEvery = 400 * time.Millisecond
 	// pollWait is how long the runner may delay its answer to a poll until a run ends.
 	pollWait = time.Second
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -63,7 +63,7 @@
 // Append adds messages to the stream in one batch and waits until they are in
 // the log. If ctx ends before their append has begun, they are withdrawn and
 // the error is marked record.ErrUnavailable: nothing was written, nor will be.
-// If ctx ends later, the error is marked record.ErrUnknown and the writer goes
+// If ctx ends later, the error is marked record.ErrOutcomeUnknown and the writer goes
 // on until the batch is in the log.
 func (w *Writer) Append(ctx context.Context, messages ...record.Message) error {
 	if len(messages) == 0 {
--- a/pkg/worker/preempt.go
+++ b/pkg/worker/preempt.go
@@ -65,7 +65,7 @@
 }
 
 // FindReservation returns the worker whose free capacity comes closest to size. The
-// caller reserves it for a task that has waited too long. ReserveFor itself
+// caller reserves it for a task that has waited too long. FindReservation itself
 // reserves nothing.
 func (f *Fleet) FindReservation(now time.Time, key TaskKey, size Resources) (string, bool) {
 	best := -1
--- a/pkg/workflow/book.go
+++ b/pkg/workflow/book.go
@@ -101,7 +101,7 @@
 func (t *JobTable) Clear() { t.jobs = nil }
 
 // Apply applies a record and returns the ID of its job. A record that cannot be decoded changes
-// nothing; the error is marked with ErrRecord.
+// nothing; the error is marked with ErrUnreadableRecord.
 func (t *JobTable) Apply(r Record) (id string, err error) {
 	prefix, id, ok := strings.Cut(r.Key, "/")
 	prefix += "/"
--- a/pkg/workflow/spec.go
+++ b/pkg/workflow/spec.go
@@ -105,7 +105,7 @@
 	return errors.Mark(errors.Newf(format, args...), ErrInvalidSpec)
 }
 
-// Validate returns an error, marked with ErrSpec, that names the first invalid field.
+// Validate returns an error, marked with ErrInvalidSpec, that names the first invalid field.
 func (s *Spec) Validate() error {
 	if len(s.Text) > MaxTextBytes {
 		return invalid("text: want at most %d bytes, got %d", MaxTextBytes, len(s.Text))
