--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -194,7 +194,7 @@
 		lost := !wasUnavailable && c.storeUnavailable(now)
 		c.mu.Unlock()
 		if lost {
-			c.log.Warn().Err(err).Msg("store unavailable; submissions and cancellations fail unless another entry stores them")
+			c.log.Warn().Err(err).Msg("store lost; submissions and cancellations fail unless another entry stores them")
 		}
 		return
 	}
@@ -202,7 +202,7 @@
 	c.lastStoreSuccess, c.storeFailures = now, 0
 	c.mu.Unlock()
 	if wasUnavailable {
-		c.log.Info().Dur("away", outage).Msg("store available again")
+		c.log.Info().Dur("away", outage).Msg("store regained")
 	}
 }
 
