--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,47 +12,47 @@
 )
 
 // ErrClosed means that a connection has ended.
-var ErrClosed = errors.New("the connection has ended")
+var ErrClosed = errors.New("connection closed")
 
-// Limits of a connection.
+// Timeouts and buffer sizes of a connection.
 const (
-	// dialTimeout bounds opening a connection; data centres are some 10 ms apart.
+	// dialTimeout bounds opening a connection; data centres are about 10 ms apart.
 	dialTimeout = 600 * time.Millisecond
-	// writeTimeout bounds one write to a peer that does not read.
+	// writeTimeout bounds one write, since a peer that does not read blocks it.
 	writeTimeout = 2 * time.Second
-	// SilentAfter is how long nothing is heard before a connection is given up:
-	// three pings, answered, at half a second each.
+	// SilentAfter is how long a connection may go without received data before it is
+	// closed: three ping intervals of half a second each, since every ping is answered.
 	SilentAfter = 1500 * time.Millisecond
-	// queueLength bounds the messages that wait to be written to one peer.
-	queueLength = 4096
-	bufferBytes = 8 << 10
+	// queueLength bounds the number of messages that wait to be written to one peer.
+	queueLength      = 4096
+	writeBufferBytes = 8 << 10
 )
 
-// Conn is one connection to a peer.
+// Conn is a connection to a peer that carries messages in both directions.
 type Conn struct {
-	conn   net.Conn
-	out    chan *Message
-	done   chan struct{}
-	closed sync.Once
+	conn      net.Conn
+	sendQueue chan *Message
+	done      chan struct{}
+	closed    sync.Once
 }
 
-// Dial opens a connection.
+// Dial opens a TCP connection to a peer.
 func Dial(ctx context.Context, address string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "reach %s", address)
+		return nil, errors.Wrapf(err, "connect to %s", address)
 	}
 	Tune(c)
 	return NewConn(c), nil
 }
 
-// NewConn returns a connection over c. Run must be called.
+// NewConn returns a connection over c. It sends and receives only while Run runs.
 func NewConn(c net.Conn) *Conn {
-	return &Conn{conn: c, out: make(chan *Message, queueLength), done: make(chan struct{})}
+	return &Conn{conn: c, sendQueue: make(chan *Message, queueLength), done: make(chan struct{})}
 }
 
-// Remote returns the peer's address.
+// Remote returns the IP address and port of the peer.
 func (c *Conn) Remote() string { return c.conn.RemoteAddr().String() }
 
 // Done is closed when the connection has ended.
@@ -66,8 +66,9 @@
 	})
 }
 
-// Send queues a message. It reports false if the connection has ended or the
-// peer is too slow, in which case the connection is closed.
+// Send queues a message and never blocks. If the send queue is full because the
+// peer reads too slowly, it closes the connection. It reports whether the message
+// was queued.
 func (c *Conn) Send(m *Message) bool {
 	select {
 	case <-c.done:
@@ -75,7 +76,7 @@
 	default:
 	}
 	select {
-	case c.out <- m:
+	case c.sendQueue <- m:
 		return true
 	default:
 		c.Close()
@@ -84,9 +85,10 @@
 }
 
 // Run writes queued messages and passes each received one to handle, until the
-// connection ends. A peer that is silent for too long ends it.
+// connection ends; the error is then marked as ErrClosed. A connection on which
+// nothing arrives for too long is closed.
 func (c *Conn) Run(group *sync.WaitGroup, handle func(*Message)) error {
-	group.Go(c.write)
+	group.Go(c.writeLoop)
 	defer c.Close()
 	decoder := cbor.NewDecoder(&deadlineReader{conn: c.conn})
 	for {
@@ -98,7 +100,7 @@
 	}
 }
 
-// deadlineReader reads with a limit on the time in which nothing arrives.
+// deadlineReader fails a read if no data arrives in time.
 type deadlineReader struct{ conn net.Conn }
 
 func (r *deadlineReader) Read(p []byte) (int, error) {
@@ -108,16 +110,16 @@
 	return r.conn.Read(p)
 }
 
-// write writes queued messages, as many at a time as wait.
-func (c *Conn) write() {
+// writeLoop writes queued messages until the connection ends.
+func (c *Conn) writeLoop() {
 	defer c.Close()
-	buffer := bufio.NewWriterSize(c.conn, bufferBytes)
+	buffer := bufio.NewWriterSize(c.conn, writeBufferBytes)
 	encoder := cbor.NewEncoder(buffer)
 	for {
 		select {
-		case m := <-c.out:
-			if err := c.writeAll(encoder, buffer, m); err != nil {
-				return // the reader reports the end of the connection
+		case m := <-c.sendQueue:
+			if err := c.writeBatch(encoder, buffer, m); err != nil {
+				return // the deferred Close makes Run return
 			}
 		case <-c.done:
 			return
@@ -125,7 +127,8 @@
 	}
 }
 
-func (c *Conn) writeAll(encoder *cbor.Encoder, buffer *bufio.Writer, m *Message) error {
+// writeBatch writes m and all messages that are queued, and flushes them together.
+func (c *Conn) writeBatch(encoder *cbor.Encoder, buffer *bufio.Writer, m *Message) error {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -134,7 +137,7 @@
 			return err
 		}
 		select {
-		case m = <-c.out:
+		case m = <-c.sendQueue:
 		default:
 			return buffer.Flush()
 		}
--- a/internal/peer/tune.go
+++ b/internal/peer/tcptimeout.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Tune makes a connection notice that its peer has gone: data that is not
-// acknowledged for as long as SilentAfter ends it.
+// Tune sets the TCP user timeout: the connection ends if sent data is not
+// acknowledged for 1500 ms, the limit that also applies to received data.
+// It does nothing if c is not a TCP connection.
 func Tune(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -16,7 +17,7 @@
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
-		return // the read deadline ends a silent connection later
+		return // the read deadline still ends a connection that receives nothing
 	}
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(SilentAfter/time.Millisecond))
