--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -9,25 +9,26 @@
 	"savoryhoist.example/savoryhoist/pkg/leadership"
 )
 
-// claimKey is the key of all claims of the dispatch.
-const claimKey = "dispatcher"
+// leadershipClaimKey is the key of the records of all leadership claims.
+const leadershipClaimKey = "dispatcher"
 
-// ClaimRecord returns the record of a claim.
+// ClaimRecord returns the record that claims leadership.
 func ClaimRecord(claim *leadership.Claim) (Record, error) {
 	value, err := cbor.Marshal(claim)
-	return Record{Key: claimKey, Value: value}, errors.Wrap(err, "encode the claim")
+	return Record{Key: leadershipClaimKey, Value: value}, errors.Wrap(err, "encode leadership claim")
 }
 
-// NewestClaim returns the newest claim of the dispatch, and the end of its
-// topic. Records that are no claims are counted in skipped.
+// NewestClaim returns the newest leadership claim, and the offset after the last record
+// of its topic. The term of a claim is one more than the offset of its record. skipped is
+// the number of records in the topic that are not claims.
 func (p *Port) NewestClaim(ctx context.Context) (newest leadership.Claim, end uint64, skipped int, err error) {
 	records, end, err := p.All(ctx, TopicDispatch)
 	if err != nil {
-		return leadership.Claim{}, 0, 0, errors.Wrap(err, "read the claims")
+		return leadership.Claim{}, 0, 0, errors.Wrap(err, "read leadership claims")
 	}
 	for _, r := range records {
 		var claim leadership.Claim
-		if err := cbor.Unmarshal(r.Value, &claim); err != nil || r.Key != claimKey {
+		if err := cbor.Unmarshal(r.Value, &claim); err != nil || r.Key != leadershipClaimKey {
 			skipped++
 			continue
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the port to the platform's store: topics of keyed records of
-// which the newest of each key is kept.
+// Package store is the interface to the platform's store: an append-only log per topic,
+// of keyed records. The store retains at least the newest record of each key.
 package store
 
 import (
@@ -12,80 +12,86 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Errors returned by the functions of Port.
+// Errors returned by calls to the store.
 var (
-	// ErrRefused means that the call was certainly not carried out.
-	ErrRefused = errors.New("the store did not take the call")
-	// ErrUnknown means that the call may have been carried out, or still may be.
-	ErrUnknown = errors.New("the store's answer was lost")
-	// ErrFenced means that a later term has written.
+	// ErrRefused means that the call has not been and will not be carried out.
+	ErrRefused = errors.New("the store did not carry out the call")
+	// ErrUnknown means that the call may have been carried out, or may still be.
+	ErrUnknown = errors.New("outcome of the call to the store unknown")
+	// ErrFenced means that a writer of a later leadership term has written to the topic.
 	ErrFenced = errors.New("a later term has written to the store")
-	// ErrMoved means that the topic does not end where the caller expected.
-	ErrMoved = errors.New("the topic has moved on")
-	// ErrTrimmed means that the records asked for are no longer kept.
-	ErrTrimmed = errors.New("the records are no longer kept")
+	// ErrMoved means that the topic does not end at the offset that the append requires.
+	ErrMoved = errors.New("the topic does not end at the expected offset")
+	// ErrTrimmed means that the store has deleted records from the requested offset on.
+	ErrTrimmed = errors.New("the store no longer has the requested records")
 )
 
-// Topic names one topic.
+// Topic is the name of a topic.
 type Topic string
 
-// The topics of the product.
+// The topics that the scheduler uses.
 const (
 	// TopicIntake holds the submissions and cancellations of pkg/workflow.
 	TopicIntake Topic = "intake"
-	// TopicProgress holds the progress of jobs; appends to it do not wait for the intake's.
+	// TopicProgress holds the progress of jobs. It is a topic of its own so that appends to
+	// it do not wait for appends of submissions.
 	TopicProgress Topic = "progress"
-	// TopicDispatch holds claims of the dispatch.
+	// TopicDispatch holds the leadership claims.
 	TopicDispatch Topic = "dispatch"
-	// TopicWorkers names the workers that may run tasks.
+	// TopicWorkers holds the names of the workers that may run tasks.
 	TopicWorkers Topic = "workers"
-	// TopicConfig holds the operators' configuration; only read.
+	// TopicConfig holds the operators' configuration. The scheduler only reads it.
 	TopicConfig Topic = "config"
 )
 
-// Record is one keyed record; without a value it drops its key.
+// Record is a keyed record. A record without a value deletes its key.
 type Record = workflow.Record
 
-// Append is a call that adds records.
+// Append is a call that appends records to a topic.
 type Append struct {
 	Topic   Topic
 	Records []Record
-	// At is where the topic must end, if AtSet.
-	At    uint64
+	// At is the offset at which the topic must end before the append.
+	At uint64
+	// AtSet is set if the end of the topic is to be checked.
 	AtSet bool
-	// Term and Seq fence the writers of earlier terms and make a repeated call
-	// harmless; Term 0 is a call without them.
+	// Term is the leadership term of the writer, a fencing token: the store refuses appends
+	// of earlier terms. 0 is an append without a term.
 	Term uint64
-	Seq  uint64
+	// Seq is the sequence number of the append in its term, by which the store recognises a
+	// repeated append and carries it out only once.
+	Seq uint64
 }
 
-// Stored is a record with its offset.
+// Stored is a record with its offset in the topic.
 type Stored struct {
 	Record
 	Offset uint64
 }
 
-// Page is what a read returned.
+// Page is the result of a read.
 type Page struct {
 	Records []Stored
-	// End is the offset after the topic's last record.
+	// End is the offset after the last record of the topic.
 	End uint64
-	// More is set if a page of the newest records is followed by another.
+	// More is set if more pages of newest records follow.
 	More bool
 }
 
-// Port holds the calls to the store.
+// Port holds the functions that call the store.
 type Port struct {
-	// Append returns the offset after the last record.
+	// Append appends records and returns the offset after the last one.
 	Append func(ctx context.Context, a Append) (uint64, error)
-	// Read returns records from an offset on; it waits for one at most as long as wait.
+	// Read returns records from an offset on. If there are none yet, it waits for up to wait.
 	Read func(ctx context.Context, topic Topic, from uint64, wait time.Duration) (*Page, error)
-	// Newest returns the newest record of each key after a key.
+	// Newest returns a page with the newest record of each key, from the first key after
+	// the key named after; an empty one begins with the first page.
 	Newest func(ctx context.Context, topic Topic, after string) (*Page, error)
 }
 
-// All returns the newest record of every key, and an end from which to read on.
-// Records may be newer than that end, none is older.
+// All returns the newest record of every key, and an offset from which to read on. It
+// misses no record before that offset; some records may have later offsets, since the
+// topic may grow while the pages are read.
 func (p *Port) All(ctx context.Context, topic Topic) ([]Stored, uint64, error) {
 	var out []Stored
 	end, after := uint64(0), ""
@@ -105,10 +111,11 @@
 	}
 }
 
-// SequenceError says which sequence number the store expects of a term's next append.
+// SequenceError is returned by an append with an unexpected sequence number. Want is the
+// number that the store expects of the next append in the term.
 type SequenceError struct{ Want uint64 }
 
-// Error returns the message.
+// Error implements error.
 func (e *SequenceError) Error() string {
 	return "the store expects sequence number " + strconv.FormatUint(e.Want, 10)
 }
