--- a/internal/lines/lines.go
+++ b/internal/lines/lines.go
@@ -1,5 +1,6 @@
-// Package lines writes log lines without ever holding their caller up: lines are
-// written in batches, within a budget, and those left out are counted.
+// Package lines writes log lines without ever blocking the caller: lines are buffered
+// and written in batches. Lines beyond a rate limit, or beyond the buffer, are dropped
+// and counted.
 package lines
 
 import (
@@ -12,47 +13,54 @@
 )
 
 const (
-	// DefaultPerSecond is the budget of lines below a warning; a start and its
-	// end take two, and 300 tasks a second start at the target size.
+	// DefaultPerSecond is the default limit of debug and info lines per second. Each task
+	// logs two, at its start and at its end, and 300 tasks start per second at the target
+	// size of an installation.
 	DefaultPerSecond = 1000
-	// mostBytes bounds the lines that wait for a reader, in bytes.
-	mostBytes = 1 << 20
-	// batchEvery is how long lines wait for others: a write costs a system call.
-	batchEvery = 50 * time.Millisecond
-	// levelWithin is how far into a line its level stands at the latest.
-	levelWithin = 96
+	// maxPendingBytes bounds the buffer of lines that wait to be written.
+	maxPendingBytes = 1 << 20
+	// batchDelay is how long a line waits for others to be written with it, since each
+	// write costs a system call.
+	batchDelay = 50 * time.Millisecond
+	// levelSearchBytes is the length of the beginning of a line that contains its level.
+	levelSearchBytes = 96
 )
 
-// Writer is an io.Writer for whole lines. Run must be called. The zero value
-// drops every line.
+// Writer is an io.Writer that takes one whole line in each call of Write. Run writes the
+// lines to Out. The zero value drops every line.
 type Writer struct {
-	// Out gets the lines.
+	// Out receives the lines.
 	Out io.Writer
-	// PerSecond is the budget of lines below a warning; warnings are only left
-	// out while the reader does not keep up.
+	// PerSecond is the limit of debug and info lines per second. Warnings and errors are
+	// dropped only while the buffer is full, because Out does not keep up.
 	PerSecond int
-	// Now returns the present time.
+	// Now returns the current time.
 	Now func() time.Time
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending are the lines that wait to be written.
 	pending []byte
-	second  int64
-	spent   int
-	left    uint64
-	ready   chan struct{}
+	// budgetSecond is the Unix time of the newest debug or info line, and budgetUsed the
+	// number of such lines in that second.
+	budgetSecond int64
+	budgetUsed   int
+	// dropped is the number of lines dropped since the last flush.
+	dropped uint64
+	// ready wakes Run when lines wait.
+	ready chan struct{}
 }
 
-// New returns a writer to out.
+// New returns a Writer to out with the default limit.
 func New(out io.Writer) *Writer {
 	return &Writer{Out: out, PerSecond: DefaultPerSecond, Now: time.Now, ready: make(chan struct{}, 1)}
 }
 
-// Write takes a line in. It never blocks and never fails.
+// Write buffers a line or drops it. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.allows(line) || len(w.pending)+len(line) > mostBytes {
-		w.left++
+	if !w.spendBudget(line) || len(w.pending)+len(line) > maxPendingBytes {
+		w.dropped++
 		return len(line), nil
 	}
 	w.pending = append(w.pending, line...)
@@ -63,28 +71,29 @@
 	return len(line), nil
 }
 
-// allows spends the budget. The caller holds mu.
-func (w *Writer) allows(line []byte) bool {
+// spendBudget reports whether a line is within the limit per second, and counts it if it
+// is a debug or info line. The caller holds mu.
+func (w *Writer) spendBudget(line []byte) bool {
 	if w.Now == nil {
 		return false
 	}
-	head := line[:min(len(line), levelWithin)]
+	head := line[:min(len(line), levelSearchBytes)]
 	if !bytes.Contains(head, []byte(`"level":"info"`)) && !bytes.Contains(head, []byte(`"level":"debug"`)) {
 		return true
 	}
-	if s := w.Now().Unix(); s != w.second {
-		w.second, w.spent = s, 0
+	if s := w.Now().Unix(); s != w.budgetSecond {
+		w.budgetSecond, w.budgetUsed = s, 0
 	}
-	w.spent++
-	return w.spent <= w.PerSecond
+	w.budgetUsed++
+	return w.budgetUsed <= w.PerSecond
 }
 
-// Run writes until ctx ends, then what still waits.
+// Run writes buffered lines until ctx ends, and then those that remain.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-w.ready:
-			timer := time.NewTimer(batchEvery)
+			timer := time.NewTimer(batchDelay)
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
@@ -98,15 +107,16 @@
 	}
 }
 
+// flush writes all buffered lines, and a warning if lines were dropped.
 func (w *Writer) flush() {
 	w.mu.Lock()
-	batch, left := w.pending, w.left
-	w.pending, w.left = nil, 0
+	batch, dropped := w.pending, w.dropped
+	w.pending, w.dropped = nil, 0
 	w.mu.Unlock()
-	if left > 0 {
-		batch = fmt.Appendf(batch, `{"time":%q,"level":"warn","lines":%d,"message":"log lines were left out"}`+"\n", w.Now().UTC().Format(time.RFC3339Nano), left)
+	if dropped > 0 {
+		batch = fmt.Appendf(batch, `{"time":%q,"level":"warn","lines":%d,"message":"log lines dropped"}`+"\n", w.Now().UTC().Format(time.RFC3339Nano), dropped)
 	}
 	if len(batch) > 0 {
-		_, _ = w.Out.Write(batch) // nobody reads what cannot be written
+		_, _ = w.Out.Write(batch) // a failed write of the log cannot be logged
 	}
 }
