--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,5 +1,5 @@
-// Package story finds what the log lines of any number of processes say about
-// one job, and puts it in order.
+// Package story collects the log lines about one job from the logs of any number of
+// processes, and sorts them in causal order.
 package story
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// longestLine bounds one log line, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
 // Line is one log line about a job.
 type Line struct {
@@ -25,18 +25,18 @@
 	task    string
 	run     uint64
 	text    string
-	// rank orders lines of the same moment.
+	// rank orders lines with the same time.
 	rank int
 }
 
 // Process returns the name of the process that wrote the line.
 func (l *Line) Process() string { return l.process }
 
-// Text returns the line as it was written.
+// Text returns the JSON of the line as the process wrote it.
 func (l *Line) Text() string { return l.text }
 
-// fields are what the order of lines depends on.
-type fields struct {
+// lineFields are the fields of a log line by which lines are selected and sorted.
+type lineFields struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
 	Message string    `json:"message"`
@@ -46,19 +46,19 @@
 	Run     uint64    `json:"run"`
 }
 
-// Messages that the order depends on.
+// Messages by which lines are sorted. They must match the texts that entries log.
 const (
-	messageHandedIn = "job handed in"
-	messageOrdered  = "start ordered"
-	messageEnded    = "run ended"
-	messageJobEnded = "job ended"
+	messageSubmitted    = "job handed in"
+	messageStartOrdered = "start ordered"
+	messageRunEnded     = "run ended"
+	messageJobEnded     = "job ended"
 )
 
-// Read returns the lines of r that concern a job. What stands before the JSON
-// of a line, such as a name that a collector added, is ignored.
+// Read returns the lines of r about a job. It ignores text before the JSON of a line, such
+// as a name that a log collector has added, and skips lines that are not JSON.
 func Read(r io.Reader, job string) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var out []Line
 	for scanner.Scan() {
 		raw := scanner.Bytes()
@@ -69,8 +69,8 @@
 		if start < 0 {
 			continue
 		}
-		var f fields
-		if json.Unmarshal(raw[start:], &f) != nil || !f.concern(job) {
+		var f lineFields
+		if json.Unmarshal(raw[start:], &f) != nil || !f.isAbout(job) {
 			continue
 		}
 		out = append(out, Line{at: f.Time, process: f.Process, message: f.Message, task: f.Task, run: f.Run, text: string(raw[start:])})
@@ -78,13 +78,14 @@
 	return out, errors.Wrap(scanner.Err(), "read log lines")
 }
 
-// concern reports whether a line is about a job, one of its steps or tasks.
-func (f *fields) concern(job string) bool {
+// isAbout reports whether a line is about a job, or one of its steps or tasks.
+func (f *lineFields) isAbout(job string) bool {
 	return f.Job == job || strings.HasPrefix(f.Task, job+".") || strings.HasPrefix(f.Step, job+".")
 }
 
-// Order sorts lines by cause first and time second: the clocks of processes
-// disagree, but a run is ordered before its agent speaks of it, and ends after.
+// Order returns the lines sorted by cause first and time second, since the clocks of
+// processes differ: lines of an agent about a run are sorted after the dispatcher's line
+// that orders its start, and before the dispatcher's line that reports its end.
 func Order(lines []Line) []Line {
 	type key struct {
 		task string
@@ -92,30 +93,30 @@
 	}
 	out := append([]Line(nil), lines...)
 	sort.SliceStable(out, func(i, j int) bool { return out[i].at.Before(out[j].at) })
-	ordered := make(map[key]time.Time)
-	ended := make(map[key]time.Time)
+	startOrderedAt := make(map[key]time.Time)
+	runEndedAt := make(map[key]time.Time)
 	for i := range out {
 		k := key{out[i].task, out[i].run}
 		switch out[i].message {
-		case messageOrdered:
-			ordered[k] = out[i].at
-		case messageEnded:
-			ended[k] = out[i].at
+		case messageStartOrdered:
+			startOrderedAt[k] = out[i].at
+		case messageRunEnded:
+			runEndedAt[k] = out[i].at
 		}
 	}
 	for i := range out {
 		l := &out[i]
 		k := key{l.task, l.run}
-		start, started := ordered[k]
-		end, over := ended[k]
+		start, isOrdered := startOrderedAt[k]
+		end, hasEnded := runEndedAt[k]
 		l.rank = rankOf(l.message)
-		if l.rank != rankAgent || !started {
+		if l.rank != rankOther || !isOrdered {
 			continue
 		}
 		if l.at.Before(start) {
 			l.at = start
 		}
-		if over && l.at.After(end) {
+		if hasEnded && l.at.After(end) {
 			l.at = end
 		}
 	}
@@ -128,25 +129,26 @@
 	return out
 }
 
-// Ranks of lines of the same moment.
+// Ranks of lines with the same time.
 const (
-	rankHandedIn = iota
-	rankOrdered
-	rankAgent
-	rankEnded
+	rankSubmitted = iota
+	rankStartOrdered
+	rankOther
+	rankRunEnded
 	rankJobEnded
 )
 
+// rankOf returns the rank of lines with a message.
 func rankOf(message string) int {
 	switch message {
-	case messageHandedIn:
-		return rankHandedIn
-	case messageOrdered:
-		return rankOrdered
-	case messageEnded:
-		return rankEnded
+	case messageSubmitted:
+		return rankSubmitted
+	case messageStartOrdered:
+		return rankStartOrdered
+	case messageRunEnded:
+		return rankRunEnded
 	case messageJobEnded:
 		return rankJobEnded
 	}
-	return rankAgent
+	return rankOther
 }
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestStory(t *testing.T) {
+func TestLinesOfOneJobInCausalOrder(t *testing.T) {
 	f, err := os.Open("testdata/lines.log")
 	if err != nil {
 		t.Fatal(err)
