--- a/internal/explore/batch/batch_test.go
+++ b/internal/explore/batch/batch_test.go
@@ -7,7 +7,7 @@
 	"savoryhoist.example/savoryhoist/pkg/job"
 )
 
-// ciSeeds is the number of schedules that every test run explores.
+// ciSeeds is the number of schedules that every test run plays.
 const ciSeeds = 300
 
 func TestNoViolation(t *testing.T) {
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -11,171 +11,176 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Times of an entry.
+// Intervals and time-outs of an entry.
 const (
-	readEvery    = 150 * time.Millisecond
-	decideEvery  = 250 * time.Millisecond
-	confirmEvery = 500 * time.Millisecond
-	unasked      = 2 * job.LostAfter
-	// askAgain is how long the entry leaves a task alone that it has placed.
-	askAgain = 2 * time.Second
+	readInterval    = 150 * time.Millisecond
+	decideInterval  = 250 * time.Millisecond
+	confirmInterval = 500 * time.Millisecond
+	// unconfirmedLostAfter is how long a worker must be silent to count as lost when
+	// some other entries did not answer.
+	unconfirmedLostAfter = 2 * job.LostAfter
+	// placementRetryDelay is how long the entry waits for a placement to take effect
+	// before it places the task again.
+	placementRetryDelay = 2 * time.Second
 )
 
-// entry drives a fold, a relay and a taker.
+// entry runs a state machine, a heartbeat responder and a reclaimer.
 type entry struct {
-	w    *world
-	name string
-	host host
+	w       *world
+	name    string
+	process process
 
-	fold    job.StateMachine
-	relay   job.HeartbeatResponder
-	taker   job.Reclaimer
-	heard   map[string]time.Time
-	placed  map[record.TaskID]time.Time
-	waiting []record.Message
-	writer  string
-	seq     uint64
-	sending bool
+	state       job.StateMachine
+	responder   job.HeartbeatResponder
+	reclaimer   job.Reclaimer
+	lastContact map[string]time.Time
+	placedAt    map[record.TaskID]time.Time
+	queued      []record.Message
+	writer      string
+	seq         uint64
+	sending     bool
 }
 
 func newEntry(w *world, name string) *entry {
-	e := &entry{w: w, name: name, host: newHost(w)}
-	e.boot()
+	e := &entry{w: w, name: name, process: newProcess(w)}
+	e.start()
 	return e
 }
 
-func (e *entry) boot() {
-	e.fold, e.relay, e.taker = job.StateMachine{}, job.HeartbeatResponder{}, job.Reclaimer{}
-	e.relay.SetRules(e.w.rules.Relay)
-	e.taker.SetRules(e.w.rules.Taker)
-	e.heard = make(map[string]time.Time)
-	e.placed = make(map[record.TaskID]time.Time)
-	e.waiting, e.seq, e.sending = nil, 0, false
-	e.writer = fmt.Sprintf("%s@%d", e.name, e.host.generation)
-	e.host.after(e.w.upTo(readEvery), e.read)
-	e.host.after(e.w.upTo(decideEvery), e.decide)
-	e.host.after(e.w.upTo(confirmEvery), e.confirm)
+func (e *entry) start() {
+	e.state, e.responder, e.reclaimer = job.StateMachine{}, job.HeartbeatResponder{}, job.Reclaimer{}
+	e.responder.SetRules(e.w.rules.Relay)
+	e.reclaimer.SetRules(e.w.rules.Taker)
+	e.lastContact = make(map[string]time.Time)
+	e.placedAt = make(map[record.TaskID]time.Time)
+	e.queued, e.seq, e.sending = nil, 0, false
+	e.writer = fmt.Sprintf("%s@%d", e.name, e.process.generation)
+	e.process.after(e.w.randomUpTo(readInterval), e.read)
+	e.process.after(e.w.randomUpTo(decideInterval), e.decide)
+	e.process.after(e.w.randomUpTo(confirmInterval), e.confirmLost)
 }
 
-// restart replaces the entry. Half of the time the new one starts from a
-// snapshot of another entry's state.
+// restart replaces the entry. Half of the time the new one tries to start from a
+// snapshot of another entry's state, otherwise it reads the log from the start.
 func (e *entry) restart() {
-	e.host.generation++
-	e.boot()
-	other := e.w.anyEntry()
+	e.process.generation++
+	e.start()
+	other := e.w.randomEntry()
 	if other == e || e.w.random.IntN(2) == 0 {
 		return
 	}
-	parts, err := other.fold.Snapshot("s", 0)
+	parts, err := other.state.Snapshot("s", 0)
 	if err == nil {
-		err = e.fold.Restore(parts)
+		err = e.state.Restore(parts)
 	}
 	if err != nil {
-		e.w.history.violate("snapshot: %v", err)
+		e.w.history.addViolation("snapshot: %v", err)
 	}
 }
 
-// queue hands records to the writer.
+// queue queues records for the next append to the log.
 func (e *entry) queue(messages ...record.Message) {
-	e.waiting = append(e.waiting, messages...)
-	e.host.after(time.Millisecond, e.flush)
+	e.queued = append(e.queued, messages...)
+	e.process.after(time.Millisecond, e.flush)
 }
 
 func (e *entry) flush() {
-	if e.sending || len(e.waiting) == 0 {
+	if e.sending || len(e.queued) == 0 {
 		return
 	}
 	e.sending = true
-	batch := e.waiting
-	e.waiting = nil
+	batch := e.queued
+	e.queued = nil
 	first := e.seq + 1
 	e.seq += uint64(len(batch))
 	e.append(batch, first)
 }
 
-// append repeats a batch under the same sequence numbers until it is acknowledged.
+// append appends a batch, and repeats it under the same sequence numbers until the
+// log acknowledges it.
 func (e *entry) append(batch []record.Message, first uint64) {
-	settled := false
-	again := func() {
-		if !settled {
-			settled = true
+	done := false
+	retry := func() {
+		if !done {
+			done = true
 			e.append(batch, first)
 		}
 	}
-	e.host.after(2*callTimeout, again)
-	e.w.log.append(e.host.process(), e.writer, first, batch, func(ok bool) {
-		if settled || !ok {
+	e.process.after(2*callTimeout, retry)
+	e.w.log.append(e.process.generationRef(), e.writer, first, batch, func(ok bool) {
+		if done || !ok {
 			return
 		}
-		settled = true
+		done = true
 		e.sending = false
 		e.flush()
 	})
 }
 
-// read follows the log.
+// read reads the log's next batches, again and again.
 func (e *entry) read() {
-	began := e.host.clock()
-	settled := false
+	began := e.process.clock()
+	done := false
 	next := func() {
-		if !settled {
-			settled = true
-			e.host.after(readEvery, e.read)
+		if !done {
+			done = true
+			e.process.after(readInterval, e.read)
 		}
 	}
-	e.host.after(2*callTimeout, next)
-	e.w.log.read(e.host.process(), e.fold.NextOffset(), func(batches []batchOf, whole bool) {
-		if settled {
+	e.process.after(2*callTimeout, next)
+	e.w.log.read(e.process.generationRef(), e.state.NextOffset(), func(batches []loggedBatch, reachedEnd bool) {
+		if done {
 			return
 		}
 		e.apply(batches)
-		if whole {
-			e.relay.NoteRead(began)
+		if reachedEnd {
+			e.responder.NoteRead(began)
 		}
 		next()
 	})
 }
 
-func (e *entry) apply(batches []batchOf) {
+func (e *entry) apply(batches []loggedBatch) {
 	for _, b := range batches {
 		for _, r := range b.records {
-			_ = e.fold.Apply(r)
+			_ = e.state.Apply(r)
 		}
 		if n := len(b.records); n > 0 {
-			e.fold.Advance(b.records[n-1].Position().Offset() + 1)
+			e.state.Advance(b.records[n-1].Position().Offset() + 1)
 		}
 	}
 }
 
-func (e *entry) heartbeat(b *job.Heartbeat) lease.LogReading {
-	now := e.host.clock()
-	e.heard[b.Worker] = now
-	e.taker.NoteContact(b.Worker, now)
-	reading, records := e.relay.Respond(now, &e.fold, b)
+func (e *entry) handleHeartbeat(b *job.Heartbeat) lease.LogReading {
+	now := e.process.clock()
+	e.lastContact[b.Worker] = now
+	e.reclaimer.NoteContact(b.Worker, now)
+	reading, records := e.responder.Respond(now, &e.state, b)
 	if len(records) > 0 {
 		e.queue(records...)
 	}
 	return reading
 }
 
-// decide places pending tasks and takes over those of lost workers.
+// decide places pending tasks and reclaims those of lost workers.
 func (e *entry) decide() {
-	e.host.after(decideEvery, e.decide)
-	if e.relay.LastReadBegan().IsZero() {
+	e.process.after(decideInterval, e.decide)
+	if e.responder.LastReadBegan().IsZero() {
 		return
 	}
-	now := e.host.clock()
-	if out := e.taker.Decide(now, &e.fold); len(out) > 0 {
+	now := e.process.clock()
+	if out := e.reclaimer.Decide(now, &e.state); len(out) > 0 {
 		e.queue(out...)
 	}
 	e.place(now)
 }
 
-// place gives every pending task to a random live worker: some do not fit.
+// place assigns every pending task to a random live worker, now and then to one on
+// which it does not fit.
 func (e *entry) place(now time.Time) {
 	var live []string
 	for _, m := range e.w.workers {
-		if at, ok := e.heard[m.name]; ok && now.Sub(at) < job.LostAfter {
+		if at, ok := e.lastContact[m.name]; ok && now.Sub(at) < job.LostAfter {
 			live = append(live, m.name)
 		}
 	}
@@ -183,14 +188,14 @@
 		return
 	}
 	for _, id := range e.jobIDs() {
-		j, _ := e.fold.Job(id)
+		j, _ := e.state.Job(id)
 		e.placeJob(now, j, live)
 	}
 }
 
 func (e *entry) jobIDs() []string {
 	var ids []string
-	e.fold.Each(func(j *job.Job) bool {
+	e.state.Each(func(j *job.Job) bool {
 		if !j.Ended() {
 			ids = append(ids, j.Spec().ID)
 		}
@@ -205,14 +210,14 @@
 	for i := range j.Tasks() {
 		t := j.Task(i)
 		id := record.TaskID{Job: j.Spec().ID, Index: uint32(i)}
-		if t.Phase() != job.Pending || now.Sub(e.placed[id]) < askAgain {
+		if t.Phase() != job.Pending || now.Sub(e.placedAt[id]) < placementRetryDelay {
 			continue
 		}
 		name := live[e.w.random.IntN(len(live))]
-		if !j.Spec().Size.Fits(e.room(name)) && !e.w.chance(0.1) {
+		if !j.Spec().Size.Fits(e.freeResources(name)) && !e.w.chance(0.1) {
 			continue
 		}
-		e.placed[id] = now
+		e.placedAt[id] = now
 		placements = append(placements, record.Placement{Task: id, Worker: name, Attempt: t.Attempt()})
 	}
 	if len(placements) == 0 {
@@ -227,59 +232,62 @@
 	}
 }
 
-func (e *entry) room(name string) worker.Resources {
-	left := machineSize
-	e.fold.EachActive(name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
-	return left
+func (e *entry) freeResources(name string) worker.Resources {
+	free := machineSize
+	e.state.EachActive(name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
+	return free
 }
 
-// confirm asks the other entries about silent workers.
-func (e *entry) confirm() {
-	e.host.after(confirmEvery, e.confirm)
-	suspects := e.taker.Suspects(e.host.clock(), &e.fold)
+// confirmLost asks the other entries for their last contact with silent workers,
+// and confirms those as lost that none of them has heard from.
+func (e *entry) confirmLost() {
+	e.process.after(confirmInterval, e.confirmLost)
+	suspects := e.reclaimer.Suspects(e.process.clock(), &e.state)
 	if len(suspects) == 0 {
 		return
 	}
-	asked := e.host.clock()
-	self := e.host.process()
+	requestedAt := e.process.clock()
+	self := e.process.generationRef()
 	answers := 0
 	for _, other := range e.w.entries {
 		if other == e || e.w.isCut(e.name, other.name) {
 			continue
 		}
 		e.w.send(func() {
-			other.host.after(0, func() {
-				ago := other.heardAgo(suspects)
+			other.process.after(0, func() {
+				durations := other.sinceLastContact(suspects)
 				if e.w.isCut(other.name, e.name) {
 					return
 				}
 				e.w.reply(self, func() {
 					answers++
-					for name, d := range ago {
-						e.taker.NoteContact(name, asked.Add(-d))
+					for name, d := range durations {
+						e.reclaimer.NoteContact(name, requestedAt.Add(-d))
 					}
 				})
 			})
 		})
 	}
-	e.host.after(4*usualDelay, func() {
-		now := e.host.clock()
+	e.process.after(4*maxUsualDelay, func() {
+		now := e.process.clock()
 		for _, name := range suspects {
-			if e.taker.Lost(now, name, answers >= entries-1, unasked) {
-				e.taker.ConfirmLost(now, name)
+			if e.reclaimer.Lost(now, name, answers >= entries-1, unconfirmedLostAfter) {
+				e.reclaimer.ConfirmLost(now, name)
 			}
 		}
 	})
 }
 
-func (e *entry) heardAgo(names []string) map[string]time.Duration {
+// sinceLastContact returns how long ago the entry last heard from workers, without
+// those that it takes for silent. An entry that lags behind the log returns nothing.
+func (e *entry) sinceLastContact(names []string) map[string]time.Duration {
 	out := make(map[string]time.Duration)
-	now := e.host.clock()
-	if now.Sub(e.relay.LastReadBegan()) > job.LostAfter {
+	now := e.process.clock()
+	if now.Sub(e.responder.LastReadBegan()) > job.LostAfter {
 		return out
 	}
 	for _, name := range names {
-		if at, ok := e.heard[name]; ok && now.Sub(at) <= job.LostAfter {
+		if at, ok := e.lastContact[name]; ok && now.Sub(at) <= job.LostAfter {
 			out[name] = now.Sub(at)
 		}
 	}
--- a/internal/explore/batch/idle.go
+++ b/internal/explore/batch/idle.go
@@ -10,27 +10,30 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// ErrNotResumed means that a task did not go on after its worker had died.
-var ErrNotResumed = errors.New("the task did not go on")
+// ErrNotResumed means that a task was not resumed on another worker within idleLimit
+// after its worker was lost.
+var ErrNotResumed = errors.New("task not resumed on another worker")
 
-// Idle is what a takeover time costs.
+// Idle is what a takeover time costs: a long one keeps the tasks of a lost worker
+// idle, a short one stops tasks early in an outage.
 type Idle struct {
 	// Longest and Mean are how long a task is idle after its worker's VM and
-	// agent have died for good.
+	// agent are lost for good.
 	Longest, Mean time.Duration
-	// Outage is the shortest time for which a task ran on after the log, or
-	// its worker's entries, could be reached no more.
+	// Outage is the shortest time for which a task continued to run after the log,
+	// or its worker's entries, became unreachable.
 	Outage time.Duration
 }
 
-// Times of the measurement.
+// Durations of the measurement.
 const (
-	idleWarmUp = 20 * time.Second
-	idleLimit  = 10 * time.Minute
-	idleStep   = 100 * time.Millisecond
+	idleWarmUp     = 20 * time.Second
+	idleLimit      = 10 * time.Minute
+	idleResolution = 100 * time.Millisecond
 )
 
-// MeasureIdle drives one long task for each seed.
+// MeasureIdle simulates, for each seed, one long task whose worker is lost, and one
+// during an outage of the log.
 func MeasureIdle(takeoverAfter time.Duration, seeds uint64) (Idle, error) {
 	out := Idle{Outage: idleLimit}
 	var sum time.Duration
@@ -47,26 +50,27 @@
 	return out, nil
 }
 
-// longTask returns a world without faults in which one long task runs.
-func longTask(seed uint64, takeoverAfter time.Duration) *world {
+// newLongTaskWorld returns a world without faults in which one long task runs.
+func newLongTaskWorld(seed uint64, takeoverAfter time.Duration) *world {
 	w := newWorld(rand.New(rand.NewPCG(seed, 6)), Rules{})
-	w.calm = true
+	w.faultless = true
 	spec := record.Spec{
 		ID: "job", Team: "nursery", Class: "shaping", Tasks: 1, Size: worker.Resources{MilliCPU: 1000},
 		ExpectedMS: idleLimit.Milliseconds(), MaxFailures: 1, TakeoverMS: takeoverAfter.Milliseconds(),
 	}
-	w.schedule(time.Second, func() { w.anyEntry().queue(&record.Submit{Spec: spec}) })
-	w.runUntil(idleWarmUp + w.upTo(time.Second))
+	w.schedule(time.Second, func() { w.randomEntry().queue(&record.Submit{Spec: spec}) })
+	w.runUntil(idleWarmUp + w.randomUpTo(time.Second))
 	return w
 }
 
-// last brings all tasks up to the present and returns the newest stretch.
-func (w *world) last() stretch {
-	var newest stretch
+// newestProgress updates all tasks to the present and returns the newest span in
+// which one made progress.
+func (w *world) newestProgress() progressSpan {
+	var newest progressSpan
 	for _, m := range w.workers {
-		m.progress()
+		m.updateTasks()
 	}
-	for _, list := range w.history.stretches {
+	for _, list := range w.history.progress {
 		for _, s := range list {
 			if s.to > newest.to {
 				newest = s
@@ -76,28 +80,30 @@
 	return newest
 }
 
+// idleAfterDeath returns how long the task is idle after the loss of its worker.
 func idleAfterDeath(seed uint64, takeoverAfter time.Duration) (time.Duration, error) {
-	w := longTask(seed, takeoverAfter)
-	ran := w.last()
+	w := newLongTaskWorld(seed, takeoverAfter)
+	ran := w.newestProgress()
 	for i, m := range w.workers {
 		if m.name == ran.machine {
-			m.lose()
-			w.agents[i].host.generation++
+			m.replaceVM()
+			w.agents[i].process.generation++
 		}
 	}
-	for died := w.now; w.now < died+idleLimit; {
-		w.runUntil(w.now + idleStep)
-		if s := w.last(); s.machine != "" && s.machine != ran.machine {
-			return s.from - died, nil
+	for lostAt := w.now; w.now < lostAt+idleLimit; {
+		w.runUntil(w.now + idleResolution)
+		if s := w.newestProgress(); s.machine != "" && s.machine != ran.machine {
+			return s.from - lostAt, nil
 		}
 	}
 	return 0, errors.Wrapf(ErrNotResumed, "seed %d", seed)
 }
 
+// ranThroughOutage returns how long the task runs on during an outage of the log.
 func ranThroughOutage(seed uint64, takeoverAfter time.Duration) time.Duration {
-	w := longTask(seed, takeoverAfter)
-	began := w.now
-	w.log.down = w.now + idleLimit
+	w := newLongTaskWorld(seed, takeoverAfter)
+	outageBegan := w.now
+	w.log.downUntil = w.now + idleLimit
 	w.runUntil(w.now + 2*takeoverAfter)
-	return w.last().to - began
+	return w.newestProgress().to - outageBegan
 }
--- a/internal/explore/batch/log.go
+++ b/internal/explore/batch/log.go
@@ -6,40 +6,40 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// batchOf is one batch of the log and when it was written.
-type batchOf struct {
+// loggedBatch is one batch of the log; at is when it was appended.
+type loggedBatch struct {
 	records []record.Record
 	at      time.Duration
 }
 
-// logService is the platform's log in true time.
+// logService simulates the platform's log.
 type logService struct {
 	w       *world
-	batches []batchOf
-	// down, readOnly and slow are until when calls fail, appends fail, and
-	// appends take long.
-	down, readOnly, slow time.Duration
+	batches []loggedBatch
+	// Calls are not answered or fail until downUntil, appends fail until
+	// readOnlyUntil, and appends are slow until slowUntil.
+	downUntil, readOnlyUntil, slowUntil time.Duration
 }
 
-// slowAppend is the longest that an append to a slow log takes.
-const slowAppend = 4 * time.Second
+// maxSlowAppend bounds the duration of an append to a slow log.
+const maxSlowAppend = 4 * time.Second
 
-func (l *logService) isDown() bool { return l.w.now < l.down }
+func (l *logService) isDown() bool { return l.w.now < l.downUntil }
 
-// append writes a batch, or not; done is called on the writer's side unless the
-// reply is lost.
-func (l *logService) append(from process, writer string, first uint64, messages []record.Message, done func(ok bool)) {
+// append appends a batch unless the call is lost or fails, and calls done in the
+// writer's process unless the reply is lost.
+func (l *logService) append(from processGeneration, writer string, first uint64, messages []record.Message, done func(ok bool)) {
 	var wait time.Duration
-	if l.w.now < l.slow {
-		wait = l.w.upTo(slowAppend)
+	if l.w.now < l.slowUntil {
+		wait = l.w.randomUpTo(maxSlowAppend)
 	}
 	l.w.send(func() {
 		l.w.schedule(wait, func() { l.write(from, writer, first, messages, done) })
 	})
 }
 
-func (l *logService) write(from process, writer string, first uint64, messages []record.Message, done func(ok bool)) {
-	if l.isDown() || l.w.now < l.readOnly {
+func (l *logService) write(from processGeneration, writer string, first uint64, messages []record.Message, done func(ok bool)) {
+	if l.isDown() || l.w.now < l.readOnlyUntil {
 		l.w.reply(from, func() { done(false) })
 		return
 	}
@@ -48,26 +48,26 @@
 	for i, m := range messages {
 		records = append(records, record.New(record.NewPosition(offset, i), writer, first+uint64(i), m))
 	}
-	l.batches = append(l.batches, batchOf{records: records, at: l.w.now})
-	l.w.history.appended(l.w.now, records)
-	if l.w.chance(lostReply) {
+	l.batches = append(l.batches, loggedBatch{records: records, at: l.w.now})
+	l.w.history.applyAppended(l.w.now, records)
+	if l.w.chance(replyLossRate) {
 		return
 	}
 	l.w.reply(from, func() { done(true) })
 }
 
-// read returns what is there from offset from on; whole tells whether the page
-// reaches the log's end.
-func (l *logService) read(by process, from uint64, done func(batches []batchOf, whole bool)) {
+// read passes a page of the batches from an offset on to done; reachedEnd tells
+// whether the page reaches the log's end.
+func (l *logService) read(by processGeneration, from uint64, done func(batches []loggedBatch, reachedEnd bool)) {
 	l.w.send(func() {
-		if l.isDown() || l.w.chance(lostReply) {
+		if l.isDown() || l.w.chance(replyLossRate) {
 			return
 		}
 		page := l.batches[from:]
-		whole := true
-		if len(page) > 3 && l.w.chance(shortPage) {
-			page, whole = page[:2], false
+		reachedEnd := true
+		if len(page) > 3 && l.w.chance(shortPageRate) {
+			page, reachedEnd = page[:2], false
 		}
-		l.w.reply(by, func() { done(page, whole) })
+		l.w.reply(by, func() { done(page, reachedEnd) })
 	})
 }
--- a/internal/explore/batch/machine.go
+++ b/internal/explore/batch/machine.go
@@ -10,84 +10,88 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// machineSize is what each worker has.
+// machineSize is the resources of each worker.
 var machineSize = worker.Resources{MilliCPU: 5000, MemoryMB: 8192}
 
-// machine is the platform's worker: it runs tasks under leases in true time.
+// machine simulates a worker of the platform, which runs tasks until their leases end.
 type machine struct {
 	w           *world
 	name        string
 	rate        float64
-	born        time.Duration
+	startedAt   time.Duration
 	incarnation int
-	tasks       map[record.AssignmentID]*running
+	tasks       map[record.AssignmentID]*runningTask
 }
 
-type running struct {
-	order lease.StartOrder
-	state lease.State
-	until time.Duration
-	done  time.Duration
-	saved time.Duration
-	seen  time.Duration
+// runningTask is a task on a machine. leaseEnd is on the machine's clock; updatedAt
+// is the true time up to which workDone is computed.
+type runningTask struct {
+	order      lease.StartOrder
+	state      lease.State
+	leaseEnd   time.Duration
+	workDone   time.Duration
+	checkpoint time.Duration
+	updatedAt  time.Duration
 }
 
 func newMachine(w *world, name string) *machine {
-	return &machine{w: w, name: name, rate: w.drift(), tasks: make(map[record.AssignmentID]*running)}
+	return &machine{w: w, name: name, rate: w.drift(), tasks: make(map[record.AssignmentID]*runningTask)}
 }
 
 func (m *machine) index() int { return slices.Index(m.w.workers, m) }
 
-// uptime is the worker's own clock.
+// uptime returns the worker's own clock.
 func (m *machine) uptime() time.Duration {
-	return time.Duration(float64(m.w.now-m.born) * m.rate)
+	return time.Duration(float64(m.w.now-m.startedAt) * m.rate)
 }
 
 // trueTime returns the true moment at which the worker's clock shows uptime.
 func (m *machine) trueTime(uptime time.Duration) time.Duration {
-	return m.born + time.Duration(float64(uptime)/m.rate)
+	return m.startedAt + time.Duration(float64(uptime)/m.rate)
 }
 
-// lose replaces the machine's VM.
-func (m *machine) lose() {
-	m.progress()
+// replaceVM replaces the machine's VM by one without tasks.
+func (m *machine) replaceVM() {
+	m.updateTasks()
 	m.incarnation++
-	m.born = m.w.now
-	m.tasks = make(map[record.AssignmentID]*running)
+	m.startedAt = m.w.now
+	m.tasks = make(map[record.AssignmentID]*runningTask)
 }
 
-// progress brings all tasks up to the present.
-func (m *machine) progress() {
-	for hold, t := range m.tasks {
-		m.advance(hold, t)
+// updateTasks updates the progress of all tasks to the present.
+func (m *machine) updateTasks() {
+	for id, t := range m.tasks {
+		m.updateTask(id, t)
 	}
 }
 
-func (m *machine) advance(hold record.AssignmentID, t *running) {
-	from, now := t.seen, m.w.now
-	t.seen = now
+// updateTask adds the progress of a task since its last update, up to the end of its
+// lease or of its work.
+func (m *machine) updateTask(id record.AssignmentID, t *runningTask) {
+	from, now := t.updatedAt, m.w.now
+	t.updatedAt = now
 	if t.state != lease.Running {
 		return
 	}
-	end := min(now, m.trueTime(t.until))
+	end := min(now, m.trueTime(t.leaseEnd))
 	if end <= from {
 		return
 	}
-	need := time.Duration(t.order.Spec.ExpectedMS) * time.Millisecond
-	if t.done+end-from >= need {
-		end = from + need - t.done
+	total := time.Duration(t.order.Spec.ExpectedMS) * time.Millisecond
+	if t.workDone+end-from >= total {
+		end = from + total - t.workDone
 		t.state = lease.Succeeded
 	}
-	t.done += end - from
-	m.w.history.ran(hold, m, from, end)
+	t.workDone += end - from
+	m.w.history.noteProgress(id, m, from, end)
 }
 
 func (m *machine) list() *lease.Listing {
-	m.progress()
+	m.updateTasks()
 	l := &lease.Listing{Incarnation: strconv.Itoa(m.incarnation), Uptime: m.uptime(), Total: machineSize}
-	for hold, t := range m.tasks {
+	for id, t := range m.tasks {
 		l.Tasks = append(l.Tasks, lease.Task{
-			Hold: hold, Size: t.order.Spec.Size, State: t.state, Ref: ref(t.saved), Until: t.until,
+			Hold: id, Size: t.order.Spec.Size, State: t.state, Ref: checkpointRef(t.checkpoint), Until: t.leaseEnd,
 			Terms: lease.TermsFromMS(t.order.Spec.TakeoverMS),
 		})
 	}
@@ -95,19 +99,20 @@
 	return l
 }
 
-func ref(d time.Duration) string {
+func checkpointRef(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return d.String()
 }
 
-// do carries out an action that was meant for one incarnation.
-func (m *machine) do(a *lease.Action, incarnation int) {
+// execute carries out an action, unless the machine's VM was replaced since the
+// incarnation for which the action was meant.
+func (m *machine) execute(a *lease.Action, incarnation int) {
 	if incarnation != m.incarnation {
 		return
 	}
-	m.progress()
+	m.updateTasks()
 	t := m.tasks[a.Assignment()]
 	if a.Kind() == lease.ActionStart {
 		m.start(a)
@@ -118,11 +123,11 @@
 	}
 	switch a.Kind() {
 	case lease.ActionRenew:
-		t.until = max(t.until, a.LeaseEnd())
+		t.leaseEnd = max(t.leaseEnd, a.LeaseEnd())
 	case lease.ActionCheckpoint:
-		t.saved = t.done
+		t.checkpoint = t.workDone
 	case lease.ActionCheckpointStop:
-		t.saved = t.done
+		t.checkpoint = t.workDone
 		m.stop(t)
 	case lease.ActionStop:
 		m.stop(t)
@@ -133,20 +138,20 @@
 	}
 }
 
-func (m *machine) stop(t *running) {
+func (m *machine) stop(t *runningTask) {
 	if t.state == lease.Running {
 		t.state = lease.Stopped
 	}
 }
 
-// start runs a task unless it is listed or its lease has ended.
+// start starts a task unless it is already listed or its lease has ended.
 func (m *machine) start(a *lease.Action) {
 	if m.tasks[a.Assignment()] != nil || a.LeaseEnd() <= m.uptime() {
 		return
 	}
-	saved, _ := time.ParseDuration(a.Order().Checkpoint)
-	m.tasks[a.Assignment()] = &running{
-		order: *a.Order(), state: lease.Running, until: a.LeaseEnd(), done: saved, saved: saved, seen: m.w.now,
+	checkpoint, _ := time.ParseDuration(a.Order().Checkpoint)
+	m.tasks[a.Assignment()] = &runningTask{
+		order: *a.Order(), state: lease.Running, leaseEnd: a.LeaseEnd(), workDone: checkpoint, checkpoint: checkpoint, updatedAt: m.w.now,
 	}
 	var sum worker.Resources
 	for _, t := range m.tasks {
@@ -154,8 +159,8 @@
 			sum = sum.Plus(t.order.Spec.Size)
 		}
 	}
-	m.w.history.started(a.Assignment(), m)
+	m.w.history.noteStart(a.Assignment(), m)
 	if !sum.Fits(machineSize) {
-		m.w.history.violate("worker %s over-full with %s", m.name, a.Assignment())
+		m.w.history.addViolation("tasks on worker %s exceed its resources after the start of %s", m.name, a.Assignment())
 	}
 }
--- a/internal/explore/batch/mutant_test.go
+++ b/internal/explore/batch/mutant_test.go
@@ -8,10 +8,12 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// mutantSeeds bounds the schedules within which a broken rule must be found.
+// mutantSeeds is the number of schedules within which a wrong rule must cause a
+// violation.
 const mutantSeeds = 600
 
-// TestFindsBrokenRules replaces one rule of the protocol at a time.
+// TestFindsBrokenRules replaces one rule of the protocol at a time by a wrong one and
+// expects a violation.
 func TestFindsBrokenRules(t *testing.T) {
 	mutants := map[string]func(*Rules){
 		"takeover does not wait": func(r *Rules) {
@@ -25,15 +27,15 @@
 				return t.TakeoverAt(decided)
 			}
 		},
-		"renewal ignores the reading's age": func(r *Rules) {
+		"renewal ignores the age of the log reading": func(r *Rules) {
 			r.Holder.LeaseEnd = func(t lease.Terms, _, now time.Duration) time.Duration { return t.LeaseEnd(now) }
 		},
-		"entry claims a newer reading": func(r *Rules) {
+		"entry claims a newer log reading": func(r *Rules) {
 			r.Relay.HeartbeatRound = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
 				return h.NewestRoundBefore(began.Add(time.Hour))
 			}
 		},
-		"agent starts a settled task on an old reading": func(r *Rules) {
+		"agent starts a settled task on an old log reading": func(r *Rules) {
 			r.Holder.Outdated = func(uint64, uint64) bool { return false }
 		},
 		"agent forgets what its predecessor refused": func(r *Rules) {
--- a/internal/explore/batch/world.go
+++ b/internal/explore/batch/world.go
@@ -1,7 +1,7 @@
-// Package batch explores jobs under faults: it drives the deciding code of
-// entries and agents over seeded schedules of pauses, drifting clocks, log
-// outages, lost, late and doubled messages, partitions, deaths and cancellation
-// waves, and checks the history that results.
+// Package batch simulates batch jobs under faults. It runs the decision code of
+// entries and agents through seeded schedules of pauses, drifting clocks, log
+// outages, lost, late and duplicated messages, partitions, crashes and waves of
+// cancellations, and checks invariants on the history that results.
 package batch
 
 import (
@@ -15,63 +15,67 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Size and length of an exploration.
+// Size and duration of a schedule.
 const (
 	entries = 3
 	workers = 3
-	// faultsFor is how long faults go on, and settleFor the quiet time after.
-	faultsFor = 60 * time.Second
-	settleFor = 150 * time.Second
-	faultGap  = 4 * time.Second
-	// settleStep is how often the end of all jobs is looked for, and lastLook
-	// how long the world goes on after it.
-	settleStep = 5 * time.Second
-	lastLook   = 10 * time.Second
+	// faultDuration is how long faults are injected, and maxSettleTime how long jobs
+	// may take to end after the last fault.
+	faultDuration = 60 * time.Second
+	maxSettleTime = 150 * time.Second
+	// maxFaultGap is the longest time from one fault to the next.
+	maxFaultGap = 4 * time.Second
+	// settleCheckInterval is how often the end of all jobs is checked, and
+	// runAfterSettled how long the schedule continues after it.
+	settleCheckInterval = 5 * time.Second
+	runAfterSettled     = 10 * time.Second
 )
 
-// Probabilities of single faults while they go on.
+// Probabilities of faults of single messages and calls while faults are injected.
 const (
-	lostMessage   = 0.03
-	lostReply     = 0.04
-	doubleMessage = 0.02
-	lateMessage   = 0.04
-	shortPage     = 0.2
+	messageLossRate = 0.03
+	replyLossRate   = 0.04
+	duplicateRate   = 0.02
+	lateMessageRate = 0.04
+	shortPageRate   = 0.2
 )
 
-// Delays of messages.
+// Upper bounds of message delays.
 const (
-	usualDelay = 40 * time.Millisecond
-	lateDelay  = 6 * time.Second
+	maxUsualDelay = 40 * time.Millisecond
+	maxLateDelay  = 6 * time.Second
 )
 
-// Rules are the rules of the protocol that an exploration replaces.
+// Rules are the rules of the protocol that a test can replace. The zero value plays
+// those of the product.
 type Rules struct {
 	Holder lease.Rules
 	Taker  job.ReclaimerRules
 	Relay  job.HeartbeatResponderRules
 }
 
-// world is everything that takes part, in true time.
+// world is the simulated cluster with its queue of events. Its times are true time.
 type world struct {
-	random  *rand.Rand
-	rules   Rules
-	now     time.Duration
-	events  events
-	seq     int
-	calm    bool
-	log     logService
-	entries []*entry
-	agents  []*agent
-	workers []*machine
-	cut     map[[2]string]time.Duration
-	history history
+	random *rand.Rand
+	rules  Rules
+	now    time.Duration
+	events events
+	seq    int
+	// faultless is set when no faults are injected, or no more.
+	faultless bool
+	log       logService
+	entries   []*entry
+	agents    []*agent
+	workers   []*machine
+	cutUntil  map[[2]string]time.Duration
+	history   history
 }
 
-// Run explores one schedule and returns the first violation found.
+// Run plays the schedule of a seed and returns the first violation found.
 func Run(seed uint64) error { return run(seed, Rules{}) }
 
 func newWorld(random *rand.Rand, rules Rules) *world {
-	w := &world{random: random, rules: rules, cut: make(map[[2]string]time.Duration)}
+	w := &world{random: random, rules: rules, cutUntil: make(map[[2]string]time.Duration)}
 	w.log.w = w
 	w.history.init()
 	for i := range entries {
@@ -88,65 +92,68 @@
 
 func run(seed uint64, rules Rules) error {
 	w := newWorld(rand.New(rand.NewPCG(seed, 5)), rules)
-	w.submitJobs()
-	w.schedule(faultGap, w.fault)
-	w.runUntil(faultsFor)
-	w.heal()
-	for end := faultsFor + settleFor; w.now < end && !w.settled(); {
-		w.runUntil(w.now + settleStep)
-	}
-	w.runUntil(w.now + lastLook)
+	w.scheduleJobs()
+	w.schedule(maxFaultGap, w.injectFault)
+	w.runUntil(faultDuration)
+	w.endFaults()
+	for end := faultDuration + maxSettleTime; w.now < end && !w.settled(); {
+		w.runUntil(w.now + settleCheckInterval)
+	}
+	w.runUntil(w.now + runAfterSettled)
 	return w.check()
 }
 
-// settled reports whether every job has ended and no record waits for the log.
+// settled reports whether every job has ended and no entry has records to append.
 func (w *world) settled() bool {
 	for _, e := range w.entries {
-		if e.sending || len(e.waiting) > 0 {
+		if e.sending || len(e.queued) > 0 {
 			return false
 		}
 	}
-	return w.history.ended()
+	return w.history.allJobsEnded()
 }
 
-func (w *world) upTo(d time.Duration) time.Duration {
+// randomUpTo returns a random duration from 0 to d.
+func (w *world) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(d) + 1))
 }
 
-func (w *world) chance(p float64) bool { return !w.calm && w.random.Float64() < p }
+// chance reports true with probability p while faults are injected.
+func (w *world) chance(p float64) bool { return !w.faultless && w.random.Float64() < p }
 
-// delay returns how long a message is on its way.
+// delay returns the random delay of a message.
 func (w *world) delay() time.Duration {
-	if w.chance(lateMessage) {
-		return w.upTo(lateDelay)
+	if w.chance(lateMessageRate) {
+		return w.randomUpTo(maxLateDelay)
 	}
-	return time.Millisecond + w.upTo(usualDelay)
+	return time.Millisecond + w.randomUpTo(maxUsualDelay)
 }
 
-// send delivers a message once, twice or never.
+// send delivers a message, which is fn, once, twice or never.
 func (w *world) send(fn func()) {
-	if w.chance(lostMessage) {
+	if w.chance(messageLossRate) {
 		return
 	}
 	w.schedule(w.delay(), fn)
-	if w.chance(doubleMessage) {
+	if w.chance(duplicateRate) {
 		w.schedule(w.delay(), fn)
 	}
 }
 
-// reply delivers an answer to the process that asked, unless it has ended.
-func (w *world) reply(to process, fn func()) {
-	if w.chance(lostReply) {
+// reply delivers a response, which is fn, to the calling process unless it was
+// replaced, or the response is lost.
+func (w *world) reply(to processGeneration, fn func()) {
+	if w.chance(replyLossRate) {
 		return
 	}
 	to.after(w.delay(), fn)
 }
 
 // isCut reports whether messages from one name to another are dropped.
-func (w *world) isCut(from, to string) bool { return w.now < w.cut[[2]string{from, to}] }
+func (w *world) isCut(from, to string) bool { return w.now < w.cutUntil[[2]string{from, to}] }
 
-// submitJobs plans submissions and waves of cancellations.
-func (w *world) submitJobs() {
+// scheduleJobs schedules submissions and waves of cancellations.
+func (w *world) scheduleJobs() {
 	const jobs = 10
 	var ids []string
 	for i := range jobs {
@@ -158,29 +165,29 @@
 			ExpectedMS:  200 + w.random.Int64N(6000),
 			MaxFailures: 1000, TakeoverMS: 2000 + w.random.Int64N(9000),
 		}
-		w.schedule(w.upTo(faultsFor*2/3), func() { w.anyEntry().queue(&record.Submit{Spec: spec}) })
+		w.schedule(w.randomUpTo(faultDuration*2/3), func() { w.randomEntry().queue(&record.Submit{Spec: spec}) })
 	}
 	for range w.random.IntN(3) {
 		w.random.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
 		wave := append([]string(nil), ids[:1+w.random.IntN(4)]...)
-		w.schedule(w.upTo(faultsFor), func() { w.anyEntry().queue(&record.Cancel{Jobs: wave}) })
+		w.schedule(w.randomUpTo(faultDuration), func() { w.randomEntry().queue(&record.Cancel{Jobs: wave}) })
 	}
 }
 
-func (w *world) anyEntry() *entry { return w.entries[w.random.IntN(len(w.entries))] }
+func (w *world) randomEntry() *entry { return w.entries[w.random.IntN(len(w.entries))] }
 
-// fault brings about one fault and plans the next.
-func (w *world) fault() {
-	if w.calm {
+// injectFault injects one fault and schedules the next.
+func (w *world) injectFault() {
+	if w.faultless {
 		return
 	}
-	long := w.upTo(12 * time.Second)
-	e, a, m := w.anyEntry(), w.agents[w.random.IntN(workers)], w.workers[w.random.IntN(workers)]
+	duration := w.randomUpTo(12 * time.Second)
+	e, a, m := w.randomEntry(), w.agents[w.random.IntN(workers)], w.workers[w.random.IntN(workers)]
 	switch w.random.IntN(15) {
 	case 0:
-		e.host.pause(long)
+		e.process.pause(duration)
 	case 1:
-		a.host.pause(long)
+		a.process.pause(duration)
 	case 2, 3:
 		e.restart()
 	case 4, 5:
@@ -188,64 +195,65 @@
 	case 6:
 		w.replaceVM(m)
 	case 7:
-		w.log.down = w.now + long
+		w.log.downUntil = w.now + duration
 	case 8, 9:
-		w.partition(e.name, a.name, long)
+		w.partition(e.name, a.name, duration)
 	case 10:
 		for _, other := range w.entries {
-			w.partition(other.name, a.name, long)
+			w.partition(other.name, a.name, duration)
 		}
 	case 11:
-		w.partition(e.name, w.anyEntry().name, long)
+		w.partition(e.name, w.randomEntry().name, duration)
 	case 12:
-		w.log.slow = w.now + long
+		w.log.slowUntil = w.now + duration
 	case 13, 14:
 		w.flap(a)
 	}
-	w.schedule(w.upTo(faultGap), w.fault)
+	w.schedule(w.randomUpTo(maxFaultGap), w.injectFault)
 }
 
-// partition cuts one way or both.
+// partition drops the messages between two processes for d, in one direction, both
+// or none.
 func (w *world) partition(a, b string, d time.Duration) {
 	if w.random.IntN(3) > 0 {
-		w.cut[[2]string{a, b}] = w.now + d
+		w.cutUntil[[2]string{a, b}] = w.now + d
 	}
 	if w.random.IntN(3) > 0 {
-		w.cut[[2]string{b, a}] = w.now + d
+		w.cutUntil[[2]string{b, a}] = w.now + d
 	}
 }
 
-// flap cuts an agent off from all entries, lets it back for a moment, and cuts
-// it off again, while the log takes no appends.
+// flap partitions an agent from all entries, reconnects it briefly, and partitions it
+// again, while the log fails appends.
 func (w *world) flap(a *agent) {
-	first := job.LostAfter + w.upTo(3*time.Second)
-	second := first + time.Second + w.upTo(4*time.Second)
+	first := job.LostAfter + w.randomUpTo(3*time.Second)
+	second := first + time.Second + w.randomUpTo(4*time.Second)
 	cut := func(d time.Duration) {
 		for _, e := range w.entries {
-			w.cut[[2]string{e.name, a.name}] = w.now + d
-			w.cut[[2]string{a.name, e.name}] = w.now + d
+			w.cutUntil[[2]string{e.name, a.name}] = w.now + d
+			w.cutUntil[[2]string{a.name, e.name}] = w.now + d
 		}
 	}
 	cut(first)
-	w.log.readOnly = w.now + second - w.upTo(time.Second)
+	w.log.readOnlyUntil = w.now + second - w.randomUpTo(time.Second)
 	w.schedule(second, func() {
-		if !w.calm {
+		if !w.faultless {
 			cut(second)
 		}
 	})
 }
 
-// replaceVM loses a worker's tasks, and half of the time its agent too.
+// replaceVM replaces a worker's VM, and half of the time restarts its agent too.
 func (w *world) replaceVM(m *machine) {
-	m.lose()
+	m.replaceVM()
 	if w.random.IntN(2) == 0 {
 		w.agents[m.index()].restart()
 	}
 }
 
-// heal ends all faults.
-func (w *world) heal() {
-	w.calm = true
-	clear(w.cut)
-	w.log.down, w.log.slow, w.log.readOnly = 0, 0, 0
+// endFaults ends all faults and injects no more.
+func (w *world) endFaults() {
+	w.faultless = true
+	clear(w.cutUntil)
+	w.log.downUntil, w.log.slowUntil, w.log.readOnlyUntil = 0, 0, 0
 }
