--- a/internal/explore/log/log.go
+++ b/internal/explore/log/log.go
@@ -1,6 +1,6 @@
-// Package log explores the log's readers and the succession of bundles under
-// seeded faults: lost replies, copies that are written late, retention, readers
-// that are behind or restarted, racing operators, forged and replayed bundles.
+// Package log simulates the readers of the log and the chain of bundles. Its seeded
+// schedules have lost replies, copies that are written late, retention, readers that
+// lag or are restarted, concurrent operators, and forged and replayed bundles.
 package log
 
 import (
@@ -18,27 +18,30 @@
 
 // Errors returned by Run.
 var (
-	// ErrLost means that an acknowledged record was not seen by a reader.
-	ErrLost = errors.New("a record was lost")
-	// ErrDoubled means that a reader took a record in twice.
-	ErrDoubled = errors.New("a record took effect twice")
-	// ErrReverted means that a process went back to an older bundle.
-	ErrReverted = errors.New("a bundle was reverted")
-	// ErrDisagree means that two processes have different bundles of one version in force.
-	ErrDisagree = errors.New("two bundles of one version are in force")
+	// ErrLost means that a reader did not see an acknowledged record.
+	ErrLost = errors.New("record lost")
+	// ErrDoubled means that a reader applied a record twice.
+	ErrDoubled = errors.New("record applied twice")
+	// ErrReverted means that a process replaced the bundle in force by an older one, or
+	// by another one of the same version.
+	ErrReverted = errors.New("bundle reverted")
+	// ErrDisagree means that two processes that have read the whole log have different
+	// bundles in force.
+	ErrDisagree = errors.New("processes have different bundles in force")
 )
 
-// Sizes of a schedule.
+// Sizes of a schedule. The log keeps minRetention batches and up to retentionRange
+// more.
 const (
-	steps      = 120
-	writers    = 3
-	readers    = 4
-	followers  = 4
-	keepLeast  = 60
-	keepSpread = 100
+	steps          = 120
+	writers        = 3
+	readers        = 4
+	followers      = 4
+	minRetention   = 60
+	retentionRange = 100
 )
 
-// Run explores the schedule of one seed and returns the first violation.
+// Run plays the schedule of a seed and returns the first violation found.
 func Run(seed uint64) error {
 	w := newWorld(seed)
 	for range steps {
@@ -46,37 +49,41 @@
 			return errors.Wrapf(err, "seed %d, step %d", seed, w.now)
 		}
 	}
-	return errors.Wrapf(w.settle(), "seed %d", seed)
+	return errors.Wrapf(w.finish(), "seed %d", seed)
 }
 
-// world is one log with the processes around it.
+// world is one log with its writers, its readers and the followers of the readers.
 type world struct {
-	random    *rand.Rand
-	now       int
-	keep      int
-	first     uint64
-	batches   [][]byte
-	late      [][]byte
-	writers   []writer
-	readers   []*reader
-	followers []*follower
-	operators []string
-	carry     record.CarryForwardSchedule
-	// acknowledged are the jobs named in records whose writer knows them written.
+	random *rand.Rand
+	// now is the number of the current step, in each of which a second passes.
+	now int
+	// retention is the number of batches that the log keeps.
+	retention   int
+	firstOffset uint64
+	batches     [][]byte
+	// delayed are copies of batches that are appended later.
+	delayed       [][]byte
+	writers       []writer
+	readers       []*reader
+	followers     []*follower
+	operators     []string
+	carrySchedule record.CarryForwardSchedule
+	// acknowledged are the jobs named in records that were acknowledged to their
+	// writer, with the offsets of the records.
 	acknowledged map[string]uint64
 }
 
-// writer appends records of its own, one batch at a time.
+// writer appends records, one batch at a time. Each record names a job of its own.
 type writer struct {
-	name string
-	seq  uint64
-	jobs int
+	name    string
+	seq     uint64
+	lastJob int
 }
 
 func newWorld(seed uint64) *world {
 	random := rand.New(rand.NewPCG(seed, seed)) //nolint:gosec // a reproducible schedule
 	w := &world{
-		random: random, keep: keepLeast + random.IntN(keepSpread), acknowledged: make(map[string]uint64),
+		random: random, retention: minRetention + random.IntN(retentionRange), acknowledged: make(map[string]uint64),
 		operators: []string{"alice"},
 	}
 	for i := range writers {
@@ -93,36 +100,37 @@
 
 func (w *world) time() time.Time { return time.Unix(int64(w.now), 0) }
 
-// append adds a batch and drops what the retention ends.
+// append appends a batch, drops those beyond the retention, and returns the offset.
 func (w *world) append(data []byte) uint64 {
-	offset := w.first + uint64(len(w.batches))
+	offset := w.firstOffset + uint64(len(w.batches))
 	w.batches = append(w.batches, data)
-	if drop := len(w.batches) - w.keep; drop > 0 {
+	if drop := len(w.batches) - w.retention; drop > 0 {
 		w.batches = w.batches[drop:]
-		w.first += uint64(drop)
+		w.firstOffset += uint64(drop)
 	}
-	w.carry.Observe(w.time(), w.first, w.next())
+	w.carrySchedule.Observe(w.time(), w.firstOffset, w.endOffset())
 	return offset
 }
 
-func (w *world) next() uint64 { return w.first + uint64(len(w.batches)) }
+func (w *world) endOffset() uint64 { return w.firstOffset + uint64(len(w.batches)) }
 
-// step lets processes do something, and readers read on.
+// step performs one random action, lets some readers read, and carries the bundle
+// forward if that is due.
 func (w *world) step() error {
 	w.now++
 	switch w.random.IntN(8) {
 	case 0, 1, 2:
-		w.write()
+		w.appendRecords()
 	case 3:
-		w.publish()
+		w.publishBundles()
 	case 4:
-		w.forge()
+		w.appendInvalidBundle()
 	case 5:
-		w.restart()
+		w.restartProcess()
 	case 6:
-		w.landLate()
+		w.writeDelayed()
 	default:
-		if err := w.follow(); err != nil {
+		if err := w.updateFollower(); err != nil {
 			return err
 		}
 	}
@@ -131,17 +139,17 @@
 			return err
 		}
 	}
-	return w.carryForward()
+	return w.carryForwardIfDue()
 }
 
-// write appends one writer's next batch, with the faults that an append has.
-func (w *world) write() {
+// appendRecords appends one writer's next batch, sometimes with a second copy.
+func (w *world) appendRecords() {
 	p := &w.writers[w.random.IntN(writers)]
 	var messages []record.Message
 	var names []string
 	for range 1 + w.random.IntN(3) {
-		p.jobs++
-		names = append(names, fmt.Sprintf("%s/%d", p.name, p.jobs))
+		p.lastJob++
+		names = append(names, fmt.Sprintf("%s/%d", p.name, p.lastJob))
 		messages = append(messages, &record.Forget{Jobs: names[len(names)-1:]})
 	}
 	data, err := record.Encode(p.name, p.seq+1, messages)
@@ -151,9 +159,9 @@
 	p.seq += uint64(len(messages))
 	switch w.random.IntN(6) {
 	case 0: // the reply was lost, the batch was found by reading
-	case 1: // the first call hangs in the network and is written later
-		w.late = append(w.late, data)
-	case 2: // the log was wrongly taken to lack the batch
+	case 1: // the first call is delayed by the network, and takes effect after the retry
+		w.delayed = append(w.delayed, data)
+	case 2: // the writer wrongly assumed that the log lacked the batch, and retried
 		w.append(data)
 	}
 	offset := w.append(data)
@@ -162,16 +170,16 @@
 	}
 }
 
-// landLate writes a copy that a network has held up.
-func (w *world) landLate() {
-	if len(w.late) > 0 {
-		w.append(w.late[0])
-		w.late = w.late[1:]
+// writeDelayed appends the oldest delayed copy.
+func (w *world) writeDelayed() {
+	if len(w.delayed) > 0 {
+		w.append(w.delayed[0])
+		w.delayed = w.delayed[1:]
 	}
 }
 
-// restart replaces a process by one that knows nothing.
-func (w *world) restart() {
+// restartProcess replaces a reader or a follower by one without state.
+func (w *world) restartProcess() {
 	if w.random.IntN(2) == 0 {
 		w.readers[w.random.IntN(readers)] = newReader()
 		return
@@ -179,32 +187,33 @@
 	w.followers[w.random.IntN(followers)] = newFollower()
 }
 
-// settle lets everything be read and compares the ends.
-func (w *world) settle() error {
-	for len(w.late) > 0 {
-		w.landLate()
+// finish appends what is delayed, lets every reader and follower catch up, and
+// compares their bundles.
+func (w *world) finish() error {
+	for len(w.delayed) > 0 {
+		w.writeDelayed()
 	}
 	if err := w.readAll(); err != nil {
 		return err
 	}
-	if err := w.carryBy(w.attached()); err != nil {
+	if err := w.carryForwardBy(w.newestInSync()); err != nil {
 		return err
 	}
 	if err := w.readAll(); err != nil {
 		return err
 	}
 	for i := range w.followers {
-		if err := w.adopt(w.followers[i], w.readers[0]); err != nil {
+		if err := w.adoptProof(w.followers[i], w.readers[0]); err != nil {
 			return err
 		}
 	}
-	return w.agree()
+	return w.checkBundlesAgree()
 }
 
-// readAll lets every reader reach the log's end.
+// readAll lets every reader read to the log's end.
 func (w *world) readAll() error {
 	for _, r := range w.readers {
-		for r.next < w.next() {
+		for r.nextOffset < w.endOffset() {
 			if err := w.read(r); err != nil {
 				return err
 			}
@@ -213,8 +222,8 @@
 	return nil
 }
 
-// agree checks that every process has the same bundle in force.
-func (w *world) agree() error {
+// checkBundlesAgree checks that every process has the same bundle in force.
+func (w *world) checkBundlesAgree() error {
 	want := w.readers[0].chain.Digest()
 	for i, r := range w.readers {
 		if got := r.chain.Digest(); got != want {
@@ -229,17 +238,18 @@
 	return nil
 }
 
-// key returns an operator's key; the same for the same name.
-func key(name string) ed25519.PrivateKey {
+// operatorKey returns an operator's key, which follows from the name.
+func operatorKey(name string) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
 	return ed25519.NewKeyFromSeed(seed)
 }
 
+// operators returns operators with these names, each of whom may sign alone.
 func operators(names ...string) bundle.Operators {
 	o := bundle.Operators{Threshold: 1}
 	for _, n := range names {
-		public, ok := key(n).Public().(ed25519.PublicKey)
+		public, ok := operatorKey(n).Public().(ed25519.PublicKey)
 		if ok {
 			o.Keys = append(o.Keys, bundle.Key{Name: n, PublicKey: base64.StdEncoding.EncodeToString(public)})
 		}
--- a/internal/explore/log/reader.go
+++ b/internal/explore/log/reader.go
@@ -7,13 +7,14 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// maxRead is the most batches of one read.
-const maxRead = 7
+// maxBatchesPerRead bounds the batches of one read.
+const maxBatchesPerRead = 7
 
-// reader follows the log as an entry does.
+// reader reads the log as an entry does.
 type reader struct {
-	next  uint64
-	dedup record.Deduper
+	nextOffset uint64
+	dedup      record.Deduper
+	// seen are the jobs named in applied records, with the offsets of the records.
 	seen  map[string]uint64
 	chain *bundle.Chain
 }
@@ -22,38 +23,38 @@
 	return &reader{seen: make(map[string]uint64), chain: bundle.NewChain(operators("alice"))}
 }
 
-// read delivers the next batches to a reader. A reader whose offset has expired
-// goes on at the first one kept: what it lacks is in a snapshot, which this
-// exploration does not model.
+// read passes the next batches to a reader. A reader whose next offset the retention
+// has dropped continues at the first one kept: what it lacks is in a snapshot, which
+// this simulation does not model.
 func (w *world) read(r *reader) error {
-	if r.next < w.first {
-		r.next = w.first
-		r.chain.NoteGap(w.first)
+	if r.nextOffset < w.firstOffset {
+		r.nextOffset = w.firstOffset
+		r.chain.NoteGap(w.firstOffset)
 		r.dedup = record.Deduper{}
 		r.seen = make(map[string]uint64)
 	}
-	from := r.next
-	for range 1 + w.random.IntN(maxRead) {
-		if r.next == w.next() {
+	from := r.nextOffset
+	for range 1 + w.random.IntN(maxBatchesPerRead) {
+		if r.nextOffset == w.endOffset() {
 			break
 		}
-		records, skipped, err := record.Decode(r.next, w.batches[r.next-w.first])
+		records, skipped, err := record.Decode(r.nextOffset, w.batches[r.nextOffset-w.firstOffset])
 		if err != nil || skipped > 0 {
-			return errors.Wrapf(ErrLost, "offset %d: skipped %d: %v", r.next, skipped, err)
+			return errors.Wrapf(ErrLost, "offset %d: skipped %d: %v", r.nextOffset, skipped, err)
 		}
 		for _, rec := range records {
-			if err := w.take(r, rec); err != nil {
+			if err := w.applyRecord(r, rec); err != nil {
 				return err
 			}
 		}
-		r.next++
-		r.chain.NoteReadTo(r.next)
+		r.nextOffset++
+		r.chain.NoteReadTo(r.nextOffset)
 	}
-	return w.complete(r, from)
+	return w.checkAcknowledged(r, from)
 }
 
-// take lets one record take effect.
-func (w *world) take(r *reader, rec record.Record) error {
+// applyRecord applies one record at a reader.
+func (w *world) applyRecord(r *reader, rec record.Record) error {
 	switch m := rec.Message().(type) {
 	case *record.Forget:
 		if !r.dedup.Accept(rec) {
@@ -64,15 +65,16 @@
 		}
 		r.seen[m.Jobs[0]] = rec.Position().Offset()
 	case *record.Bundle:
-		return w.takeBundle(r.chain, m, rec.Position().Offset())
+		return w.applyBundle(r.chain, m, rec.Position().Offset())
 	}
 	return nil
 }
 
-// complete checks that every acknowledged record of the offsets read was seen.
-func (w *world) complete(r *reader, from uint64) error {
+// checkAcknowledged checks that the reader has seen every acknowledged record from
+// offset from up to its next offset.
+func (w *world) checkAcknowledged(r *reader, from uint64) error {
 	for name, offset := range w.acknowledged {
-		if offset < from || offset >= r.next {
+		if offset < from || offset >= r.nextOffset {
 			continue
 		}
 		if _, ok := r.seen[name]; !ok {
@@ -82,46 +84,48 @@
 	return nil
 }
 
-func (w *world) takeBundle(c *bundle.Chain, m *record.Bundle, offset uint64) error {
+// applyBundle passes a bundle of the log to a chain.
+func (w *world) applyBundle(c *bundle.Chain, m *record.Bundle, offset uint64) error {
 	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
 		return errors.Wrap(ErrLost, err.Error())
 	}
-	err = moveChain(c, func() error {
+	err = updateChain(c, func() error {
 		if m.CarriedForward {
 			return c.Adopt(proof)
 		}
 		return c.OfferAt(offset, proof.Signed())
 	})
 	if m.CarriedForward && bundle.Digest(proof.Signed().Content()) == c.Digest() {
-		w.carry.NoteCopy(w.time(), w.time(), m.EndOffset)
+		w.carrySchedule.NoteCopy(w.time(), w.time(), m.EndOffset)
 	}
 	return err
 }
 
-// moveChain lets a chain take in a bundle and checks that it does not go back.
-func moveChain(c *bundle.Chain, offer func() error) error {
+// updateChain calls update, which offers a bundle to a chain, and checks that the
+// bundle in force was not reverted.
+func updateChain(c *bundle.Chain, update func() error) error {
 	version, digest := c.Version(), c.Digest()
-	_ = offer() // a refusal is an outcome of its own
+	_ = update() // the chain may refuse the bundle
 	if c.Version() < version || (c.Version() == version && c.Digest() != digest) {
 		return errors.Wrapf(ErrReverted, "from version %d to %d", version, c.Version())
 	}
 	return nil
 }
 
-// follower learns bundles from readers, as an agent does.
+// follower takes bundles over from readers, as an agent does from entries.
 type follower struct{ chain *bundle.Chain }
 
 func newFollower() *follower { return &follower{chain: bundle.NewChain(operators("alice"))} }
 
-func (w *world) follow() error {
-	return w.adopt(w.followers[w.random.IntN(followers)], w.readers[w.random.IntN(readers)])
+func (w *world) updateFollower() error {
+	return w.adoptProof(w.followers[w.random.IntN(followers)], w.readers[w.random.IntN(readers)])
 }
 
-func (w *world) adopt(f *follower, r *reader) error {
+func (w *world) adoptProof(f *follower, r *reader) error {
 	proof := r.chain.Proof()
 	if proof == nil {
 		return nil
 	}
-	return moveChain(f.chain, func() error { return f.chain.Adopt(proof) })
+	return updateChain(f.chain, func() error { return f.chain.Adopt(proof) })
 }
