--- a/internal/explore/request/agent.go
+++ b/internal/explore/request/agent.go
@@ -6,7 +6,8 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// attempt is one attempt on its way.
+// attempt is the message with which an entry sends an attempt to an agent. Its
+// incarnation and mark are the newest that the entry knows of the agent.
 type attempt struct {
 	id          endpoint.AttemptID
 	caller      *caller
@@ -15,157 +16,163 @@
 	deadline    time.Time
 }
 
-// agent is the agent of one endpoint.
+// agent simulates the agent of one endpoint and the runner behind it.
 type agent struct {
 	w           *world
 	name        string
 	incarnation uint64
-	book        *endpoint.DedupTable
+	dedup       *endpoint.DedupTable
 	gate        *endpoint.Gate
-	flights     map[endpoint.AttemptID]*flight
-	tickets     map[*endpoint.Ticket]*flight
-	working     int
+	pending     map[endpoint.AttemptID]*pendingAttempt
+	tickets     map[*endpoint.Ticket]*pendingAttempt
+	running     int
 }
 
-// flight is an attempt that waits or runs, and who is to be told its end.
-type flight struct {
+// pendingAttempt is an attempt that waits or runs, with the functions that send a
+// reply to it.
+type pendingAttempt struct {
 	attempt attempt
 	ticket  *endpoint.Ticket
-	askers  []func(reply)
+	replyTo []func(reply)
 }
 
-// reply is what an agent answers to an attempt.
+// reply is an agent's reply to an attempt.
 type reply struct {
-	id     endpoint.AttemptID
-	answer string
-	fate   endpoint.AttemptState
+	id    endpoint.AttemptID
+	body  string
+	state endpoint.AttemptState
 }
 
-// restart loses all that the agent knew; what runs on the runner goes on.
+// restart drops the agent's state. What it ran continues on the runner.
 func (a *agent) restart() {
 	a.incarnation++
-	a.book = &endpoint.DedupTable{}
-	a.book.SetMaxEnded(bookSize)
+	a.dedup = &endpoint.DedupTable{}
+	a.dedup.SetMaxEnded(maxEndedAttempts)
 	a.gate = &endpoint.Gate{}
 	a.gate.SetLimits(slots, connections)
-	a.flights = make(map[endpoint.AttemptID]*flight)
-	a.tickets = make(map[*endpoint.Ticket]*flight)
-	a.working = 0
+	a.pending = make(map[endpoint.AttemptID]*pendingAttempt)
+	a.tickets = make(map[*endpoint.Ticket]*pendingAttempt)
+	a.running = 0
 }
 
-// beat tells the entries the newest mark.
-func (a *agent) beat() {
-	mark, incarnation := a.book.NextMark(), a.incarnation
+// sendHeartbeats sends the newest mark of the dedup table to the entries.
+func (a *agent) sendHeartbeats() {
+	mark, incarnation := a.dedup.NextMark(), a.incarnation
 	for _, e := range a.w.entries {
-		a.w.send(func() { e.hear(a, incarnation, mark) })
+		a.w.send(func() { e.noteMark(a, incarnation, mark) })
 	}
 	if a.w.now.Sub(a.w.start) < horizon {
-		a.w.at(beatEvery, a.beat)
+		a.w.schedule(heartbeatInterval, a.sendHeartbeats)
 	}
 }
 
-// receive takes in an attempt; to gets the reply.
-func (a *agent) receive(in attempt, to func(reply)) {
-	if !a.w.rules.current(in.incarnation, a.incarnation) {
-		to(reply{id: in.id, fate: endpoint.AttemptUnknown})
+// handleAttempt handles an attempt; replyTo sends the reply.
+func (a *agent) handleAttempt(in attempt, replyTo func(reply)) {
+	if !a.w.rules.sameIncarnation(in.incarnation, a.incarnation) {
+		replyTo(reply{id: in.id, state: endpoint.AttemptUnknown})
 		return
 	}
-	switch a.w.rules.admit(a.book, a.w.now, in.id, in.mark) {
+	switch a.w.rules.admit(a.dedup, a.w.now, in.id, in.mark) {
 	case endpoint.Admit:
-		a.admit(in, to)
+		a.queueOrRun(in, replyTo)
 	case endpoint.Attach:
-		f := a.flights[in.id]
-		f.askers = append(f.askers, to)
+		p := a.pending[in.id]
+		p.replyTo = append(p.replyTo, replyTo)
 	case endpoint.Replay:
-		to(reply{id: in.id, fate: endpoint.AttemptDone, answer: string(a.book.Response(in.id).Body())})
+		replyTo(reply{id: in.id, state: endpoint.AttemptDone, body: string(a.dedup.Response(in.id).Body())})
 	case endpoint.RefuseNotRun:
-		to(reply{id: in.id, fate: endpoint.AttemptNotRun})
+		replyTo(reply{id: in.id, state: endpoint.AttemptNotRun})
 	case endpoint.RefuseRun:
-		to(reply{id: in.id, fate: endpoint.AttemptDone})
+		replyTo(reply{id: in.id, state: endpoint.AttemptDone})
 	case endpoint.RefuseUnknown:
-		to(reply{id: in.id, fate: endpoint.AttemptUnknown})
+		replyTo(reply{id: in.id, state: endpoint.AttemptUnknown})
 	}
 }
 
-func (a *agent) admit(in attempt, to func(reply)) {
-	f := &flight{attempt: in, askers: []func(reply){to}}
-	f.ticket = endpoint.NewTicket("class", "team", a.w.random.IntN(3), in.deadline, mostWork/4)
-	f.ticket.SetLong(a.w.random.IntN(4) == 0)
-	a.flights[in.id] = f
-	a.tickets[f.ticket] = f
-	verdict, victim, _ := a.gate.Offer(a.w.now, f.ticket)
+// queueOrRun offers an attempt to the gate, which starts it, queues it or sheds it.
+func (a *agent) queueOrRun(in attempt, replyTo func(reply)) {
+	p := &pendingAttempt{attempt: in, replyTo: []func(reply){replyTo}}
+	p.ticket = endpoint.NewTicket("class", "team", a.w.random.IntN(3), in.deadline, maxWork/4)
+	p.ticket.SetLong(a.w.random.IntN(4) == 0)
+	a.pending[in.id] = p
+	a.tickets[p.ticket] = p
+	verdict, victim, _ := a.gate.Offer(a.w.now, p.ticket)
 	if victim != nil {
-		a.end(a.tickets[victim], endpoint.AttemptNotRun, "")
+		a.finish(a.tickets[victim], endpoint.AttemptNotRun, "")
 	}
 	switch verdict {
 	case endpoint.Start:
-		a.work(f)
+		a.run(p)
 	case endpoint.Shed:
-		a.end(f, endpoint.AttemptNotRun, "")
+		a.finish(p, endpoint.AttemptNotRun, "")
 	}
 }
 
-// work runs the attempt on the runner.
-func (a *agent) work(f *flight) {
-	f.attempt.caller.runs++
-	a.working++
-	if a.working > slots {
+// run runs an attempt on the runner. An agent that has restarted meanwhile does not
+// learn how it ended.
+func (a *agent) run(p *pendingAttempt) {
+	p.attempt.caller.runs++
+	a.running++
+	if a.running > slots {
 		a.w.fail(ErrOverfull)
 	}
 	incarnation := a.incarnation
-	a.w.at(a.w.span(0, mostWork), func() {
+	a.w.schedule(a.w.randomBetween(0, maxWork), func() {
 		if a.incarnation != incarnation {
 			return
 		}
-		a.working--
-		a.gate.Release(a.w.now, f.ticket)
-		if a.w.random.Float64() < a.w.chaos/4 {
-			a.end(f, endpoint.AttemptUnknown, "")
+		a.running--
+		a.gate.Release(a.w.now, p.ticket)
+		if a.w.random.Float64() < a.w.disorderRate/4 {
+			a.finish(p, endpoint.AttemptUnknown, "")
 		} else {
-			a.end(f, endpoint.AttemptDone, f.attempt.id.Request)
+			a.finish(p, endpoint.AttemptDone, p.attempt.id.Request)
 		}
-		a.next()
+		a.startNext()
 	})
 }
 
-func (a *agent) next() {
+// startNext starts the attempts that the gate lets go, and finishes those it sheds.
+func (a *agent) startNext() {
 	for {
 		t, verdict := a.gate.Next(a.w.now)
 		if t == nil {
 			return
 		}
 		if verdict == endpoint.Start {
-			a.work(a.tickets[t])
+			a.run(a.tickets[t])
 		} else {
-			a.end(a.tickets[t], endpoint.AttemptNotRun, "")
+			a.finish(a.tickets[t], endpoint.AttemptNotRun, "")
 		}
 	}
 }
 
-// end notes the fate of an attempt and tells its askers.
-func (a *agent) end(f *flight, fate endpoint.AttemptState, body string) {
-	var kept *endpoint.Response
-	if fate == endpoint.AttemptDone && a.w.random.IntN(8) > 0 {
-		kept = endpoint.NewResponse(0, nil, []byte(body))
+// finish notes the state in which an attempt ended, and replies to it. Of some
+// attempts the dedup table keeps no response.
+func (a *agent) finish(p *pendingAttempt, state endpoint.AttemptState, body string) {
+	var response *endpoint.Response
+	if state == endpoint.AttemptDone && a.w.random.IntN(8) > 0 {
+		response = endpoint.NewResponse(0, nil, []byte(body))
 	}
-	id := f.attempt.id
-	a.book.Finish(a.w.now, id, fate, kept)
-	delete(a.flights, id)
-	delete(a.tickets, f.ticket)
-	for _, to := range f.askers {
-		to(reply{id: id, fate: fate, answer: body})
+	id := p.attempt.id
+	a.dedup.Finish(a.w.now, id, state, response)
+	delete(a.pending, id)
+	delete(a.tickets, p.ticket)
+	for _, send := range p.replyTo {
+		send(reply{id: id, state: state, body: body})
 	}
 }
 
-// ask answers a question about an attempt; cancel ends one that waits.
-func (a *agent) ask(id endpoint.AttemptID, incarnation, mark uint64, cancel bool) endpoint.AttemptState {
-	if !a.w.rules.current(incarnation, a.incarnation) {
+// handleQuery returns the state of an attempt, and fences one that is unknown. If
+// cancel is set it also cancels one that waits.
+func (a *agent) handleQuery(id endpoint.AttemptID, incarnation, mark uint64, cancel bool) endpoint.AttemptState {
+	if !a.w.rules.sameIncarnation(incarnation, a.incarnation) {
 		return endpoint.AttemptUnknown
 	}
-	fate := a.w.rules.ask(a.book, a.w.now, id, mark)
-	if f := a.flights[id]; f != nil && cancel && a.gate.Cancel(a.w.now, f.ticket) {
-		a.end(f, endpoint.AttemptNotRun, "")
+	state := a.w.rules.query(a.dedup, a.w.now, id, mark)
+	if p := a.pending[id]; p != nil && cancel && a.gate.Cancel(a.w.now, p.ticket) {
+		a.finish(p, endpoint.AttemptNotRun, "")
 		return endpoint.AttemptNotRun
 	}
-	return fate
+	return state
 }
--- a/internal/explore/request/entry.go
+++ b/internal/explore/request/entry.go
@@ -8,208 +8,214 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// known is what an entry has heard of an agent.
-type known struct{ incarnation, mark uint64 }
+// agentMark is the newest mark of an agent's dedup table that an entry knows.
+type agentMark struct{ incarnation, mark uint64 }
 
-// abandonPart is the part of the slow attempts of repeatable requests that are
-// given up for another one.
-const abandonPart = 0.3
+// abandonRate is the probability that an entry abandons a slow attempt of a
+// repeatable request for another one.
+const abandonRate = 0.3
 
-// entry is an entry; a restart loses its requests.
+// entry simulates an entry. A restart drops its requests; life counts restarts.
 type entry struct {
 	w     *world
 	life  int
-	marks map[*agent]known
-	// waiting holds the exchanges that wait for a reply, for crossed answers.
-	waiting []*exchange
-}
-
-// journey is one request at an entry.
-type journey struct {
-	e        *entry
-	c        *caller
-	course   endpoint.AttemptTracker
+	marks map[*agent]agentMark
+	// openExchanges are the exchanges that wait for a reply. A misdelivered reply goes
+	// to one of them.
+	openExchanges []*exchange
+}
+
+// requestRun follows one request at an entry through its attempts; agent and attempt
+// are those of the current one.
+type requestRun struct {
+	entry    *entry
+	caller   *caller
+	tracker  endpoint.AttemptTracker
 	deadline time.Time
 	agent    *agent
 	attempt  attempt
 }
 
-// exchange is one way to the agent and back.
+// exchange is one call from an entry to an agent.
 type exchange struct {
-	j    *journey
-	life int
-	over bool
+	request   *requestRun
+	entryLife int
+	closed    bool
 }
 
 func (e *entry) restart() {
 	e.life++
-	e.waiting = nil
-	e.marks = make(map[*agent]known)
+	e.openExchanges = nil
+	e.marks = make(map[*agent]agentMark)
 }
 
-func (e *entry) hear(a *agent, incarnation, mark uint64) {
+func (e *entry) noteMark(a *agent, incarnation, mark uint64) {
 	k := e.marks[a]
 	if incarnation > k.incarnation || incarnation == k.incarnation && mark > k.mark {
-		e.marks[a] = known{incarnation, mark}
+		e.marks[a] = agentMark{incarnation, mark}
 	}
 }
 
-// begin takes in a caller's request.
-func (e *entry) begin(c *caller) {
-	c.entry, c.life = e, e.life
-	j := &journey{e: e, c: c, course: endpoint.NewAttemptTracker(c.repeat), deadline: e.w.now.Add(deadline)}
-	j.try()
+// handleRequest begins to serve a caller's request.
+func (e *entry) handleRequest(c *caller) {
+	c.entry, c.entryLife = e, e.life
+	r := &requestRun{entry: e, caller: c, tracker: endpoint.NewAttemptTracker(c.mayRepeat), deadline: e.w.now.Add(requestTimeout)}
+	r.startAttempt()
 }
 
-func (j *journey) over() bool { return j.e.w.now.After(j.deadline) }
+func (r *requestRun) pastDeadline() bool { return r.entry.w.now.After(r.deadline) }
 
-// try starts the next attempt.
-func (j *journey) try() {
-	w := j.e.w
-	n := j.course.BeginAttempt()
-	j.agent = w.agents[w.random.IntN(agents)]
-	k, ok := j.e.marks[j.agent]
+// startAttempt starts the next attempt at a random agent. An agent whose mark is not
+// known yet counts as one that refused.
+func (r *requestRun) startAttempt() {
+	w := r.entry.w
+	n := r.tracker.BeginAttempt()
+	r.agent = w.agents[w.random.IntN(agents)]
+	k, ok := r.entry.marks[r.agent]
 	if !ok {
-		j.course.RecordRefusal(endpoint.AttemptNotRun)
-		w.at(beatEvery, j.ended)
+		r.tracker.RecordRefusal(endpoint.AttemptNotRun)
+		w.schedule(heartbeatInterval, r.retryOrRespond)
 		return
 	}
-	j.attempt = attempt{
-		id: endpoint.AttemptID{Request: j.c.name, Attempt: n}, caller: j.c,
-		incarnation: k.incarnation, mark: k.mark, deadline: j.deadline,
+	r.attempt = attempt{
+		id: endpoint.AttemptID{Request: r.caller.name, Attempt: n}, caller: r.caller,
+		incarnation: k.incarnation, mark: k.mark, deadline: r.deadline,
 	}
-	j.exchange()
+	r.sendAttempt()
 }
 
-// exchange sends the attempt and waits for its reply.
-func (j *journey) exchange() {
-	w := j.e.w
-	x := &exchange{j: j, life: j.e.life}
-	j.e.waiting = append(j.e.waiting, x)
-	a, in := j.agent, j.attempt
-	to := func(r reply) {
-		w.send(func() { x.misdeliver().deliver(r) })
+// sendAttempt sends the current attempt to its agent and waits for the reply.
+func (r *requestRun) sendAttempt() {
+	w := r.entry.w
+	x := &exchange{request: r, entryLife: r.entry.life}
+	r.entry.openExchanges = append(r.entry.openExchanges, x)
+	a, in := r.agent, r.attempt
+	replyTo := func(got reply) {
+		w.send(func() { x.pickReceiver().deliver(got) })
 	}
-	w.send(func() { a.receive(in, to) })
-	w.at(giveUpAfter, x.giveUp)
+	w.send(func() { a.handleAttempt(in, replyTo) })
+	w.schedule(responseTimeout, x.timeOut)
 }
 
-// misdeliver returns the exchange that a reply reaches: now and then another one.
-func (x *exchange) misdeliver() *exchange {
-	w := x.j.e.w
-	if others := x.j.e.waiting; len(others) > 0 && w.random.Float64() < w.chaos/4 {
+// pickReceiver returns the exchange that gets a reply: now and then a random open one.
+func (x *exchange) pickReceiver() *exchange {
+	w := x.request.entry.w
+	if others := x.request.entry.openExchanges; len(others) > 0 && w.random.Float64() < w.disorderRate/4 {
 		return others[w.random.IntN(len(others))]
 	}
 	return x
 }
 
-// live reports whether the exchange still waits for its reply.
-func (x *exchange) live() bool { return !x.over && x.life == x.j.e.life }
+// isOpen reports whether the exchange still waits for its reply and the entry has
+// not restarted.
+func (x *exchange) isOpen() bool { return !x.closed && x.entryLife == x.request.entry.life }
 
-func (x *exchange) end() {
-	x.over = true
-	e := x.j.e
-	for i, o := range e.waiting {
+func (x *exchange) close() {
+	x.closed = true
+	e := x.request.entry
+	for i, o := range e.openExchanges {
 		if o == x {
-			e.waiting = append(e.waiting[:i], e.waiting[i+1:]...)
+			e.openExchanges = append(e.openExchanges[:i], e.openExchanges[i+1:]...)
 			return
 		}
 	}
 }
 
-func (x *exchange) deliver(r reply) {
-	if !x.live() {
+func (x *exchange) deliver(got reply) {
+	if !x.isOpen() {
 		return
 	}
-	j := x.j
-	if !j.e.w.rules.same(r.id, j.attempt.id) {
-		x.end()
-		j.lost()
+	r := x.request
+	if !r.entry.w.rules.sameAttempt(got.id, r.attempt.id) {
+		x.close()
+		r.handleNoReply()
 		return
 	}
-	x.end()
-	if r.answer != "" {
-		j.tell(r.answer, endpoint.AttemptDone)
+	x.close()
+	if got.body != "" {
+		r.respond(got.body, endpoint.AttemptDone)
 		return
 	}
-	j.course.RecordRefusal(r.fate)
-	j.ended()
+	r.tracker.RecordRefusal(got.state)
+	r.retryOrRespond()
 }
 
-func (x *exchange) giveUp() {
-	if !x.live() {
+func (x *exchange) timeOut() {
+	if !x.isOpen() {
 		return
 	}
-	x.end()
-	if x.j.course.MayAbandon() && x.j.e.w.random.Float64() < abandonPart {
-		x.j.abandon()
+	x.close()
+	if x.request.tracker.MayAbandon() && x.request.entry.w.random.Float64() < abandonRate {
+		x.request.abandon()
 		return
 	}
-	x.j.lost()
+	x.request.handleNoReply()
 }
 
-// abandon gives up an attempt that may still run and tells the agent so.
-func (j *journey) abandon() {
-	w := j.e.w
-	a, in := j.agent, j.attempt
-	j.course.Abandon()
-	w.send(func() { a.ask(in.id, in.incarnation, in.mark, true) })
-	j.ended()
+// abandon abandons an attempt that may still run, and asks the agent to cancel it.
+func (r *requestRun) abandon() {
+	w := r.entry.w
+	a, in := r.agent, r.attempt
+	r.tracker.Abandon()
+	w.send(func() { a.handleQuery(in.id, in.incarnation, in.mark, true) })
+	r.retryOrRespond()
 }
 
-// lost goes on after an exchange without a reply.
-func (j *journey) lost() {
-	if j.course.RecordNoResponse(true) == endpoint.StepQuery {
-		j.ask()
+// handleNoReply continues after an exchange without a reply.
+func (r *requestRun) handleNoReply() {
+	if r.tracker.RecordNoResponse(true) == endpoint.StepQuery {
+		r.queryAgent()
 		return
 	}
-	j.ended()
+	r.retryOrRespond()
 }
 
-// ask asks the agent what became of the attempt.
-func (j *journey) ask() {
-	w := j.e.w
-	life := j.e.life
-	answered := false
-	a, in, over := j.agent, j.attempt, j.over()
-	heard := func(fate endpoint.AttemptState) {
-		if answered || life != j.e.life {
+// queryAgent asks the agent for the state of the attempt.
+func (r *requestRun) queryAgent() {
+	w := r.entry.w
+	life := r.entry.life
+	done := false
+	a, in, over := r.agent, r.attempt, r.pastDeadline()
+	handleResult := func(state endpoint.AttemptState) {
+		if done || life != r.entry.life {
 			return
 		}
-		answered = true
-		if j.course.RecordQueryResult(fate, over) == endpoint.StepResend {
-			j.exchange()
+		done = true
+		if r.tracker.RecordQueryResult(state, over) == endpoint.StepResend {
+			r.sendAttempt()
 			return
 		}
-		j.ended()
+		r.retryOrRespond()
 	}
 	w.send(func() {
-		fate := a.ask(in.id, in.incarnation, in.mark, over)
-		w.send(func() { heard(fate) })
+		state := a.handleQuery(in.id, in.incarnation, in.mark, over)
+		w.send(func() { handleResult(state) })
 	})
-	w.at(questionTime, func() { heard(endpoint.AttemptUnknown) })
+	w.schedule(queryTimeout, func() { handleResult(endpoint.AttemptUnknown) })
 }
 
-// ended goes on after an attempt without an answer.
-func (j *journey) ended() {
-	if j.c.life != j.e.life {
+// retryOrRespond continues after an attempt without a response: it starts another
+// one if that is allowed, or else responds to the caller.
+func (r *requestRun) retryOrRespond() {
+	if r.caller.entryLife != r.entry.life {
 		return
 	}
-	if j.e.w.rules.again(&j.course, j.over()) {
-		j.try()
+	if r.entry.w.rules.mayRetry(&r.tracker, r.pastDeadline()) {
+		r.startAttempt()
 		return
 	}
-	j.tell("", j.course.State())
+	r.respond("", r.tracker.State())
 }
 
-// tell gives the caller its final word.
-func (j *journey) tell(answer string, fate endpoint.AttemptState) {
-	if j.c.life != j.e.life {
+// respond sends the caller the final response, or the state of the request if there
+// is no response.
+func (r *requestRun) respond(body string, state endpoint.AttemptState) {
+	if r.caller.entryLife != r.entry.life {
 		return
 	}
-	if answer != "" && answer != j.c.name {
-		j.e.w.fail(errors.Wrapf(ErrCrossed, "%s got the answer to %s", j.c.name, answer))
+	if body != "" && body != r.caller.name {
+		r.entry.w.fail(errors.Wrapf(ErrCrossed, "%s got the response to %s", r.caller.name, body))
 	}
-	j.c.told = true
-	j.c.notRun = fate == endpoint.AttemptNotRun
+	r.caller.responded = true
+	r.caller.toldNotRun = state == endpoint.AttemptNotRun
 }
--- a/internal/explore/request/request.go
+++ b/internal/explore/request/request.go
@@ -1,7 +1,7 @@
-// Package request explores schedules of interactive requests: it drives the
-// code that decides about attempts and their fate through seeded interleavings
-// of losses, delays, duplicates, crossed answers and restarts, and checks what
-// callers are told against what ran.
+// Package request simulates interactive requests under faults. It runs the code that
+// decides on attempts through seeded interleavings of lost, late, duplicated and
+// misdelivered messages and of restarts, and checks what callers are told against
+// what ran.
 package request
 
 import (
@@ -14,86 +14,90 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// Broken promises.
+// Violations that Run returns.
 var (
 	// ErrDoubleRun means that a request that must not be repeated ran twice.
-	ErrDoubleRun = errors.New("a request that must not be repeated ran more than once")
-	// ErrFalseNotRun means that a caller was told "not run" of a request that ran.
-	ErrFalseNotRun = errors.New("a request that was called not run did run")
-	// ErrCrossed means that a caller got the answer to another request.
-	ErrCrossed = errors.New("a caller got the answer to another request")
-	// ErrOverfull means that an endpoint worked on more than it has slots.
-	ErrOverfull = errors.New("an endpoint worked on more requests than it has slots")
-	// ErrNoAnswer means that a caller was told nothing although its entry lived.
-	ErrNoAnswer = errors.New("a caller was never told anything")
+	ErrDoubleRun = errors.New("request that must not be repeated ran more than once")
+	// ErrFalseNotRun means that a caller was told that a request did not run, and it did.
+	ErrFalseNotRun = errors.New("request reported as not run did run")
+	// ErrCrossed means that a caller got the response to another request.
+	ErrCrossed = errors.New("caller got the response to another request")
+	// ErrOverfull means that an endpoint ran more requests at a time than it has slots.
+	ErrOverfull = errors.New("endpoint ran more requests than it has slots")
+	// ErrNoAnswer means that a caller got no response although its entry did not restart.
+	ErrNoAnswer = errors.New("caller never got a response")
 )
 
-// Sizes of a world.
+// Sizes of a schedule.
 const (
-	agents      = 2
-	entries     = 2
-	requests    = 24
-	slots       = 2
-	connections = 4
-	bookSize    = 6
+	agents           = 2
+	entries          = 2
+	requests         = 24
+	slots            = 2
+	connections      = 4
+	maxEndedAttempts = 6
 )
 
-// Times of a world.
+// Times of a schedule.
 const (
-	horizon      = 4 * time.Second
-	beatEvery    = 50 * time.Millisecond
-	mostDelay    = 60 * time.Millisecond
-	lateDelay    = 900 * time.Millisecond
-	mostWork     = 200 * time.Millisecond
-	giveUpAfter  = 300 * time.Millisecond
-	questionTime = 150 * time.Millisecond
-	deadline     = 1500 * time.Millisecond
+	// horizon is how long agents send heartbeats; requests and restarts come in its
+	// first half.
+	horizon           = 4 * time.Second
+	heartbeatInterval = 50 * time.Millisecond
+	maxDelay          = 60 * time.Millisecond
+	maxLateDelay      = 900 * time.Millisecond
+	maxWork           = 200 * time.Millisecond
+	responseTimeout   = 300 * time.Millisecond
+	queryTimeout      = 150 * time.Millisecond
+	requestTimeout    = 1500 * time.Millisecond
 )
 
-// rules are the decisions under test; a test replaces one by a wrong one.
+// rules are the decisions under test. A test replaces one by a wrong one.
 type rules struct {
-	ask     func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState
-	admit   func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
-	again   func(c *endpoint.AttemptTracker, over bool) bool
-	same    func(a, b endpoint.AttemptID) bool
-	current func(query, own uint64) bool
+	query           func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState
+	admit           func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
+	mayRetry        func(c *endpoint.AttemptTracker, over bool) bool
+	sameAttempt     func(a, b endpoint.AttemptID) bool
+	sameIncarnation func(query, own uint64) bool
 }
 
-func trueRules() rules {
+// productRules returns the rules of the product.
+func productRules() rules {
 	return rules{
-		ask:     (*endpoint.DedupTable).QueryOrFence,
-		admit:   (*endpoint.DedupTable).Admit,
-		again:   (*endpoint.AttemptTracker).MayRetry,
-		same:    func(a, b endpoint.AttemptID) bool { return a == b },
-		current: func(query, own uint64) bool { return query == own },
+		query:           (*endpoint.DedupTable).QueryOrFence,
+		admit:           (*endpoint.DedupTable).Admit,
+		mayRetry:        (*endpoint.AttemptTracker).MayRetry,
+		sameAttempt:     func(a, b endpoint.AttemptID) bool { return a == b },
+		sameIncarnation: func(query, own uint64) bool { return query == own },
 	}
 }
 
-// Run explores the schedule of a seed and returns the first broken promise.
-func Run(seed uint64) error { return run(seed, trueRules()) }
+// Run plays the schedule of a seed and returns the first violation found.
+func Run(seed uint64) error { return run(seed, productRules()) }
 
 func run(seed uint64, r rules) error {
 	w := newWorld(seed, r)
 	for len(w.events) > 0 && w.err == nil {
 		e := heap.Pop(&w.events).(*event)
 		w.now = e.at
-		e.do()
+		e.fn()
 	}
-	return w.verdict()
+	return w.check()
 }
 
-// event is something that happens at a time; ties go in order of creation.
+// event is a function that runs at a time. Events of the same time run in the order
+// of seq, that of their creation.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at  time.Time
+	seq int
+	fn  func()
 }
 
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].order < h[j].order
+	return h[i].at.Before(h[j].at) || h[i].at.Equal(h[j].at) && h[i].seq < h[j].seq
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -108,106 +112,108 @@
 	return e
 }
 
-// world is one seeded schedule.
+// world is the simulated cluster with its queue of events.
 type world struct {
 	rules   rules
 	random  *rand.Rand
 	now     time.Time
 	start   time.Time
 	events  eventHeap
-	order   int
+	seq     int
 	agents  []*agent
 	entries []*entry
 	callers []*caller
 	err     error
-	// loss and chaos are the parts of messages lost and of those that are
-	// late, doubled or crossed.
-	loss, chaos float64
+	// lossRate is the probability that a message is lost, disorderRate the one that
+	// it is late; half of it, that it is duplicated; a quarter, that it is misdelivered or
+	// that a run ends with an unknown outcome.
+	lossRate, disorderRate float64
 }
 
-// caller is one request and what became of it.
+// caller is the caller of one request; runs counts how often the request was run.
 type caller struct {
-	name   string
-	repeat bool
-	entry  *entry
-	life   int
-	runs   int
-	told   bool
-	notRun bool
+	name       string
+	mayRepeat  bool
+	entry      *entry
+	entryLife  int
+	runs       int
+	responded  bool
+	toldNotRun bool
 }
 
 func newWorld(seed uint64, r rules) *world {
 	w := &world{rules: r, random: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1, 0)}
 	w.now = w.start
-	w.loss = w.random.Float64() * 0.3
-	w.chaos = w.random.Float64() * 0.3
+	w.lossRate = w.random.Float64() * 0.3
+	w.disorderRate = w.random.Float64() * 0.3
 	for i := range agents {
 		a := &agent{w: w, name: string(rune('a' + i))}
 		a.restart()
 		w.agents = append(w.agents, a)
-		w.at(0, a.beat)
+		w.schedule(0, a.sendHeartbeats)
 	}
 	for range entries {
-		w.entries = append(w.entries, &entry{w: w, marks: make(map[*agent]known)})
+		w.entries = append(w.entries, &entry{w: w, marks: make(map[*agent]agentMark)})
 	}
 	for i := range requests {
-		c := &caller{name: "request-" + string(rune('a'+i)), repeat: w.random.IntN(3) == 0}
+		c := &caller{name: "request-" + string(rune('a'+i)), mayRepeat: w.random.IntN(3) == 0}
 		w.callers = append(w.callers, c)
-		w.at(w.span(beatEvery, horizon/2), func() { w.entries[w.random.IntN(entries)].begin(c) })
+		w.schedule(w.randomBetween(heartbeatInterval, horizon/2), func() { w.entries[w.random.IntN(entries)].handleRequest(c) })
 	}
 	for _, a := range w.agents {
 		for range w.random.IntN(3) {
-			w.at(w.span(0, horizon/2), a.restart)
+			w.schedule(w.randomBetween(0, horizon/2), a.restart)
 		}
 	}
 	if w.random.IntN(2) == 0 {
-		w.at(w.span(0, horizon/2), w.entries[0].restart)
+		w.schedule(w.randomBetween(0, horizon/2), w.entries[0].restart)
 	}
 	return w
 }
 
-// at schedules fn after d.
-func (w *world) at(d time.Duration, fn func()) {
-	w.order++
-	heap.Push(&w.events, &event{at: w.now.Add(d), order: w.order, do: fn})
+// schedule runs fn after d.
+func (w *world) schedule(d time.Duration, fn func()) {
+	w.seq++
+	heap.Push(&w.events, &event{at: w.now.Add(d), seq: w.seq, fn: fn})
 }
 
-// span returns a random time from least to most.
-func (w *world) span(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
+// randomBetween returns a random duration from lowest to highest.
+func (w *world) randomBetween(lowest, highest time.Duration) time.Duration {
+	return lowest + time.Duration(w.random.Int64N(int64(highest-lowest)+1))
 }
 
-// send delivers a message by fn once, several times, late or never.
+// send delivers a message, which is fn, once, twice or never, sometimes late.
 func (w *world) send(fn func()) {
-	if w.random.Float64() < w.loss {
+	if w.random.Float64() < w.lossRate {
 		return
 	}
-	most := mostDelay
-	if w.random.Float64() < w.chaos {
-		most = lateDelay
+	highest := maxDelay
+	if w.random.Float64() < w.disorderRate {
+		highest = maxLateDelay
 	}
-	w.at(w.span(0, most), fn)
-	if w.random.Float64() < w.chaos/2 {
-		w.at(w.span(0, lateDelay), fn)
+	w.schedule(w.randomBetween(0, highest), fn)
+	if w.random.Float64() < w.disorderRate/2 {
+		w.schedule(w.randomBetween(0, maxLateDelay), fn)
 	}
 }
 
+// fail notes a violation, of which the first is kept.
 func (w *world) fail(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-// verdict checks the callers when everything has come to rest.
-func (w *world) verdict() error {
+// check checks the callers after the last event, and returns the first violation.
+func (w *world) check() error {
 	for _, c := range w.callers {
 		switch {
 		case w.err != nil:
-		case !c.repeat && c.runs > 1:
+		case !c.mayRepeat && c.runs > 1:
 			w.fail(errors.Wrapf(ErrDoubleRun, "%s", c.name))
-		case c.notRun && c.runs > 0:
+		case c.toldNotRun && c.runs > 0:
 			w.fail(errors.Wrapf(ErrFalseNotRun, "%s", c.name))
-		case !c.told && c.entry != nil && c.life == c.entry.life:
+		case !c.responded && c.entry != nil && c.entryLife == c.entry.life:
 			w.fail(errors.Wrapf(ErrNoAnswer, "%s", c.name))
 		}
 	}
--- a/internal/explore/request/request_test.go
+++ b/internal/explore/request/request_test.go
@@ -11,7 +11,7 @@
 
 const testSeeds = 1500
 
-func TestRunKeepsPromises(t *testing.T) {
+func TestNoViolation(t *testing.T) {
 	for seed := range uint64(testSeeds) {
 		if err := Run(seed); err != nil {
 			t.Fatalf("seed %d: got %v, want nil", seed, err)
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestRunFindsMutants replaces one rule at a time by a wrong one: the promise
-// that it stands for must be found broken.
+// TestRunFindsMutants replaces one rule at a time by a wrong one and expects the
+// violation that the rule prevents.
 func TestRunFindsMutants(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -28,7 +28,7 @@
 		want   error
 	}{
 		{"an evicted attempt counts as never seen", func(r *rules) {
-			r.ask = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.AttemptState {
+			r.query = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.AttemptState {
 				return b.QueryOrFence(now, id, math.MaxUint64)
 			}
 		}, ErrFalseNotRun},
@@ -37,14 +37,14 @@
 				return b.Admit(now, id, math.MaxUint64)
 			}
 		}, ErrDoubleRun},
-		{"a question does not fence", func(r *rules) {
-			r.ask = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState {
+		{"a query does not fence", func(r *rules) {
+			r.query = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState {
 				known := *b
 				return known.QueryOrFence(now, endpoint.AttemptID{Request: id.Request + "?", Attempt: id.Attempt}, mark)
 			}
 		}, ErrFalseNotRun},
 		{"unknown attempts are tried again", func(r *rules) {
-			r.again = func(c *endpoint.AttemptTracker, over bool) bool {
+			r.mayRetry = func(c *endpoint.AttemptTracker, over bool) bool {
 				free := endpoint.NewAttemptTracker(true)
 				for range c.Attempt() {
 					free.BeginAttempt()
@@ -52,23 +52,23 @@
 				return free.MayRetry(over)
 			}
 		}, ErrDoubleRun},
-		{"answers are not matched with attempts", func(r *rules) {
-			r.same = func(endpoint.AttemptID, endpoint.AttemptID) bool { return true }
+		{"replies are not matched with attempts", func(r *rules) {
+			r.sameAttempt = func(endpoint.AttemptID, endpoint.AttemptID) bool { return true }
 		}, ErrCrossed},
-		{"a restarted agent speaks for the one before", func(r *rules) {
-			r.current = func(uint64, uint64) bool { return true }
+		{"a restarted agent answers for its predecessor", func(r *rules) {
+			r.sameIncarnation = func(uint64, uint64) bool { return true }
 		}, ErrFalseNotRun},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := trueRules()
+			r := productRules()
 			tt.mutate(&r)
 			for seed := range uint64(testSeeds) {
 				if errors.Is(run(seed, r), tt.want) {
 					return
 				}
 			}
-			t.Errorf("got no seed out of %d with the promise broken, want one with %v", testSeeds, tt.want)
+			t.Errorf("got no violation in %d schedules, want one with %v", testSeeds, tt.want)
 		})
 	}
 }
