--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -15,73 +15,85 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Times of the modelled processes, as those of the real ones.
+// Intervals and time-outs of the simulated agents, the same as those of the real ones.
 const (
-	pingEvery   = 400 * time.Millisecond
-	lookEvery   = 60 * time.Millisecond
-	answerAfter = time.Second
-	silentAfter = 900 * time.Millisecond
-	sureFor     = 250 * time.Millisecond
-	// latestEffect is how long an order without an answer may still take effect.
-	latestEffect = 13 * time.Second
-	// shortestGrant is what must be left of a grant for a start.
-	shortestGrant = 500 * time.Millisecond
-	// driftShare is the part of a lease that is kept for a slow runner's clock.
-	driftShare = 50
+	pingInterval = 400 * time.Millisecond
+	pollInterval = 60 * time.Millisecond
+	startTimeout = time.Second
+	silentAfter  = 900 * time.Millisecond
+	// sameLifeFor is how long after a listing the agent relies on the runner not having
+	// restarted.
+	sameLifeFor = 250 * time.Millisecond
+	// maxStartDelay is how long a start whose call was not answered may still take effect.
+	maxStartDelay = 13 * time.Second
+	// minLeaseLeft is how long the worker lease must still last for a start.
+	minLeaseLeft = 500 * time.Millisecond
+	// A run's lease is shortened by its duration divided by clockDriftDivisor, in case
+	// the runner's clock is slow.
+	clockDriftDivisor = 50
 )
 
+// runKey identifies a run of a task.
 type runKey struct {
 	task workflow.TaskID
 	run  uint64
 }
 
-// agent models the agent beside a runner.
+// agent simulates a runner agent, with its runner. life is the start time of the
+// runner's life that the agent knows.
 type agent struct {
 	process
 	name   string
 	runner *standin.TaskRunner
-	// sameName is set if all lives of the runner have one name, so that a call may reach another life.
-	sameName bool
-	// lateUntil is until when starts are not answered and take effect later.
-	lateUntil time.Duration
+	// namesReused is set if all lives of the runner have the same name, so that a call
+	// may reach a later life than the one it was meant for.
+	namesReused bool
+	// Until startsDelayedUntil, calls that start runs are not answered and take effect
+	// later.
+	startsDelayedUntil time.Duration
 
-	term    uint64
-	conn    *conn
-	life    uint64
-	clockMS int64
-	clockAt time.Time
-	grant   leadership.WorkerLease
-	rows    []dispatch.RunStatus
-	ends    []dispatch.RunEnd
-	told    uint64
-	noted   uint64
-	sure    time.Time
-	orders  map[runKey]bool
-	fencing map[runKey]time.Time
-	// unanswered are starts that may still take effect, with the time until which they may.
-	unanswered map[runKey]time.Time
-	pings      map[uint64]time.Time
-	seq        uint64
-	pinged     time.Time
-	ponged     time.Time
-	looked     time.Time
+	term              uint64
+	conn              *conn
+	life              uint64
+	runnerClockMS     int64
+	runnerClockReadAt time.Time
+	workerLease       leadership.WorkerLease
+	// runs and runEnds are what the runner listed last.
+	runs    []dispatch.RunStatus
+	runEnds []dispatch.RunEnd
+	// reportedEnd and ackedEnd are the numbers of the newest ends that were sent to the
+	// dispatcher and acknowledged by it.
+	reportedEnd   uint64
+	ackedEnd      uint64
+	sameLifeUntil time.Time
+	// unlistedStarts are runs that were ordered and that the runner has not listed.
+	unlistedStarts map[runKey]bool
+	// fenceAt is when to stop runs, or to make sure that they never start.
+	fenceAt map[runKey]time.Time
+	// unansweredStarts are starts that may still take effect, and until when.
+	unansweredStarts map[runKey]time.Time
+	pingSentAt       map[uint64]time.Time
+	pingSeq          uint64
+	lastPing         time.Time
+	lastPong         time.Time
+	lastPoll         time.Time
 }
 
 func newAgent(w *world, i int) *agent {
 	a := &agent{process: newProcess(w), name: fmt.Sprintf("w%d", i)}
-	a.sameName = i%2 == 0
+	a.namesReused = i%2 == 0
 	a.runner = &standin.TaskRunner{Name: a.name, Work: 700 * time.Millisecond, History: &w.history, Slow: 50 + w.random.IntN(200)}
-	a.runner.Begin(w.true())
+	a.runner.Begin(w.trueTime())
 	a.forget()
 	return a
 }
 
-// forget drops what a process holds in memory.
+// forget drops the agent's state, as a restart does.
 func (a *agent) forget() {
-	a.term, a.conn, a.life, a.clockMS, a.clockAt, a.grant = 0, nil, 0, 0, time.Time{}, leadership.WorkerLease{}
-	a.rows, a.ends, a.told, a.noted, a.sure, a.seq = nil, nil, 0, 0, time.Time{}, 0
-	a.unanswered = make(map[runKey]time.Time)
-	a.orders, a.fencing, a.pings = make(map[runKey]bool), make(map[runKey]time.Time), make(map[uint64]time.Time)
+	a.term, a.conn, a.life, a.runnerClockMS, a.runnerClockReadAt, a.workerLease = 0, nil, 0, 0, time.Time{}, leadership.WorkerLease{}
+	a.runs, a.runEnds, a.reportedEnd, a.ackedEnd, a.sameLifeUntil, a.pingSeq = nil, nil, 0, 0, time.Time{}, 0
+	a.unansweredStarts = make(map[runKey]time.Time)
+	a.unlistedStarts, a.fenceAt, a.pingSentAt = make(map[runKey]bool), make(map[runKey]time.Time), make(map[uint64]time.Time)
 }
 
 func (a *agent) restart(down time.Duration) {
@@ -90,229 +102,234 @@
 	a.forget()
 }
 
-// until returns the lease's end on the runner's clock, or 0.
-func (a *agent) until(now time.Time) int64 {
-	left := a.w.rules.Left(&a.grant, now)
-	if left <= 0 || a.clockAt.IsZero() {
+// runLeaseEndMS returns the end of a run's lease on the runner's clock, or 0 if there
+// is no lease.
+func (a *agent) runLeaseEndMS(now time.Time) int64 {
+	left := a.w.rules.Left(&a.workerLease, now)
+	if left <= 0 || a.runnerClockReadAt.IsZero() {
 		return 0
 	}
-	d := now.Add(left).Sub(a.clockAt)
-	return a.clockMS + (d - d/driftShare).Milliseconds()
+	d := now.Add(left).Sub(a.runnerClockReadAt)
+	return a.runnerClockMS + (d - d/clockDriftDivisor).Milliseconds()
 }
 
 func (a *agent) tick() {
 	now := a.clock()
-	if a.conn != nil && (a.conn.broken && a.w.random.IntN(20) == 0 || now.Sub(a.ponged) > 3*time.Second) {
+	if a.conn != nil && (a.conn.broken && a.w.random.IntN(20) == 0 || now.Sub(a.lastPong) > 3*time.Second) {
 		a.conn.broken = true
 		a.conn = nil
 	}
 	if a.conn == nil && a.w.random.IntN(5) == 0 {
 		a.connect(now)
 	}
-	if a.term != 0 && now.Sub(a.looked) >= lookEvery {
-		a.looked = now
-		a.look(now)
+	if a.term != 0 && now.Sub(a.lastPoll) >= pollInterval {
+		a.lastPoll = now
+		a.poll(now)
 	}
-	a.fence(now)
-	if a.conn != nil && now.Sub(a.pinged) >= pingEvery {
-		a.ping(now)
+	a.fenceDueRuns(now)
+	if a.conn != nil && now.Sub(a.lastPing) >= pingInterval {
+		a.sendPing(now)
 	}
 }
 
-// connect asks a random entry whether it dispatches, and reports to it if so.
+// connect asks a random entry whether it is the dispatcher, and if so reports to it.
 func (a *agent) connect(now time.Time) {
 	e := a.w.entries[a.w.random.IntN(entries)]
-	if a.cut() || e.cut() || a.w.now < e.frozenUntil || a.w.now < e.downUntil {
+	if a.isCut() || e.isCut() || a.w.now < e.frozenUntil || a.w.now < e.downUntil {
 		return
 	}
-	e.yield(a.term)
+	e.resignIfOutdated(a.term)
 	if e.term == nil || e.term.number < a.term {
 		return
 	}
 	a.term = e.term.number
-	if !a.look(now) {
+	if !a.poll(now) {
 		return
 	}
-	a.conn = &conn{w: a.w, a: a, e: e, atA: a.generation, atE: e.generation}
-	a.ponged = now
-	clear(a.pings)
-	a.report()
-	a.ping(now)
+	a.conn = &conn{w: a.w, agent: a, entry: e, agentGeneration: a.generation, entryGeneration: e.generation}
+	a.lastPong = now
+	clear(a.pingSentAt)
+	a.sendReport()
+	a.sendPing(now)
 }
 
-func (a *agent) worker() *dispatch.Worker {
+func (a *agent) describeWorker() *dispatch.Worker {
 	return &dispatch.Worker{Name: a.name, Life: a.life, Service: "s", Capacity: worker.Resources{MilliCPU: 4000}, PacePercent: 100}
 }
 
-// report sends the worker's whole state.
-func (a *agent) report() {
-	c, w, ends := a.conn, a.worker(), append([]dispatch.RunEnd(nil), a.ends...)
-	rows := append([]dispatch.RunStatus(nil), a.rows...)
-	for k := range a.orders {
+// sendReport sends the worker's whole state to the dispatcher.
+func (a *agent) sendReport() {
+	c, w, ends := a.conn, a.describeWorker(), append([]dispatch.RunEnd(nil), a.runEnds...)
+	rows := append([]dispatch.RunStatus(nil), a.runs...)
+	for k := range a.unlistedStarts {
 		rows = append(rows, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
 	}
-	for _, e := range a.ends {
-		a.told = max(a.told, e.Number)
+	for _, e := range a.runEnds {
+		a.reportedEnd = max(a.reportedEnd, e.Number)
 	}
-	c.send(&c.e.process, func() { c.e.reported(c, w, rows, ends) })
+	c.send(&c.entry.process, func() { c.entry.handleReport(c, w, rows, ends) })
 }
 
-func (a *agent) ping(now time.Time) {
-	a.pinged = now
-	a.seq++
-	a.pings[a.seq] = now
-	c, w, rows, seq := a.conn, a.worker(), append([]dispatch.RunStatus(nil), a.rows...), a.seq
-	c.send(&c.e.process, func() { c.e.pinged(c, w, rows, seq) })
+func (a *agent) sendPing(now time.Time) {
+	a.lastPing = now
+	a.pingSeq++
+	a.pingSentAt[a.pingSeq] = now
+	c, w, rows, seq := a.conn, a.describeWorker(), append([]dispatch.RunStatus(nil), a.runs...), a.pingSeq
+	c.send(&c.entry.process, func() { c.entry.handlePing(c, w, rows, seq) })
 }
 
-// look extends the lease and takes in what the runner lists.
-func (a *agent) look(now time.Time) bool {
-	noted, until := uint64(0), int64(0)
-	if now.Before(a.sure) || a.w.rules.AnyLife {
-		noted, until = a.noted, a.until(now)
+// poll extends the leases of all runs and applies the runner's listing. It returns
+// false if the runner refuses the agent's term.
+func (a *agent) poll(now time.Time) bool {
+	ackedEnd, leaseEndMS := uint64(0), int64(0)
+	if now.Before(a.sameLifeUntil) || a.w.rules.AnyLife {
+		ackedEnd, leaseEndMS = a.ackedEnd, a.runLeaseEndMS(now)
 	}
-	if !a.runner.Admit(a.w.true(), a.term, until) {
+	if !a.runner.Admit(a.w.trueTime(), a.term, leaseEndMS) {
 		return false
 	}
-	runs, ends := a.runner.List(noted)
-	if born := a.runner.Born(); born != a.life {
-		a.life, a.told, a.noted, a.sure = born, 0, 0, time.Time{}
-		clear(a.fencing)
+	runs, ends := a.runner.List(ackedEnd)
+	if life := a.runner.Born(); life != a.life {
+		a.life, a.reportedEnd, a.ackedEnd, a.sameLifeUntil = life, 0, 0, time.Time{}
+		clear(a.fenceAt)
 		if !a.w.rules.NoStrays {
-			for k := range a.orders {
+			for k := range a.unlistedStarts {
 				a.runner.Stop(k.task.String(), k.run)
 			}
-			for k, until := range a.unanswered {
+			for k, until := range a.unansweredStarts {
 				if now.Before(until) {
 					a.runner.Stop(k.task.String(), k.run)
 				}
 			}
 			runs, ends = a.runner.List(0)
 		}
-		clear(a.orders)
-		a.take(now, runs, ends)
+		clear(a.unlistedStarts)
+		a.applyListing(now, runs, ends)
 		if a.conn != nil {
-			a.report()
+			a.sendReport()
 		}
 		return true
 	}
-	a.take(now, runs, ends)
-	a.tell()
+	a.applyListing(now, runs, ends)
+	a.sendNewEnds()
 	return true
 }
 
-// take replaces what is known of the runner.
-func (a *agent) take(now time.Time, runs []standin.Listed, ends []standin.Finished) {
-	a.clockMS, a.clockAt, a.sure = a.runner.Clock(a.w.true()), now, now.Add(sureFor)
-	a.rows, a.ends = nil, nil
+// applyListing replaces what the agent knows of the runner's runs.
+func (a *agent) applyListing(now time.Time, runs []standin.Listed, ends []standin.Finished) {
+	a.runnerClockMS, a.runnerClockReadAt, a.sameLifeUntil = a.runner.Clock(a.w.trueTime()), now, now.Add(sameLifeFor)
+	a.runs, a.runEnds = nil, nil
 	for _, r := range runs {
 		id, _ := workflow.ParseTaskID(r.Task)
-		a.rows = append(a.rows, dispatch.RunStatus{Task: id, Run: r.Run, Percent: 50})
-		delete(a.orders, runKey{id, r.Run})
+		a.runs = append(a.runs, dispatch.RunStatus{Task: id, Run: r.Run, Percent: 50})
+		delete(a.unlistedStarts, runKey{id, r.Run})
 	}
-	hows := map[string]dispatch.Outcome{"done": dispatch.OutcomeDone, "stopped": dispatch.OutcomeStopped, "lapsed": dispatch.OutcomeLapsed}
+	outcomes := map[string]dispatch.Outcome{"done": dispatch.OutcomeDone, "stopped": dispatch.OutcomeStopped, "lapsed": dispatch.OutcomeLapsed}
 	for _, e := range ends {
 		id, _ := workflow.ParseTaskID(e.Task)
-		delete(a.orders, runKey{id, e.Run})
-		if e.Number > a.noted {
-			a.ends = append(a.ends, dispatch.RunEnd{Number: e.Number, Task: id, Run: e.Run, How: hows[e.How]})
+		delete(a.unlistedStarts, runKey{id, e.Run})
+		if e.Number > a.ackedEnd {
+			a.runEnds = append(a.runEnds, dispatch.RunEnd{Number: e.Number, Task: id, Run: e.Run, How: outcomes[e.How]})
 		}
 	}
 }
 
-// tell sends the ends that the dispatcher has not been told.
-func (a *agent) tell() {
+// sendNewEnds sends the ends that have not been reported to the dispatcher.
+func (a *agent) sendNewEnds() {
 	if a.conn == nil {
 		return
 	}
-	var news []dispatch.RunEnd
-	for _, e := range a.ends {
-		if e.Number > a.told {
-			news = append(news, e)
-			a.told = e.Number
+	var newEnds []dispatch.RunEnd
+	for _, e := range a.runEnds {
+		if e.Number > a.reportedEnd {
+			newEnds = append(newEnds, e)
+			a.reportedEnd = e.Number
 		}
 	}
-	if c, life := a.conn, a.life; len(news) > 0 {
-		c.send(&c.e.process, func() { c.e.ended(c, life, news) })
+	if c, life := a.conn, a.life; len(newEnds) > 0 {
+		c.send(&c.entry.process, func() { c.entry.handleEnds(c, life, newEnds) })
 	}
 }
 
-// ordered carries orders out.
-func (a *agent) ordered(c *conn, term uint64, starts []dispatch.Start, stops []dispatch.Stop) {
+// handleOrders carries out a dispatcher's orders, or refuses them.
+func (a *agent) handleOrders(c *conn, term uint64, starts []dispatch.Start, stops []dispatch.Stop) {
 	if a.conn != c || term != a.term {
 		return
 	}
 	now := a.clock()
 	for _, s := range starts {
 		k := runKey{s.Task, s.Run}
-		until := a.until(now)
-		if s.Life != a.life || until == 0 || a.w.rules.Left(&a.grant, now) < shortestGrant {
-			a.refuse(s.Life, k)
+		leaseEndMS := a.runLeaseEndMS(now)
+		if s.Life != a.life || leaseEndMS == 0 || a.w.rules.Left(&a.workerLease, now) < minLeaseLeft {
+			a.sendRefusal(s.Life, k)
 			continue
 		}
-		a.start(now, k, until)
+		a.startRun(now, k, leaseEndMS)
 	}
 	for _, s := range stops {
 		if s.Life != a.life {
-			a.refuse(s.Life, runKey{s.Task, s.Run})
+			a.sendRefusal(s.Life, runKey{s.Task, s.Run})
 			continue
 		}
-		a.fencing[runKey{s.Task, s.Run}] = now
+		a.fenceAt[runKey{s.Task, s.Run}] = now
 	}
 }
 
-// start orders the runner to start a task; the order may take effect unseen, seconds later.
-func (a *agent) start(now time.Time, k runKey, until int64) {
-	a.orders[k] = true
+// startRun calls the runner to start a run. The call may go unanswered and take effect
+// up to twelve seconds later.
+func (a *agent) startRun(now time.Time, k runKey, leaseEndMS int64) {
+	a.unlistedStarts[k] = true
 	term, life, generation := a.term, a.life, a.generation
 	call := func() bool {
-		// A limit of the protocol: nobody fences an order that takes effect in another
-		// life of the runner under the same name before its agent, which must still be
-		// the same, has seen that life.
+		// A known limit of the protocol: a start that takes effect in a later life of a
+		// runner with the same name, before the agent has seen that life or after the
+		// agent has restarted, is fenced by nobody. The simulation leaves it out.
 		fenced := a.generation == generation && a.life == a.runner.Born()
-		reached := a.runner.Born() == life || a.sameName && fenced
-		return reached && a.runner.Admit(a.w.true(), term, until) &&
-			a.runner.Start(a.w.true(), k.task.String(), k.run, until, standin.FateDone) == ""
+		reached := a.runner.Born() == life || a.namesReused && fenced
+		return reached && a.runner.Admit(a.w.trueTime(), term, leaseEndMS) &&
+			a.runner.Start(a.w.trueTime(), k.task.String(), k.run, leaseEndMS, standin.FateDone) == ""
 	}
-	if a.w.now >= a.lateUntil {
+	if a.w.now >= a.startsDelayedUntil {
 		if !call() {
-			a.refuse(life, k)
+			a.sendRefusal(life, k)
 		}
 		return
 	}
-	a.w.after(2*time.Second+a.w.upTo(10*time.Second), func() { call() })
-	a.unanswered[k] = now.Add(latestEffect)
+	a.w.schedule(2*time.Second+a.w.randomUpTo(10*time.Second), func() { call() })
+	a.unansweredStarts[k] = now.Add(maxStartDelay)
 	if a.w.rules.NoFence {
-		a.refuse(life, k)
+		a.sendRefusal(life, k)
 		return
 	}
-	a.fencing[k] = now.Add(answerAfter)
+	a.fenceAt[k] = now.Add(startTimeout)
 }
 
-// fence stops runs that are due to be stopped, or makes sure that they never start.
-func (a *agent) fence(now time.Time) {
-	for _, k := range sortedKeys(a.fencing) {
-		due := a.fencing[k]
-		if now.Before(due) || a.runner.Born() != a.life || !a.runner.Admit(a.w.true(), a.term, 0) {
+// fenceDueRuns stops the runs whose time in fenceAt has come, or makes sure that they
+// never start.
+func (a *agent) fenceDueRuns(now time.Time) {
+	for _, k := range sortedKeys(a.fenceAt) {
+		due := a.fenceAt[k]
+		if now.Before(due) || a.runner.Born() != a.life || !a.runner.Admit(a.w.trueTime(), a.term, 0) {
 			continue
 		}
-		delete(a.fencing, k)
+		delete(a.fenceAt, k)
 		a.runner.Stop(k.task.String(), k.run)
-		if a.look(now) && !a.lists(k) {
-			a.refuse(a.life, k)
+		if a.poll(now) && !a.isListedAsEnded(k) {
+			a.sendRefusal(a.life, k)
 		}
 	}
 }
 
-// sortedKeys returns the runs in a fixed order, so that a seed always plays the same schedule.
+// sortedKeys returns the runs in a fixed order, so that a seed always plays the same
+// schedule.
 func sortedKeys(runs map[runKey]time.Time) []runKey {
 	return slices.SortedFunc(maps.Keys(runs), func(x, y runKey) int {
 		return cmp.Or(strings.Compare(x.task.String(), y.task.String()), cmp.Compare(x.run, y.run))
 	})
 }
 
-func (a *agent) lists(k runKey) bool {
-	for _, e := range a.ends {
+func (a *agent) isListedAsEnded(k runKey) bool {
+	for _, e := range a.runEnds {
 		if e.Task == k.task && e.Run == k.run {
 			return true
 		}
@@ -320,26 +337,30 @@
 	return false
 }
 
-func (a *agent) refuse(life uint64, k runKey) {
-	delete(a.orders, k)
+// sendRefusal reports to the dispatcher that a run will not start or does not run.
+func (a *agent) sendRefusal(life uint64, k runKey) {
+	delete(a.unlistedStarts, k)
 	if c := a.conn; c != nil {
-		c.send(&c.e.process, func() { c.e.refused(c, life, k) })
+		c.send(&c.entry.process, func() { c.entry.handleRefusal(c, life, k) })
 	}
 }
 
-func (a *agent) pong(c *conn, term, seq uint64, granted bool) {
+// handlePong handles the response to a ping; renewed tells whether it renews the
+// worker lease.
+func (a *agent) handlePong(c *conn, term, seq uint64, renewed bool) {
 	if a.conn != c || term != a.term {
 		return
 	}
-	a.ponged = a.clock()
-	if sent, ok := a.pings[seq]; ok && granted {
-		a.grant.Renew(sent)
+	a.lastPong = a.clock()
+	if sent, ok := a.pingSentAt[seq]; ok && renewed {
+		a.workerLease.Renew(sent)
 	}
-	delete(a.pings, seq)
+	delete(a.pingSentAt, seq)
 }
 
-func (a *agent) note(c *conn, life, end uint64) {
+// handleAck notes that the dispatcher has stored the ends up to a number.
+func (a *agent) handleAck(c *conn, life, end uint64) {
 	if a.conn == c && life == a.life {
-		a.noted = max(a.noted, end)
+		a.ackedEnd = max(a.ackedEnd, end)
 	}
 }
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -12,48 +12,53 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Times of the modelled entries, as those of the real ones.
+// Intervals of the simulated entries, the same as those of the real ones.
 const (
-	followEvery = 300 * time.Millisecond
-	readEvery   = 500 * time.Millisecond
-	proveEvery  = 2 * time.Second
+	observeInterval = 300 * time.Millisecond
+	readInterval    = 500 * time.Millisecond
+	// renewInterval is how often the dispatcher renews its leadership lease by a write.
+	renewInterval = 2 * time.Second
 )
 
-// entry models an entry that may dispatch.
+// entry simulates an entry, which may become the dispatcher. term is nil while it is
+// not.
 type entry struct {
 	process
-	index     int
-	name      string
-	candidate leadership.Candidate
-	followed  time.Time
-	term      *dispatching
-	// apartUntil is until when it reaches neither the store nor other entries.
-	apartUntil time.Duration
+	index        int
+	name         string
+	candidate    leadership.Candidate
+	lastObserved time.Time
+	term         *dispatcherState
+	// Until isolatedUntil the entry reaches neither the store nor other entries.
+	isolatedUntil time.Duration
 }
 
-// dispatching is what an entry holds while it dispatches.
-type dispatching struct {
-	number      uint64
-	board       dispatch.Scheduler
-	holder      leadership.LeaderLease
-	predecessor leadership.Predecessor
-	before      leadership.Claim
-	agents      map[string]*link
-	known       map[string]bool
-	settled     bool
-	unproven    bool
-	seq         uint64
-	read        time.Time
-	// change is being stored under the next sequence number.
+// dispatcherState is the state of an entry in a term in which it is the dispatcher.
+type dispatcherState struct {
+	number        uint64
+	scheduler     dispatch.Scheduler
+	leaderLease   leadership.LeaderLease
+	predecessor   leadership.Predecessor
+	previousClaim leadership.Claim
+	agents        map[string]*agentLink
+	// storedWorkers are the workers whose names are in the store.
+	storedWorkers map[string]bool
+	// earlierRunsOver is set once nothing that an earlier dispatcher ordered can run.
+	earlierRunsOver bool
+	// needsWrite is set if a write must confirm that the term is still the newest.
+	needsWrite bool
+	seq        uint64
+	lastRead   time.Time
+	// change and its records are being stored under the next sequence number, or nil.
 	change  *dispatch.Change
 	records []store.Record
 }
 
-// link is what a dispatcher knows of one agent.
-type link struct {
-	conn   *conn
-	heard  time.Time
-	lapsed bool
+// agentLink is what the dispatcher knows of one agent.
+type agentLink struct {
+	conn         *conn
+	lastContact  time.Time
+	leaseExpired bool
 }
 
 func newEntry(w *world, i int) *entry {
@@ -63,7 +68,7 @@
 func (e *entry) restart(down time.Duration) {
 	e.generation++
 	e.downUntil = e.w.now + down
-	e.candidate, e.term, e.followed = leadership.Candidate{}, nil, time.Time{}
+	e.candidate, e.term, e.lastObserved = leadership.Candidate{}, nil, time.Time{}
 }
 
 func (e *entry) tick() {
@@ -72,26 +77,27 @@
 		e.dispatch(now)
 		return
 	}
-	if now.Sub(e.followed) >= followEvery {
-		e.followed = now
-		e.follow(now)
+	if now.Sub(e.lastObserved) >= observeInterval {
+		e.lastObserved = now
+		e.observePeers(now)
 	}
 	if claim, _ := e.candidate.ShouldClaim(now, e.index, 0); claim {
-		e.claim(now)
+		e.claimLeadership(now)
 	}
 }
 
-// yield ends the term if a peer knows a later one.
-func (e *entry) yield(known uint64) {
+// resignIfOutdated resigns if the term that a peer knows is later than the entry's.
+func (e *entry) resignIfOutdated(known uint64) {
 	if e.term != nil && known > e.term.number {
 		e.resign()
 	}
 }
 
-// port returns the store as the entry reaches it.
-func (e *entry) port() *store.Port {
-	if e.w.now < e.apartUntil {
-		return &e.w.away
+// reachableStore returns the store, or one that refuses every call while the entry is
+// isolated.
+func (e *entry) reachableStore() *store.Port {
+	if e.w.now < e.isolatedUntil {
+		return &e.w.unreachable
 	}
 	return &e.w.port
 }
@@ -101,21 +107,22 @@
 	e.term = nil
 }
 
-// reaches reports whether another entry answers now.
+// reaches reports whether another entry would answer a call now.
 func (e *entry) reaches(o *entry) bool {
-	if e.w.now < max(e.apartUntil, o.apartUntil) {
+	if e.w.now < max(e.isolatedUntil, o.isolatedUntil) {
 		return false
 	}
-	return !e.cut() && !o.cut() && e.w.now >= o.frozenUntil && e.w.now >= o.downUntil
+	return !e.isCut() && !o.isCut() && e.w.now >= o.frozenUntil && e.w.now >= o.downUntil
 }
 
-// follow hears the dispatcher, and learns later claims from all entries.
-func (e *entry) follow(now time.Time) {
+// observePeers exchanges the newest claims with all other entries, and notes contact
+// with the dispatcher, or that it has restarted.
+func (e *entry) observePeers(now time.Time) {
 	for _, o := range e.w.entries {
 		if o == e || !e.reaches(o) {
 			continue
 		}
-		o.yield(e.candidate.Claim().Term)
+		o.resignIfOutdated(e.candidate.Claim().Term)
 		e.candidate.ObserveClaim(now, o.candidate.Claim())
 		claim := e.candidate.Claim()
 		switch {
@@ -128,9 +135,9 @@
 	}
 }
 
-// claim takes the dispatch over through the store.
-func (e *entry) claim(now time.Time) {
-	found, end, _, err := e.port().NewestClaim(context.Background())
+// claimLeadership writes a claim to the store, and begins a term if that succeeds.
+func (e *entry) claimLeadership(now time.Time) {
+	found, end, _, err := e.reachableStore().NewestClaim(context.Background())
 	if err != nil || e.candidate.ObserveClaim(now, found) {
 		return
 	}
@@ -140,142 +147,144 @@
 		return
 	}
 	a := store.Append{Topic: store.TopicDispatch, At: end, AtSet: true, Records: []store.Record{record}}
-	if e.w.random.IntN(10) == 0 { // carried out late, and not answered
-		e.w.after(e.w.upTo(4*time.Second), func() { _, _ = e.w.port.Append(context.Background(), a) })
+	if e.w.random.IntN(10) == 0 { // the write takes effect late and is not answered
+		e.w.schedule(e.w.randomUpTo(4*time.Second), func() { _, _ = e.w.port.Append(context.Background(), a) })
 		return
 	}
-	if _, err = e.port().Append(context.Background(), a); err != nil {
+	if _, err = e.reachableStore().Append(context.Background(), a); err != nil {
 		return
 	}
 	own.Term = end + 1
-	e.begin(now, own, found)
+	e.beginTerm(now, own, found)
 }
 
-// begin reads the state and begins to dispatch.
-func (e *entry) begin(now time.Time, own, before leadership.Claim) {
+// beginTerm reads the state from the store and begins a term as dispatcher.
+func (e *entry) beginTerm(now time.Time, own, previous leadership.Claim) {
 	e.candidate.ObserveClaim(now, own)
-	t := &dispatching{number: own.Term, before: before, agents: make(map[string]*link), known: make(map[string]bool)}
-	if _, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number}); err != nil {
+	t := &dispatcherState{number: own.Term, previousClaim: previous, agents: make(map[string]*agentLink), storedWorkers: make(map[string]bool)}
+	if _, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number}); err != nil {
 		e.candidate.NoteResigned(own.Term)
 		return
 	}
-	t.holder.Renew(now)
-	named, _, err := e.port().All(context.Background(), store.TopicWorkers)
-	book, readErr := e.readBook()
+	t.leaderLease.Renew(now)
+	stored, _, err := e.reachableStore().All(context.Background(), store.TopicWorkers)
+	jobTable, readErr := e.readJobTable()
 	if err != nil || readErr != nil {
 		e.candidate.NoteResigned(own.Term)
 		return
 	}
-	if before.Term != 0 {
+	if previous.Term != 0 {
 		t.predecessor.TermBegan(now)
-		if before.Entry == e.name {
+		if previous.Entry == e.name {
 			t.predecessor.NoteDead(now)
 		}
 	}
 	var workers []string
-	for _, r := range named {
+	for _, r := range stored {
 		workers = append(workers, r.Key)
-		t.known[r.Key] = true
+		t.storedWorkers[r.Key] = true
 	}
-	t.board.BeginTerm(t.number, workers)
-	t.board.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, TargetLatency: time.Second}})
-	book.Each(func(_ string, j *workflow.Job) {
+	t.scheduler.BeginTerm(t.number, workers)
+	t.scheduler.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, TargetLatency: time.Second}})
+	jobTable.Each(func(_ string, j *workflow.Job) {
 		if j.Submission() != nil {
-			t.board.Admit(now, e.wall(), j.Submission(), j.Progress(), true)
+			t.scheduler.Admit(now, e.wallMS(), j.Submission(), j.Progress(), true)
 		}
 	})
 	e.term = t
 }
 
-func (e *entry) wall() int64 { return e.w.true().UnixMilli() }
+func (e *entry) wallMS() int64 { return e.w.trueTime().UnixMilli() }
 
-func (e *entry) readBook() (*workflow.JobTable, error) {
-	book := new(workflow.JobTable)
+func (e *entry) readJobTable() (*workflow.JobTable, error) {
+	jobTable := new(workflow.JobTable)
 	for _, topic := range []store.Topic{store.TopicIntake, store.TopicProgress} {
-		records, _, err := e.port().All(context.Background(), topic)
+		records, _, err := e.reachableStore().All(context.Background(), topic)
 		if err != nil {
 			return nil, err
 		}
 		for _, r := range records {
-			if _, err := book.Apply(r.Record); err != nil {
+			if _, err := jobTable.Apply(r.Record); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return book, nil
+	return jobTable, nil
 }
 
-// dispatch does what a dispatcher does again and again.
+// dispatch performs one round of the dispatcher's work.
 func (e *entry) dispatch(now time.Time) {
 	t := e.term
-	e.watch(now)
-	if e.w.rules.Valid(&t.holder, now) {
-		e.order(now)
+	e.checkLeases(now)
+	if e.w.rules.Valid(&t.leaderLease, now) {
+		e.sendOrders(now)
 	}
-	if now.Sub(t.read) >= readEvery {
-		t.read = now
-		if book, err := e.readBook(); err == nil {
-			book.Each(func(_ string, j *workflow.Job) {
+	if now.Sub(t.lastRead) >= readInterval {
+		t.lastRead = now
+		if jobTable, err := e.readJobTable(); err == nil {
+			jobTable.Each(func(_ string, j *workflow.Job) {
 				if j.Submission() != nil {
 					e.admit(now, t, j)
 				}
 			})
-			t.board.AllJobsKnown(now, now)
+			t.scheduler.AllJobsKnown(now, now)
 		}
 	}
 	if e.term == t {
-		e.flush(now)
+		e.storeChange(now)
 	}
 }
 
-// admit takes in a job that was accepted while this entry dispatches.
-func (e *entry) admit(now time.Time, t *dispatching, j *workflow.Job) {
-	known := j.Submission().Term
+// admit passes a job to the scheduler, as new if the accepting entry knew of this term.
+// If that knew of a later term, this entry resigns.
+func (e *entry) admit(now time.Time, t *dispatcherState, j *workflow.Job) {
+	knownTerm := j.Submission().Term
 	if e.w.rules.AllNew {
-		known = t.number
+		knownTerm = t.number
 	}
-	if known > t.number {
-		e.yield(known)
+	if knownTerm > t.number {
+		e.resignIfOutdated(knownTerm)
 		return
 	}
-	t.board.Admit(now, e.wall(), j.Submission(), j.Progress(), known < t.number)
+	t.scheduler.Admit(now, e.wallMS(), j.Submission(), j.Progress(), knownTerm < t.number)
 }
 
-// over reports whether what must have ended by a time has ended.
-func (e *entry) over(now, by time.Time) bool {
-	ended := e.w.rules.Ended(&e.term.holder, now, by)
-	e.term.unproven = e.term.unproven || !ended && !now.Before(by)
+// confirmsEnd reports whether everything that must have ended by a time has ended. If
+// only a write can confirm that, it requests one.
+func (e *entry) confirmsEnd(now, by time.Time) bool {
+	ended := e.w.rules.Ended(&e.term.leaderLease, now, by)
+	e.term.needsWrite = e.term.needsWrite || !ended && !now.Before(by)
 	return ended
 }
 
-// watch looks at which workers are silent or have lapsed, and whether the
-// earlier dispatcher's runs have ended.
-func (e *entry) watch(now time.Time) {
+// checkLeases checks which workers are silent, whose leases have expired, and whether
+// the runs of earlier terms are over.
+func (e *entry) checkLeases(now time.Time) {
 	t := e.term
 	for name, l := range t.agents {
-		if now.Sub(l.heard) > silentAfter {
-			t.board.MarkSilent(name)
+		if now.Sub(l.lastContact) > silentAfter {
+			t.scheduler.MarkSilent(name)
 		}
-		if !l.lapsed && e.over(now, e.w.rules.LapsesAt(l.heard)) {
-			l.lapsed = true
-			t.board.WorkerLeaseExpired(now, name)
+		if !l.leaseExpired && e.confirmsEnd(now, e.w.rules.LapsesAt(l.lastContact)) {
+			l.leaseExpired = true
+			t.scheduler.WorkerLeaseExpired(now, name)
 		}
 	}
 	for _, o := range e.w.entries {
-		if o.name == t.before.Entry && e.reaches(o) && (o.generation != t.before.Incarnation || o.term == nil) {
+		if o.name == t.previousClaim.Entry && e.reaches(o) && (o.generation != t.previousClaim.Incarnation || o.term == nil) {
 			t.predecessor.NoteDead(now)
 		}
 	}
-	if !t.settled && (t.board.UnreportedWorkers() == 0 || e.over(now, e.w.rules.EndsAt(&t.predecessor))) {
-		t.settled = true
-		t.board.ExpireEarlierTerms()
+	if !t.earlierRunsOver && (t.scheduler.UnreportedWorkers() == 0 || e.confirmsEnd(now, e.w.rules.EndsAt(&t.predecessor))) {
+		t.earlierRunsOver = true
+		t.scheduler.ExpireEarlierTerms()
 	}
 }
 
-// order sends the orders that are due.
-func (e *entry) order(now time.Time) {
+// sendOrders decides, and sends the orders to the agents.
+func (e *entry) sendOrders(now time.Time) {
 	t := e.term
-	orders := t.board.Decide(now, e.wall())
+	orders := t.scheduler.Decide(now, e.wallMS())
 	starts, stops := make(map[string][]dispatch.Start), make(map[string][]dispatch.Stop)
 	for _, s := range orders.Starts() {
 		starts[s.Worker] = append(starts[s.Worker], s)
@@ -288,38 +297,39 @@
 		if l == nil || l.conn == nil || len(starts[a.name])+len(stops[a.name]) == 0 {
 			continue
 		}
-		c, number, some, others := l.conn, t.number, starts[a.name], stops[a.name]
-		c.send(&a.process, func() { a.ordered(c, number, some, others) })
+		c, number, agentStarts, agentStops := l.conn, t.number, starts[a.name], stops[a.name]
+		c.send(&a.process, func() { a.handleOrders(c, number, agentStarts, agentStops) })
 	}
 }
 
-// flush stores the board's changes; only then runners forget ends.
-func (e *entry) flush(now time.Time) {
+// storeChange stores the scheduler's changes, and after that acknowledges the ends of
+// runs. It also writes when the leadership lease must be renewed.
+func (e *entry) storeChange(now time.Time) {
 	t := e.term
-	if t.change == nil && t.board.HasChange() {
-		t.change = t.board.TakeChange()
+	if t.change == nil && t.scheduler.HasChange() {
+		t.change = t.scheduler.TakeChange()
 		for id, p := range t.change.Jobs() {
 			if r, err := workflow.ProgressRecord(id, p); err == nil {
 				t.records = append(t.records, r)
 			}
 		}
 		if e.w.rules.NoteFirst {
-			e.noted(t.change)
+			e.sendAcks(t.change)
 		}
 	}
-	if t.change == nil && !t.unproven && now.Sub(t.holder.LastRenewal()) < proveEvery {
+	if t.change == nil && !t.needsWrite && now.Sub(t.leaderLease.LastRenewal()) < renewInterval {
 		return
 	}
-	t.unproven = false
-	_, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Records: t.records, Term: t.number, Seq: t.seq + 1})
+	t.needsWrite = false
+	_, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Records: t.records, Term: t.number, Seq: t.seq + 1})
 	switch {
 	case err == nil:
-		t.holder.Renew(now)
+		t.leaderLease.Renew(now)
 		if len(t.records) > 0 {
 			t.seq++
 		}
 		if t.change != nil {
-			e.noted(t.change)
+			e.sendAcks(t.change)
 		}
 		t.change, t.records = nil, nil
 	case errors.Is(err, store.ErrFenced):
@@ -327,15 +337,16 @@
 	}
 }
 
-func (e *entry) noted(change *dispatch.Change) {
-	type note struct{ life, end uint64 }
-	notes := make(map[string]note)
-	change.EachAck(func(worker string, life, end uint64) { notes[worker] = note{life, end} })
+// sendAcks tells the agents which ends of runs are acknowledged by a change.
+func (e *entry) sendAcks(change *dispatch.Change) {
+	type ack struct{ life, end uint64 }
+	acks := make(map[string]ack)
+	change.EachAck(func(worker string, life, end uint64) { acks[worker] = ack{life, end} })
 	for _, a := range e.w.agents {
-		n, ok := notes[a.name]
+		n, ok := acks[a.name]
 		if l := e.term.agents[a.name]; ok && l != nil && l.conn != nil {
 			c := l.conn
-			c.send(&a.process, func() { a.note(c, n.life, n.end) })
+			c.send(&a.process, func() { a.handleAck(c, n.life, n.end) })
 		}
 	}
 }
--- a/internal/explore/term/messages.go
+++ b/internal/explore/term/messages.go
@@ -8,72 +8,76 @@
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
 )
 
-// reported takes in a worker's whole state, once the store names the worker.
-func (e *entry) reported(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, ends []dispatch.RunEnd) {
+// handleReport applies a worker's report of its whole state. Before that it stores the
+// worker's name, and makes sure by a write under the term that this is the newest.
+func (e *entry) handleReport(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, ends []dispatch.RunEnd) {
 	t := e.term
 	if t == nil {
 		c.broken = true
 		return
 	}
 	now := e.clock()
-	if !t.known[w.Name] && !e.w.rules.NoWorkers {
+	if !t.storedWorkers[w.Name] && !e.w.rules.NoWorkers {
 		record := store.Record{Key: w.Name, Value: []byte{1}}
-		_, err := e.port().Append(context.Background(), store.Append{Topic: store.TopicWorkers, Records: []store.Record{record}})
+		_, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicWorkers, Records: []store.Record{record}})
 		if err == nil && !e.w.rules.UnprovenWorkers {
-			_, err = e.port().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
+			_, err = e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
 		}
 		if err != nil {
-			e.w.after(followEvery, func() { c.deliver(&e.process, 0, func() { e.reported(c, w, rows, ends) }) })
+			e.w.schedule(observeInterval, func() { c.deliver(&e.process, 0, func() { e.handleReport(c, w, rows, ends) }) })
 			return
 		}
-		t.known[w.Name] = true
+		t.storedWorkers[w.Name] = true
 	}
-	t.agents[w.Name] = &link{conn: c, heard: now}
-	t.board.ApplyReport(now, e.wall(), w, rows, ends)
+	t.agents[w.Name] = &agentLink{conn: c, lastContact: now}
+	t.scheduler.ApplyReport(now, e.wallMS(), w, rows, ends)
 	if e.w.rules.DropUnknown {
-		t.board.AllJobsKnown(now, now.Add(time.Hour))
+		t.scheduler.AllJobsKnown(now, now.Add(time.Hour))
 	}
 }
 
-// from returns the link of a connection that has reported to the present term.
-func (e *entry) from(c *conn) *link {
+// linkOf returns the link of the agent at a connection, if the agent has reported to
+// the present term over that connection.
+func (e *entry) linkOf(c *conn) *agentLink {
 	if e.term == nil {
 		c.broken = true
 		return nil
 	}
-	if l := e.term.agents[c.a.name]; l != nil && l.conn == c {
+	if l := e.term.agents[c.agent.name]; l != nil && l.conn == c {
 		return l
 	}
 	return nil
 }
 
-func (e *entry) pinged(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, seq uint64) {
-	l := e.from(c)
+// handlePing answers a ping. The answer renews the worker lease only while the
+// entry's own leadership lease is valid and the worker's has not expired.
+func (e *entry) handlePing(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, seq uint64) {
+	l := e.linkOf(c)
 	if l == nil {
 		return
 	}
-	if l.lapsed && !e.w.rules.KeepLost {
-		c.broken = true // the agent has to report anew
+	if l.leaseExpired && !e.w.rules.KeepLost {
+		c.broken = true // makes the agent connect and report again
 		return
 	}
 	now := e.clock()
-	granted := e.w.rules.Valid(&e.term.holder, now) && !l.lapsed
-	if granted {
-		l.heard = now
+	renewed := e.w.rules.Valid(&e.term.leaderLease, now) && !l.leaseExpired
+	if renewed {
+		l.lastContact = now
 	}
-	e.term.board.ApplyPing(now, w, rows)
+	e.term.scheduler.ApplyPing(now, w, rows)
 	number := e.term.number
-	c.send(&c.a.process, func() { c.a.pong(c, number, seq, granted) })
+	c.send(&c.agent.process, func() { c.agent.handlePong(c, number, seq, renewed) })
 }
 
-func (e *entry) ended(c *conn, life uint64, ends []dispatch.RunEnd) {
-	if e.from(c) != nil {
-		e.term.board.ApplyEnds(e.clock(), e.wall(), c.a.name, life, ends)
+func (e *entry) handleEnds(c *conn, life uint64, ends []dispatch.RunEnd) {
+	if e.linkOf(c) != nil {
+		e.term.scheduler.ApplyEnds(e.clock(), e.wallMS(), c.agent.name, life, ends)
 	}
 }
 
-func (e *entry) refused(c *conn, life uint64, k runKey) {
-	if e.from(c) != nil {
-		e.term.board.OrderRefused(e.clock(), e.wall(), c.a.name, life, k.task, k.run)
+func (e *entry) handleRefusal(c *conn, life uint64, k runKey) {
+	if e.linkOf(c) != nil {
+		e.term.scheduler.OrderRefused(e.clock(), e.wallMS(), c.agent.name, life, k.task, k.run)
 	}
 }
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -1,7 +1,7 @@
-// Package term explores schedules of the dispatch by terms: entries that claim,
-// agents that go on for the time of a grant, and runners that end what has no
-// lease. Clocks drift; processes freeze and restart; connections break; answers
-// of the store and of runners get lost or take effect late.
+// Package term simulates dispatch under leadership terms: entries that claim
+// leadership, agents that run tasks for the time of a worker lease, and runners that
+// end runs without a lease. Clocks drift; processes freeze and restart; connections
+// break; responses of the store and of runners are lost, and calls take effect late.
 package term
 
 import (
@@ -19,55 +19,63 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Size of a schedule.
+// Size and duration of a schedule.
 const (
 	tick    = 20 * time.Millisecond
 	entries = 3
 	workers = 4
 	jobs    = 8
-	// faultsFor is how long faults begin, endAfter when all jobs must be done:
-	// long after an entry that was apart for 22 s, and the longest wait for an unheard
-	// worker, 15.5 s.
-	faultsFor = 20 * time.Second
-	endAfter  = 80 * time.Second
+	// faultDuration is how long new faults are injected, and runFor the duration of
+	// the schedule, at whose end all jobs must be completed. It leaves time for an
+	// entry that is isolated for 22 s, and for the longest wait for a worker that has
+	// not reported, 15.5 s.
+	faultDuration = 20 * time.Second
+	runFor        = 80 * time.Second
 )
 
-// epoch is where true time begins.
-var epoch = time.Unix(1_700_000_000, 0)
+// clockBase is the true time, the simulation's global clock, at which it begins.
+var clockBase = time.Unix(1_700_000_000, 0)
 
-// Rules are the rules of the protocol that a schedule plays. The zero value
-// plays those of the product.
+// Rules are the rules of the protocol that a test can replace. The zero value plays
+// those of the product.
 type Rules struct {
-	// LapsesAt returns when everything on a worker has ended.
-	LapsesAt func(heard time.Time) time.Time
-	// EndsAt returns when what an earlier dispatcher ordered has ended.
+	// LapsesAt returns when everything on a worker has ended because its lease has.
+	LapsesAt func(lastContact time.Time) time.Time
+	// EndsAt returns when everything that an earlier dispatcher ordered has ended.
 	EndsAt func(p *leadership.Predecessor) time.Time
-	// Ended reports whether what must have ended by a time has ended.
-	Ended func(h *leadership.LeaderLease, now, by time.Time) bool
-	// Valid reports whether a dispatcher may go on.
-	Valid func(h *leadership.LeaderLease, now time.Time) bool
-	// Left returns how long a worker may go on.
-	Left func(g *leadership.WorkerLease, now time.Time) time.Duration
-	// NoteFirst lets runners forget ends before they are stored.
+	// Ended reports whether everything that must have ended by a time has ended, which
+	// a dispatcher knows only after a later write under its term.
+	Ended func(l *leadership.LeaderLease, now, by time.Time) bool
+	// Valid reports whether a dispatcher may still act.
+	Valid func(l *leadership.LeaderLease, now time.Time) bool
+	// Left returns how long a worker lease still lasts.
+	Left func(l *leadership.WorkerLease, now time.Time) time.Duration
+	// NoteFirst acknowledges the ends of runs before they are stored.
 	NoteFirst bool
-	// NoFence takes a start that was not answered for one that never runs.
+	// NoFence assumes that a start whose call was not answered never takes effect.
 	NoFence bool
-	// AnyLife notes ends and extends leases without knowing that the runner is in the same life.
+	// AnyLife acknowledges ends and extends leases although the runner may have
+	// restarted.
 	AnyLife bool
-	// NoStrays reports another life of a runner before what was sent to the earlier one cannot start in it.
+	// NoStrays reports a restarted runner before the starts sent to its earlier life
+	// are fenced in the new one.
 	NoStrays bool
-	// NoWorkers starts tasks at workers that the store does not name,
-	// UnprovenWorkers at those named without a write under the term.
+	// NoWorkers starts tasks on workers whose names are not stored, and
+	// UnprovenWorkers on those whose names were stored without a later write under
+	// the term.
 	NoWorkers, UnprovenWorkers bool
-	// AllNew takes jobs whose entries did not know of the term for new.
+	// AllNew takes all jobs for new, also those whose entries did not know of the term,
+	// which an earlier dispatcher may have read.
 	AllNew bool
-	// DropUnknown drops what workers list of jobs that have not been read.
+	// DropUnknown drops reported runs of jobs that have not been read yet.
 	DropUnknown bool
-	// KeepLost does not have a lost worker that is heard again report anew.
+	// KeepLost does not ask a worker whose lease has expired to report again when it
+	// pings.
 	KeepLost bool
 }
 
-func (r *Rules) fill() {
+// setDefaults sets the functions that are nil to those of the product.
+func (r *Rules) setDefaults() {
 	if r.LapsesAt == nil {
 		r.LapsesAt = leadership.WorkerLeaseEndsBy
 	}
@@ -75,50 +83,51 @@
 		r.EndsAt = func(p *leadership.Predecessor) time.Time { return p.LeasesEndBy() }
 	}
 	if r.Ended == nil {
-		r.Ended = func(h *leadership.LeaderLease, now, by time.Time) bool {
-			ended, _ := h.ConfirmsEnd(now, by)
+		r.Ended = func(l *leadership.LeaderLease, now, by time.Time) bool {
+			ended, _ := l.ConfirmsEnd(now, by)
 			return ended
 		}
 	}
 	if r.Valid == nil {
-		r.Valid = func(h *leadership.LeaderLease, now time.Time) bool { return h.Valid(now) }
+		r.Valid = func(l *leadership.LeaderLease, now time.Time) bool { return l.Valid(now) }
 	}
 	if r.Left == nil {
-		r.Left = func(g *leadership.WorkerLease, now time.Time) time.Duration { return g.Remaining(now) }
+		r.Left = func(l *leadership.WorkerLease, now time.Time) time.Duration { return l.Remaining(now) }
 	}
 }
 
-// Run plays the schedule of a seed and returns what went against a promise.
+// Run plays the schedule of a seed and returns the first violation found.
 func Run(seed uint64) error { return run(seed, Rules{}) }
 
+// world is the simulated cluster with the events that are scheduled.
 type world struct {
-	rules  Rules
-	random *rand.Rand
-	now    time.Duration
-	later  []later
-	store  standin.Store
-	port   store.Port
-	// away is the store as a process sees it that does not reach it.
-	away    store.Port
-	history standin.History
-	entries []*entry
-	agents  []*agent
-	faults  int
+	rules     Rules
+	random    *rand.Rand
+	now       time.Duration
+	scheduled []event
+	store     standin.Store
+	port      store.Port
+	// unreachable refuses every call, as the store seems to do to an isolated entry.
+	unreachable store.Port
+	history     standin.History
+	entries     []*entry
+	agents      []*agent
+	faults      int
 }
 
-// later is something that happens at a moment of true time.
-type later struct {
+// event is a function that runs at a moment of true time.
+type event struct {
 	at time.Duration
 	fn func()
 }
 
 func run(seed uint64, rules Rules) error {
-	rules.fill()
+	rules.setDefaults()
 	w := &world{rules: rules, random: rand.New(rand.NewPCG(seed, 1))}
 	w.port = w.store.Port()
-	gone := new(standin.Store)
-	gone.Fail(store.ErrRefused, false)
-	w.away = gone.Port()
+	refusing := new(standin.Store)
+	refusing.Fail(store.ErrRefused, false)
+	w.unreachable = refusing.Port()
 	for i := range entries {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
@@ -126,22 +135,22 @@
 		w.agents = append(w.agents, newAgent(w, i))
 	}
 	for i := range jobs {
-		w.after(w.upTo(faultsFor), func() { w.submit(i) })
+		w.schedule(w.randomUpTo(faultDuration), func() { w.submit(i) })
 	}
-	for w.now < endAfter {
+	for w.now < runFor {
 		w.now += tick
-		w.due()
-		if w.now < faultsFor && w.random.IntN(40) == 0 {
-			w.fault()
+		w.runDue()
+		if w.now < faultDuration && w.random.IntN(40) == 0 {
+			w.injectFault()
 		}
 		for _, a := range w.agents {
-			a.runner.Step(w.true())
+			a.runner.Step(w.trueTime())
 		}
 		for _, e := range w.entries {
-			e.live(e.tick)
+			e.runIfUp(e.tick)
 		}
 		for _, a := range w.agents {
-			a.live(a.tick)
+			a.runIfUp(a.tick)
 		}
 		if broken := w.history.Broken(); len(broken) > 0 {
 			return errors.Newf("at %s: %s", w.now, broken[0])
@@ -150,21 +159,26 @@
 	return w.checkJobs()
 }
 
-// true returns the true time.
-func (w *world) true() time.Time { return epoch.Add(w.now) }
+// trueTime returns the true time.
+func (w *world) trueTime() time.Time { return clockBase.Add(w.now) }
 
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.random.Int64N(int64(d))) }
+// randomUpTo returns a random duration from 0 up to but not including d.
+func (w *world) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(d)))
+}
 
-// after runs fn after d of true time.
-func (w *world) after(d time.Duration, fn func()) { w.later = append(w.later, later{w.now + d, fn}) }
+// schedule runs fn after d of true time.
+func (w *world) schedule(d time.Duration, fn func()) {
+	w.scheduled = append(w.scheduled, event{w.now + d, fn})
+}
 
-// due runs what is due, in the order in which it was planned.
-func (w *world) due() {
-	planned := w.later
-	w.later = nil
-	for _, l := range planned {
+// runDue runs the events that are due, in the order in which they were scheduled.
+func (w *world) runDue() {
+	events := w.scheduled
+	w.scheduled = nil
+	for _, l := range events {
 		if l.at > w.now {
-			w.later = append(w.later, l)
+			w.scheduled = append(w.scheduled, l)
 			continue
 		}
 		l.fn()
@@ -173,9 +187,9 @@
 
 func jobName(i int) string { return fmt.Sprintf("job%d", i) }
 
-// submit stores a job, as an entry does before it answers its caller.
+// submit stores a job, as an entry does before it responds to its caller.
 func (w *world) submit(i int) {
-	sub := &workflow.Submission{ID: jobName(i), Queue: "q", AcceptedMS: w.true().UnixMilli(), Term: w.knownTerm(), Spec: workflow.Spec{Steps: []workflow.Step{
+	sub := &workflow.Submission{ID: jobName(i), Queue: "q", AcceptedMS: w.trueTime().UnixMilli(), Term: w.knownTerm(), Spec: workflow.Spec{Steps: []workflow.Step{
 		{Count: 2, Size: worker.Resources{MilliCPU: 1000}, EstimateMS: 1000},
 		{Count: 1, Size: worker.Resources{MilliCPU: 1000}, EstimateMS: 1000, After: []int{0}},
 	}}}
@@ -184,29 +198,30 @@
 		_, err = w.port.Append(context.Background(), store.Append{Topic: store.TopicIntake, Records: []store.Record{record}})
 	}
 	if err != nil {
-		w.after(tick, func() { w.submit(i) }) // the caller hands it in again
+		w.schedule(tick, func() { w.submit(i) }) // the caller retries
 	}
 }
 
-// knownTerm returns the newest term that some entry knows.
+// knownTerm returns the newest term that a random entry knows.
 func (w *world) knownTerm() uint64 { return w.entries[w.random.IntN(entries)].candidate.Claim().Term }
 
-// checkJobs reports a job that is not completed, or completed without its work.
+// checkJobs returns an error if a job is not completed, or is completed although no
+// run of one of its tasks did its work.
 func (w *world) checkJobs() error {
 	records, _, err := w.port.All(context.Background(), store.TopicProgress)
 	if err != nil {
 		return err
 	}
-	var book workflow.JobTable
+	var jobTable workflow.JobTable
 	for _, r := range records {
-		if _, err := book.Apply(r.Record); err != nil {
+		if _, err := jobTable.Apply(r.Record); err != nil {
 			return err
 		}
 	}
 	for i := range jobs {
-		e, ok := book.Job(jobName(i))
-		if !ok || e.Phase() != workflow.PhaseCompleted {
-			return errors.Newf("%s is not completed %s after the last fault", jobName(i), endAfter-faultsFor)
+		j, ok := jobTable.Job(jobName(i))
+		if !ok || j.Phase() != workflow.PhaseCompleted {
+			return errors.Newf("%s is not completed %s after the last fault", jobName(i), runFor-faultDuration)
 		}
 		for _, task := range []string{"0.0.0", "0.0.1", "0.1.0"} {
 			if name := jobName(i) + "." + task; !w.history.Worked(name) {
@@ -217,44 +232,44 @@
 	return nil
 }
 
-// fault begins one fault.
-func (w *world) fault() {
+// injectFault injects one fault.
+func (w *world) injectFault() {
 	w.faults++
 	e, a := w.entries[w.random.IntN(entries)], w.agents[w.random.IntN(workers)]
-	long := 300*time.Millisecond + w.upTo(7*time.Second)
+	duration := 300*time.Millisecond + w.randomUpTo(7*time.Second)
 	switch w.random.IntN(11) {
 	case 0:
-		e.restart(w.upTo(2 * time.Second))
+		e.restart(w.randomUpTo(2 * time.Second))
 	case 1:
-		e.frozenUntil = w.now + long
+		e.frozenUntil = w.now + duration
 	case 2:
-		e.cutUntil = w.now + long
+		e.cutUntil = w.now + duration
 	case 3:
-		a.restart(w.upTo(2 * time.Second))
+		a.restart(w.randomUpTo(2 * time.Second))
 	case 4:
-		a.frozenUntil = w.now + long
+		a.frozenUntil = w.now + duration
 	case 5:
-		a.cutUntil = w.now + long
+		a.cutUntil = w.now + duration
 	case 6:
-		a.runner.Begin(w.true())
+		a.runner.Begin(w.trueTime())
 	case 7:
 		w.store.Fail(store.ErrRefused, false)
-		w.after(long, func() { w.store.Fail(nil, false) })
+		w.schedule(duration, func() { w.store.Fail(nil, false) })
 	case 8:
 		w.store.Fail(store.ErrUnknown, true)
-		w.after(w.upTo(time.Second), func() { w.store.Fail(nil, false) })
+		w.schedule(w.randomUpTo(time.Second), func() { w.store.Fail(nil, false) })
 	case 10:
-		e.apartUntil = w.now + 3*long
+		e.isolatedUntil = w.now + 3*duration
 	case 9:
-		a.lateUntil = w.now + w.upTo(3*time.Second)
+		a.startsDelayedUntil = w.now + w.randomUpTo(3*time.Second)
 	}
 }
 
-// process is what entries and agents have in common: a clock of their own that
-// goes on while they are frozen, and links that can be cut.
+// process is what entries and agents have in common: a drifting clock, which
+// continues while they are frozen, and network links that can be cut.
 type process struct {
 	w *world
-	// generation counts restarts; what an earlier one began is dropped.
+	// generation counts restarts; connections of an earlier generation are broken.
 	generation  uint64
 	rate        float64
 	offset      time.Duration
@@ -263,49 +278,52 @@
 	cutUntil    time.Duration
 }
 
-// clockError bounds the relative error of a process's clock.
-const clockError = 0.01
+// maxClockDrift bounds the relative error of a process's clock.
+const maxClockDrift = 0.01
 
 func newProcess(w *world) process {
-	return process{w: w, generation: 1, rate: 1 + (2*w.random.Float64()-1)*clockError, offset: w.upTo(time.Hour)}
+	return process{w: w, generation: 1, rate: 1 + (2*w.random.Float64()-1)*maxClockDrift, offset: w.randomUpTo(time.Hour)}
 }
 
-// clock returns the process's steady clock.
+// clock returns the process's monotonic clock.
 func (p *process) clock() time.Time {
-	return epoch.Add(p.offset + time.Duration(float64(p.w.now)*p.rate))
+	return clockBase.Add(p.offset + time.Duration(float64(p.w.now)*p.rate))
 }
 
-// live runs fn if the process runs.
-func (p *process) live(fn func()) {
+// runIfUp runs fn if the process is neither frozen nor down.
+func (p *process) runIfUp(fn func()) {
 	if p.w.now >= p.frozenUntil && p.w.now >= p.downUntil {
 		fn()
 	}
 }
 
-func (p *process) cut() bool { return p.w.now < p.cutUntil }
+func (p *process) isCut() bool { return p.w.now < p.cutUntil }
 
-// conn is a connection between an agent and an entry. Once it is broken nothing
-// more arrives; each end notices later.
+// conn is a connection between an agent and an entry. Once it is broken nothing more
+// arrives, and each end notices that later.
 type conn struct {
 	w      *world
-	a      *agent
-	e      *entry
+	agent  *agent
+	entry  *entry
 	broken bool
-	// last is when the newest message arrives; none overtakes another.
-	last time.Duration
-	// at are the ends' generations when it was opened.
-	atA, atE uint64
+	// lastArrival is when the message that was sent last arrives; messages arrive in
+	// the order in which they were sent.
+	lastArrival time.Duration
+	// agentGeneration and entryGeneration are those at which it was opened.
+	agentGeneration, entryGeneration uint64
 }
 
-// send delivers a message to one end, which runs fn when it is awake.
+// send delivers a message, which is fn, to one end after a random delay.
 func (c *conn) send(to *process, fn func()) {
-	c.last = max(c.last, c.w.now+tick+c.w.upTo(100*time.Millisecond))
-	c.deliver(to, c.last-c.w.now, fn)
+	c.lastArrival = max(c.lastArrival, c.w.now+tick+c.w.randomUpTo(100*time.Millisecond))
+	c.deliver(to, c.lastArrival-c.w.now, fn)
 }
 
+// deliver runs fn at one end after d, or as soon as that end is no longer frozen or
+// down, unless the connection is broken.
 func (c *conn) deliver(to *process, d time.Duration, fn func()) {
-	c.w.after(d, func() {
-		if c.a.cut() || c.e.cut() || c.a.generation != c.atA || c.e.generation != c.atE {
+	c.w.schedule(d, func() {
+		if c.agent.isCut() || c.entry.isCut() || c.agent.generation != c.agentGeneration || c.entry.generation != c.entryGeneration {
 			c.broken = true
 		}
 		switch {
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// ciSeeds is the number of schedules that every test run explores.
+	// ciSeeds is the number of schedules that every test run plays.
 	ciSeeds = 60
-	// mutantSeeds bounds the schedules within which a broken rule must be found.
+	// mutantSeeds is the number of schedules within which a wrong rule must cause a
+	// violation.
 	mutantSeeds = 60
 )
 
@@ -22,31 +23,32 @@
 	}
 }
 
-// TestFindsBrokenRules replaces one rule of the protocol at a time.
+// TestFindsBrokenRules replaces one rule of the protocol at a time by a wrong one and
+// expects a violation.
 func TestFindsBrokenRules(t *testing.T) {
 	mutants := []struct {
 		name  string
 		rules Rules
-		// from is the first schedule that is tried: rare holes show late.
+		// from is the first seed: some wrong rules cause a violation in few schedules only.
 		from uint64
 	}{
-		{"a lost worker is given up while its grant lasts", Rules{LapsesAt: func(heard time.Time) time.Time { return heard.Add(3 * time.Second) }}, 0},
-		{"workers that did not report are not waited for", Rules{EndsAt: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
-		{"a dispatcher goes on without a proof", Rules{Valid: func(*leadership.LeaderLease, time.Time) bool { return true }}, 2940},
-		{"a worker goes on beyond its grant", Rules{Left: func(g *leadership.WorkerLease, now time.Time) time.Duration {
-			return g.Remaining(now.Add(-2 * time.Second))
+		{"a worker is taken for lost before its lease has expired", Rules{LapsesAt: func(lastContact time.Time) time.Time { return lastContact.Add(3 * time.Second) }}, 0},
+		{"workers that have not reported are not waited for", Rules{EndsAt: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
+		{"a dispatcher acts without a valid leadership lease", Rules{Valid: func(*leadership.LeaderLease, time.Time) bool { return true }}, 2940},
+		{"a worker runs tasks after its lease has expired", Rules{Left: func(l *leadership.WorkerLease, now time.Time) time.Duration {
+			return l.Remaining(now.Add(-2 * time.Second))
 		}}, 0},
-		{"a worker is taken for lost though a later dispatcher may hear it", Rules{Ended: func(_ *leadership.LeaderLease, now, by time.Time) bool {
+		{"a worker is taken for lost although a later dispatcher may have contact with it", Rules{Ended: func(_ *leadership.LeaderLease, now, by time.Time) bool {
 			return !now.Before(by)
 		}}, 0},
-		{"ends are forgotten before they are stored", Rules{NoteFirst: true}, 0},
-		{"a start without an answer is not fenced", Rules{NoFence: true}, 0},
-		{"another life is reported before stray starts are stopped", Rules{NoStrays: true}, 130},
-		{"a worker runs tasks before it is named", Rules{NoWorkers: true}, 0},
-		{"a worker is named without a write under the term", Rules{UnprovenWorkers: true}, 6220},
+		{"ends of runs are acknowledged before they are stored", Rules{NoteFirst: true}, 0},
+		{"a start whose call was not answered is not fenced", Rules{NoFence: true}, 0},
+		{"a restarted runner is reported before earlier starts are fenced", Rules{NoStrays: true}, 130},
+		{"a worker runs tasks before its name is stored", Rules{NoWorkers: true}, 0},
+		{"a worker's name is stored without a write under the term", Rules{UnprovenWorkers: true}, 6220},
 		{"a job that an earlier dispatcher may have read is taken for new", Rules{AllNew: true}, 100},
-		{"what workers list of unknown jobs is dropped", Rules{DropUnknown: true}, 1820},
-		{"a lost worker is not asked to report anew", Rules{KeepLost: true}, 540},
+		{"reported runs of unknown jobs are dropped", Rules{DropUnknown: true}, 1820},
+		{"a worker whose lease has expired is not asked to report again", Rules{KeepLost: true}, 540},
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
