--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,4 +1,5 @@
-// Package explore runs the seeded explorations of the deciding code.
+// Package explore runs deterministic simulations of the decision code: each plays
+// schedules of faults that follow from seeds.
 package explore
 
 import (
@@ -11,13 +12,14 @@
 	"savoryhoist.example/savoryhoist/internal/explore/term"
 )
 
-// Part is one exploration. Run returns the first violation that a seed finds.
+// Part is one simulation. Run plays the schedule of a seed and returns the first
+// violation found.
 type Part struct {
 	Name string
 	Run  func(seed uint64) error
 }
 
-// Parts returns all explorations.
+// Parts returns all simulations.
 func Parts() []Part {
 	return []Part{
 		{Name: "jobs", Run: batch.Run},
@@ -27,25 +29,26 @@
 	}
 }
 
-// Violation is what one seed has found.
+// Violation is the violation that the schedule of a seed led to.
 type Violation struct {
 	Part string
 	Seed uint64
 	Err  error
 }
 
-// Run explores count seeds from first on in every part, at most parallel at a
-// time, and returns the violations. Explored counts the schedules that ran.
-func Run(ctx context.Context, parts []Part, first, count uint64, parallel int) (found []Violation, explored uint64) {
+// Run plays the schedules of count seeds from first on in every simulation, those of at
+// most parallel seeds at a time, and returns the violations and the number of
+// schedules played. It begins no further seed once ctx ends.
+func Run(ctx context.Context, simulations []Part, first, count uint64, parallel int) (found []Violation, explored uint64) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	seeds := make(chan uint64)
 	for range max(parallel, 1) {
 		group.Go(func() {
 			for seed := range seeds {
-				violations := runSeed(parts, seed)
+				violations := runSeed(simulations, seed)
 				mu.Lock()
-				explored += uint64(len(parts))
+				explored += uint64(len(simulations))
 				found = append(found, violations...)
 				mu.Unlock()
 			}
@@ -59,11 +62,11 @@
 	return found, explored
 }
 
-func runSeed(parts []Part, seed uint64) []Violation {
+func runSeed(simulations []Part, seed uint64) []Violation {
 	var out []Violation
-	for _, p := range parts {
-		if err := p.Run(seed); err != nil {
-			out = append(out, Violation{Part: p.Name, Seed: seed, Err: err})
+	for _, s := range simulations {
+		if err := s.Run(seed); err != nil {
+			out = append(out, Violation{Part: s.Name, Seed: seed, Err: err})
 		}
 	}
 	return out
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -9,7 +9,7 @@
 
 func TestRunReportsEveryViolation(t *testing.T) {
 	broken := errors.New("broken")
-	parts := []Part{
+	simulations := []Part{
 		{Name: "good", Run: func(uint64) error { return nil }},
 		{Name: "odd", Run: func(seed uint64) error {
 			if seed%2 == 1 {
@@ -18,7 +18,7 @@
 			return nil
 		}},
 	}
-	found, explored := Run(context.Background(), parts, 4, 10, 3)
+	found, explored := Run(context.Background(), simulations, 4, 10, 3)
 	if got, want := explored, uint64(20); got != want {
 		t.Errorf("explored: got %d, want %d", got, want)
 	}
@@ -27,7 +27,7 @@
 	}
 	for _, v := range found {
 		if v.Part != "odd" || v.Seed%2 != 1 || !errors.Is(v.Err, broken) {
-			t.Errorf("got %+v, want an odd seed of part odd", v)
+			t.Errorf("got %+v, want an odd seed of simulation odd", v)
 		}
 	}
 }
