--- a/soak/site_test.go
+++ b/soak/deployment_test.go
@@ -23,16 +23,17 @@
 	"savoryhoist.example/savoryhoist/platform/standin"
 )
 
-// Ports of every machine; machines differ by their loopback address.
+// Ports of every process; processes differ by their loopback address.
 const (
 	portFront, portReady, portControl, portApp, portPeers = 19481, 19482, 19483, 19484, 19485
 	entryCount, runnerCount                               = 3, 3
 )
 
-// machine is one process of the system on an address of its own.
+// machine is one process of the system with a loopback address of its own. It is
+// started again whenever it ends, until it is stopped.
 type machine struct {
 	role, name, ip string
-	boot           string
+	configFile     string
 	log            *os.File
 	proxy          *proxy
 
@@ -41,8 +42,9 @@
 	stopped bool
 }
 
-// site is a small deployment.
-type site struct {
+// deployment is a small deployment of the real programs and the stand-ins of the
+// platform. running ends with the test.
+type deployment struct {
 	program  string
 	dir      string
 	store    standin.Store
@@ -52,9 +54,10 @@
 	entries  []string
 	client   http.Client
 	group    sync.WaitGroup
-	live     context.Context
+	running  context.Context
 }
 
+// serve serves HTTP until the test ends, and returns the address.
 func serve(t *testing.T, address string, h http.Handler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", address)
@@ -68,47 +71,48 @@
 	return ln.Addr().String()
 }
 
-func newSite(t *testing.T, program string, seed uint64) *site {
+func newDeployment(t *testing.T, program string, seed uint64) *deployment {
 	t.Helper()
-	live, cancel := context.WithCancel(context.Background())
-	s := &site{program: program, dir: t.TempDir(), live: live, client: http.Client{Timeout: 4 * time.Second}}
-	s.client.Transport = &http.Transport{DisableKeepAlives: true}
-	storeAt := serve(t, "127.0.0.1:0", &s.store)
-	s.store.Put("keyed.op", "config", []byte(`{"version":1,"routes":[{"name":"r","host":"soak","path-prefix":"/q/","service":"bench","timeout-ms":3000,
+	running, cancel := context.WithCancel(context.Background())
+	d := &deployment{program: program, dir: t.TempDir(), running: running, client: http.Client{Timeout: 4 * time.Second}}
+	d.client.Transport = &http.Transport{DisableKeepAlives: true}
+	storeAddress := serve(t, "127.0.0.1:0", &d.store)
+	d.store.Put("keyed.op", "config", []byte(`{"version":1,"routes":[{"name":"r","host":"soak","path-prefix":"/q/","service":"bench","timeout-ms":3000,
 	 "target-latency-ms":300,"max-attempts":4,"stretch":2}],"services":[{"name":"bench"}],"limits":{"max-body-bytes":262144}}`))
-	// Two soaks may run on one machine: the process and the seed make the addresses.
+	// Two soak tests may run on one machine, so addresses depend on process and seed.
 	network := fmt.Sprintf("127.%d.%d", 10+os.Getpid()%200, seed%200)
 	for i := range entryCount {
-		s.add(t, "entry", fmt.Sprintf("entry-%d", i), fmt.Sprintf("%s.%d", network, 1+i), storeAt)
+		d.add(t, "entry", fmt.Sprintf("entry-%d", i), fmt.Sprintf("%s.%d", network, 1+i), storeAddress)
 	}
 	for i := range runnerCount {
 		ip := fmt.Sprintf("%s.%d", network, 101+i)
-		r := newRunner(fmt.Sprintf("worker-%d", i), &s.history)
+		r := newRunner(fmt.Sprintf("worker-%d", i), &d.history)
 		r.Begin(clock.Steady())
-		s.runners = append(s.runners, r)
+		d.runners = append(d.runners, r)
 		serve(t, fmt.Sprintf("%s:%d", ip, portApp), r)
-		s.add(t, "agent", r.Name, ip, storeAt)
-		s.group.Go(func() { s.beat(r, ip) })
+		d.add(t, "agent", r.Name, ip, storeAddress)
+		d.group.Go(func() { d.driveRunner(r, ip) })
 	}
 	t.Cleanup(func() {
-		for _, m := range s.machines {
+		for _, m := range d.machines {
 			m.kill()
 		}
 		cancel()
-		s.group.Wait()
+		d.group.Wait()
 	})
-	for _, m := range s.machines {
-		m.start(t, s)
+	for _, m := range d.machines {
+		m.keepRunning(t, d)
 		if m.role == "entry" {
-			s.entries = append(s.entries, fmt.Sprintf("%s:%d", m.ip, portFront))
+			d.entries = append(d.entries, fmt.Sprintf("%s:%d", m.ip, portFront))
 		}
 	}
-	return s
+	return d
 }
 
-func (s *site) add(t *testing.T, role, name, ip, storeAt string) {
+// add writes the configuration of a machine and adds it without starting it.
+func (d *deployment) add(t *testing.T, role, name, ip, storeAddress string) {
 	t.Helper()
-	m := &machine{role: role, name: name, ip: ip, boot: filepath.Join(s.dir, name+".json"), proxy: newProxy(t, storeAt)}
+	m := &machine{role: role, name: name, ip: ip, configFile: filepath.Join(d.dir, name+".json"), proxy: newProxy(t, storeAddress)}
 	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 	var seeds []string
 	for i := range entryCount {
@@ -123,26 +127,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(m.boot, data, 0o600); err != nil {
+	if err := os.WriteFile(m.configFile, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if m.log, err = os.Create(filepath.Join(s.dir, name+".log")); err != nil {
+	if m.log, err = os.Create(filepath.Join(d.dir, name+".log")); err != nil {
 		t.Fatal(err)
 	}
-	s.machines = append(s.machines, m)
+	d.machines = append(d.machines, m)
 }
 
-// start keeps a machine's process running until the site ends.
-func (m *machine) start(t *testing.T, s *site) {
+// keepRunning starts the machine's process, and again whenever it ends, until the
+// deployment ends.
+func (m *machine) keepRunning(t *testing.T, d *deployment) {
 	t.Helper()
-	s.group.Go(func() {
-		for s.live.Err() == nil {
-			cmd := exec.Command(s.program, "platform", m.role)
-			cmd.Env = []string{"SAVORYHOIST_BOOT=" + m.boot, "PATH=" + os.Getenv("PATH")}
+	d.group.Go(func() {
+		for d.running.Err() == nil {
+			cmd := exec.Command(d.program, "platform", m.role)
+			cmd.Env = []string{"SAVORYHOIST_BOOT=" + m.configFile, "PATH=" + os.Getenv("PATH")}
 			cmd.Stdout, cmd.Stderr = m.log, m.log
 			m.mu.Lock()
 			err := error(nil)
-			if s.live.Err() == nil && !m.stopped {
+			if d.running.Err() == nil && !m.stopped {
 				err = cmd.Start()
 				m.cmd = cmd
 			}
@@ -150,7 +155,7 @@
 			if cmd.Process == nil || err != nil {
 				return
 			}
-			_ = cmd.Wait() // how a process that is killed ends says nothing
+			_ = cmd.Wait() // processes are killed, so the exit status says nothing
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
@@ -164,7 +169,7 @@
 	}
 }
 
-// kill ends the process for good.
+// kill kills the process, which is not started again.
 func (m *machine) kill() {
 	m.mu.Lock()
 	m.stopped = true
@@ -173,15 +178,15 @@
 	m.signal(syscall.SIGKILL)
 }
 
-// fault injects one fault and returns what it was.
-func (s *site) fault(random *rand.Rand) string {
-	m := s.machines[random.IntN(len(s.machines))]
-	span := time.Duration(200+random.IntN(2500)) * time.Millisecond
-	later := func(fn func()) {
-		s.group.Go(func() {
+// injectFault injects one fault and returns a description of it.
+func (d *deployment) injectFault(random *rand.Rand) string {
+	m := d.machines[random.IntN(len(d.machines))]
+	duration := time.Duration(200+random.IntN(2500)) * time.Millisecond
+	afterDuration := func(fn func()) {
+		d.group.Go(func() {
 			select {
-			case <-time.After(span):
-			case <-s.live.Done():
+			case <-time.After(duration):
+			case <-d.running.Done():
 			}
 			fn()
 		})
@@ -195,44 +200,43 @@
 		return "stop " + m.name
 	case 2:
 		m.signal(syscall.SIGSTOP)
-		later(func() { m.signal(syscall.SIGCONT) })
-		return fmt.Sprintf("freeze %s for %v", m.name, span)
+		afterDuration(func() { m.signal(syscall.SIGCONT) })
+		return fmt.Sprintf("freeze %s for %v", m.name, duration)
 	case 3:
-		s.store.Fail(standin.Busy)
-		later(func() { s.store.Fail(standin.Serving) })
-		return fmt.Sprintf("store busy for %v", span)
+		d.store.Fail(standin.Busy)
+		afterDuration(func() { d.store.Fail(standin.Serving) })
+		return fmt.Sprintf("store busy for %v", duration)
 	case 4:
-		s.store.Fail(standin.Losing)
-		later(func() { s.store.Fail(standin.Serving) })
-		return fmt.Sprintf("store loses answers for %v", span)
+		d.store.Fail(standin.Losing)
+		afterDuration(func() { d.store.Fail(standin.Serving) })
+		return fmt.Sprintf("store loses responses for %v", duration)
 	case 5:
-		m.proxy.set(cutOff)
-		later(func() { m.proxy.set(passing) })
-		return fmt.Sprintf("%s cut off from the store for %v", m.name, span)
+		m.proxy.setMode(proxyResetting)
+		afterDuration(func() { m.proxy.setMode(proxyForwarding) })
+		return fmt.Sprintf("%s cut off from the store for %v", m.name, duration)
 	case 6:
-		m.proxy.set(silent)
-		later(func() { m.proxy.set(passing) })
-		return fmt.Sprintf("%s silent to the store for %v", m.name, span)
+		m.proxy.setMode(proxySilent)
+		afterDuration(func() { m.proxy.setMode(proxyForwarding) })
+		return fmt.Sprintf("calls of %s to the store hang for %v", m.name, duration)
 	default:
-		r := s.runners[random.IntN(len(s.runners))]
+		r := d.runners[random.IntN(len(d.runners))]
 		r.Begin(clock.Steady())
 		return "restart the runner of " + r.Name
 	}
 }
 
-// heal ends all faults.
-func (s *site) heal() {
-	s.store.Fail(standin.Serving)
-	for _, m := range s.machines {
-		m.proxy.set(passing)
+func (d *deployment) endFaults() {
+	d.store.Fail(standin.Serving)
+	for _, m := range d.machines {
+		m.proxy.setMode(proxyForwarding)
 		m.signal(syscall.SIGCONT)
 	}
 }
 
-// beat sends a runner's heartbeats and lets its tasks go on.
-func (s *site) beat(r *standin.Runner, ip string) {
+// driveRunner sends a runner's heartbeats and advances its tasks.
+func (d *deployment) driveRunner(r *standin.Runner, ip string) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for n := 0; s.live.Err() == nil; n++ {
+	for n := 0; d.running.Err() == nil; n++ {
 		r.Step(clock.Steady())
 		if n%25 == 0 {
 			body, _ := json.Marshal(map[string]any{
@@ -240,61 +244,62 @@
 				"capacity": map[string]int{"cpu": 8000, "mem-mb": 32000},
 			})
 			url := fmt.Sprintf("http://%s:%d/v1/instances/%s/heartbeat", ip, portControl, r.Name)
-			if answer, err := client.Post(url, "application/json", bytes.NewReader(body)); err == nil {
-				_ = answer.Body.Close()
+			if response, err := client.Post(url, "application/json", bytes.NewReader(body)); err == nil {
+				_ = response.Body.Close()
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// call sends a caller's request and returns its status, 0 without an answer, and the job's phase.
-func (s *site) call(ctx context.Context, method, entry, id, body string) (int, string) {
+// call sends a caller's request and returns the status of the response, or 0 if there
+// is none, and the job's phase.
+func (d *deployment) call(ctx context.Context, method, entry, id, body string) (int, string) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+entry+"/q/"+id, strings.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
 	r.Host = "soak"
 	r.Header.Set("Deadline-Ms", "1500")
-	answer, err := s.client.Do(r)
+	response, err := d.client.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	var state struct {
 		Phase string `json:"phase"`
 	}
-	data, err := io.ReadAll(answer.Body)
+	data, err := io.ReadAll(response.Body)
 	if err != nil || json.Unmarshal(data, &state) != nil {
 		return 0, ""
 	}
-	return answer.StatusCode, state.Phase
+	return response.StatusCode, state.Phase
 }
 
-// awaitReady waits until a first job has been completed.
-func (s *site) awaitReady(ctx context.Context, t *testing.T) {
+// awaitReady waits until a first job is completed.
+func (d *deployment) awaitReady(ctx context.Context, t *testing.T) {
 	t.Helper()
 	id := "ffffffffffffffff"
 	body := `{"task-spec":"x","steps":[{"count":1,"cpu":500}]}`
 	for ctx.Err() == nil {
-		s.call(ctx, http.MethodPost, s.entries[0], id, body)
-		if _, phase := s.call(ctx, http.MethodGet, s.entries[0], id, ""); phase == "completed" {
+		d.call(ctx, http.MethodPost, d.entries[0], id, body)
+		if _, phase := d.call(ctx, http.MethodGet, d.entries[0], id, ""); phase == "completed" {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("the system does not get ready")
+	t.Fatal("the first job was not completed: the deployment is not ready")
 }
 
-// keepLogs copies the logs of a failed seed to where they outlive the test.
-func (s *site) keepLogs(t *testing.T, seed uint64) {
+// keepLogs copies the logs of a failed seed to out/soak, where they outlive the test.
+func (d *deployment) keepLogs(t *testing.T, seed uint64) {
 	t.Helper()
 	dir := filepath.Join("..", "out", "soak", fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Error(err)
 		return
 	}
-	for _, m := range s.machines {
+	for _, m := range d.machines {
 		data, err := os.ReadFile(m.log.Name())
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, m.name+".log"), data, 0o600)
@@ -306,7 +311,7 @@
 	t.Logf("logs are in %s", dir)
 }
 
-// newRunner returns a runner whose tasks take a moment.
+// newRunner returns a runner whose tasks work for 150 ms.
 func newRunner(name string, history *product.History) *standin.Runner {
 	return &standin.Runner{TaskRunner: product.TaskRunner{Name: name, Work: 150 * time.Millisecond, History: history}}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// proxyMode says what a proxy does with connections.
+// proxyMode is what a proxy does with connections.
 type proxyMode int
 
 const (
-	passing proxyMode = iota
-	// cutOff resets connections and takes no new ones.
-	cutOff
-	// silent keeps connections open and passes nothing on.
-	silent
+	proxyForwarding proxyMode = iota
+	// proxyResetting resets connections, and closes new ones at once.
+	proxyResetting
+	// proxySilent keeps connections open and forwards nothing.
+	proxySilent
 )
 
-// proxy stands between one process and the store.
+// proxy forwards the connections of one process to the store. modeChanged is closed
+// when the mode changes.
 type proxy struct {
 	address string
 
-	mu    sync.Mutex
-	mode  proxyMode
-	conns map[net.Conn]bool
-	woken chan struct{}
+	mu          sync.Mutex
+	mode        proxyMode
+	conns       map[net.Conn]bool
+	modeChanged chan struct{}
 }
 
 func newProxy(t *testing.T, target string) *proxy {
@@ -34,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{address: ln.Addr().String(), conns: make(map[net.Conn]bool), woken: make(chan struct{})}
+	p := &proxy{address: ln.Addr().String(), conns: make(map[net.Conn]bool), modeChanged: make(chan struct{})}
 	var group sync.WaitGroup
 	group.Go(func() {
 		for {
@@ -42,24 +43,24 @@
 			if err != nil {
 				return
 			}
-			group.Go(func() { p.carry(&group, c, target) })
+			group.Go(func() { p.forward(&group, c, target) })
 		}
 	})
 	t.Cleanup(func() {
 		_ = ln.Close()
-		p.set(cutOff)
+		p.setMode(proxyResetting)
 		group.Wait()
 	})
 	return p
 }
 
-func (p *proxy) set(mode proxyMode) {
+func (p *proxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	close(p.woken)
-	p.woken = make(chan struct{})
-	if mode == cutOff {
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
+	if mode == proxyResetting {
 		for c := range p.conns {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
@@ -69,16 +70,17 @@
 	}
 }
 
-// pass waits while the proxy is silent and reports whether bytes may pass.
-func (p *proxy) pass() bool {
+// waitToForward waits while the proxy is silent and reports whether bytes may be
+// forwarded.
+func (p *proxy) waitToForward() bool {
 	for {
 		p.mu.Lock()
-		mode, woken := p.mode, p.woken
+		mode, changed := p.mode, p.modeChanged
 		p.mu.Unlock()
-		if mode != silent {
-			return mode == passing
+		if mode != proxySilent {
+			return mode == proxyForwarding
 		}
-		<-woken
+		<-changed
 	}
 }
 
@@ -92,11 +94,12 @@
 	}
 }
 
-func (p *proxy) carry(group *sync.WaitGroup, c net.Conn, target string) {
+// forward forwards one connection in both directions until it ends.
+func (p *proxy) forward(group *sync.WaitGroup, c net.Conn, target string) {
 	p.track(c, true)
 	defer p.track(c, false)
 	defer func() { _ = c.Close() }()
-	if !p.pass() {
+	if !p.waitToForward() {
 		return
 	}
 	to, err := net.DialTimeout("tcp", target, time.Second)
@@ -106,16 +109,16 @@
 	p.track(to, true)
 	defer p.track(to, false)
 	defer func() { _ = to.Close() }()
-	group.Go(func() { p.copy(to, c) })
-	p.copy(c, to)
+	group.Go(func() { p.copyBytes(to, c) })
+	p.copyBytes(c, to)
 }
 
-func (p *proxy) copy(to, from net.Conn) {
+func (p *proxy) copyBytes(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.pass() {
+		if n > 0 && !p.waitToForward() {
 			return
 		}
 		if n > 0 {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak runs the real programs as separate processes against stand-ins of
-// the platform, injects faults from outside, and checks what callers and runners see.
+// Package soak runs the real programs as separate processes against stand-ins of the
+// platform, injects faults from outside, and checks what callers and runners see.
 package soak
 
 import (
@@ -17,19 +17,20 @@
 	"time"
 )
 
-// ciSeeds run with every test; the others of SOAK_SEEDS follow from SOAK_SEED on.
-// Seeds that ever failed stay in testdata/regressions.txt.
+// ciSeeds run with every test, together with the seeds that once failed, which are in
+// testdata/regressions.txt. SOAK_SEEDS runs that many seeds from SOAK_SEED on instead.
 const ciSeeds = "1"
 
-// settleTime is how long accepted jobs may take after the last fault: the longest
-// wait for a lost dispatcher's workers is 15.5 s, and a job takes a second.
-const settleTime = 60 * time.Second
+// maxSettleTime is how long accepted jobs may take to be completed after the last
+// fault. The longest wait for the workers of a lost dispatcher is 15.5 s, and a job
+// takes a second.
+const maxSettleTime = 60 * time.Second
 
-// visibleAfter is when every entry must know an accepted job.
+// visibleAfter is how long after its acceptance every entry must know a job.
 const visibleAfter = 3 * time.Second
 
-// faultTime is how long faults are injected in one seed.
-const faultTime = 8 * time.Second
+// faultDuration is how long faults are injected for one seed.
+const faultDuration = 8 * time.Second
 
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
@@ -69,7 +70,7 @@
 	total := result{}
 	for _, seed := range seeds(t) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			r := play(t, program, seed)
+			r := runSeed(t, program, seed)
 			total.Seeds++
 			total.Violations += r.Violations
 			total.Faults += r.Faults
@@ -83,7 +84,7 @@
 	fmt.Println(string(line))
 }
 
-// result is what a soak prints.
+// result is the summary that a soak test prints.
 type result struct {
 	Seeds      int `json:"seeds"`
 	Violations int `json:"violations"`
@@ -91,90 +92,92 @@
 	Jobs       int `json:"jobs"`
 }
 
-// fate is what a caller knows of a job.
-type fate struct {
+// jobOutcome is what the caller of a job knows of it.
+type jobOutcome struct {
 	accepted bool
-	// at is when the answer arrived.
-	at time.Time
-	// unknown is set once an attempt had no definite answer.
+	// acceptedAt is when the response arrived that accepted the job.
+	acceptedAt time.Time
+	// unknown is set once an attempt to submit had no definite response.
 	unknown bool
 }
 
-// play runs one seed.
-func play(t *testing.T, program string, seed uint64) result {
+// runSeed submits jobs and injects faults for one seed, and checks what callers,
+// runners and log lines show.
+func runSeed(t *testing.T, program string, seed uint64) result {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 1))
-	s := newSite(t, program, seed)
+	d := newDeployment(t, program, seed)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
-	s.awaitReady(ctx, t)
-	jobs := make(map[string]*fate)
+	d.awaitReady(ctx, t)
+	jobs := make(map[string]*jobOutcome)
 	r := result{}
-	end := time.Now().Add(faultTime)
+	end := time.Now().Add(faultDuration)
 	for n := 0; time.Now().Before(end); n++ {
 		id := fmt.Sprintf("%016x", seed<<32|uint64(n))
-		jobs[id] = &fate{}
-		s.submit(ctx, random, id, jobs[id])
+		jobs[id] = &jobOutcome{}
+		d.submit(ctx, random, id, jobs[id])
 		if random.IntN(6) == 0 {
-			what := s.fault(random)
+			what := d.injectFault(random)
 			t.Logf("%s: %s", time.Now().Format(time.StampMilli), what)
 			r.Faults++
 		}
 		time.Sleep(time.Duration(30+random.IntN(80)) * time.Millisecond)
 	}
-	s.heal()
+	d.endFaults()
 	r.Jobs = len(jobs)
-	for _, v := range append(s.check(ctx, jobs), s.tellStories(ctx, seed)...) {
+	for _, v := range append(d.check(ctx, jobs), d.checkLogs(ctx, seed)...) {
 		r.Violations++
 		t.Errorf("seed %d: %s", seed, v)
 	}
 	if t.Failed() {
-		s.keepLogs(t, seed)
+		d.keepLogs(t, seed)
 	}
 	return r
 }
 
-// submit hands a job in at one entry after another, as a caller does.
-func (s *site) submit(ctx context.Context, random *rand.Rand, id string, f *fate) {
-	body := `{"task-spec":"` + secret + `","steps":[{"count":3,"cpu":500,"est-runtime-ms":150},{"count":1,"cpu":500,"after":[0],"est-runtime-ms":150}]}`
+// submit submits a job at up to three random entries until one accepts it, as a
+// caller does.
+func (d *deployment) submit(ctx context.Context, random *rand.Rand, id string, outcome *jobOutcome) {
+	body := `{"task-spec":"` + payloadMarker + `","steps":[{"count":3,"cpu":500,"est-runtime-ms":150},{"count":1,"cpu":500,"after":[0],"est-runtime-ms":150}]}`
 	for range 3 {
-		status, _ := s.call(ctx, http.MethodPost, s.entries[random.IntN(len(s.entries))], id, body)
+		status, _ := d.call(ctx, http.MethodPost, d.entries[random.IntN(len(d.entries))], id, body)
 		switch status {
 		case http.StatusOK:
-			f.accepted, f.at = true, time.Now()
+			outcome.accepted, outcome.acceptedAt = true, time.Now()
 			return
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		default:
-			f.unknown = true
+			outcome.unknown = true
 		}
 	}
 }
 
-// check waits until accepted jobs are completed and returns what was promised and not kept.
-func (s *site) check(ctx context.Context, jobs map[string]*fate) []string {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// check waits until accepted jobs are completed and returns the violations found.
+func (d *deployment) check(ctx context.Context, jobs map[string]*jobOutcome) []string {
+	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	var out []string
-	for id, f := range jobs {
+	for id, outcome := range jobs {
 		phase := ""
-		for f.accepted && phase != "completed" && ctx.Err() == nil {
-			asked := time.Now()
+		for outcome.accepted && phase != "completed" && ctx.Err() == nil {
+			requestedAt := time.Now()
 			var status int
-			status, phase = s.call(ctx, http.MethodGet, s.entries[len(phase)%len(s.entries)], id, "")
-			if status == http.StatusGone && asked.Sub(f.at) > visibleAfter {
-				out = append(out, fmt.Sprintf("accepted job %s is not known %v after its acceptance", id, time.Since(f.at)))
+			status, phase = d.call(ctx, http.MethodGet, d.entries[len(phase)%len(d.entries)], id, "")
+			if status == http.StatusGone && requestedAt.Sub(outcome.acceptedAt) > visibleAfter {
+				out = append(out, fmt.Sprintf("accepted job %s is not known %v after its acceptance", id, time.Since(outcome.acceptedAt)))
 				break
 			}
 			if phase != "completed" {
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		if f.accepted && phase != "completed" {
+		if outcome.accepted && phase != "completed" {
 			out = append(out, fmt.Sprintf("accepted job %s is %q", id, phase))
 		}
-		if !f.accepted && !f.unknown && s.history.Started(id) {
+		if !outcome.accepted && !outcome.unknown && d.history.Started(id) {
 			out = append(out, "refused job "+id+" ran")
 		}
 	}
-	return append(out, s.history.Broken()...)
+	return append(out, d.history.Broken()...)
 }
