--- a/internal/entry/door.go
+++ b/internal/entry/api.go
@@ -14,10 +14,10 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// HeaderTeam names the caller's team at a door that needs no token.
+// HeaderTeam names the caller's team on an entry that requires no token.
 const HeaderTeam = "Savoryhoist-Team"
 
-func (e *Entry) doorHandler() http.Handler {
+func (e *Entry) apiHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/services/{service}/", e.serveRequest)
 	mux.HandleFunc("POST /jobs", e.serveSubmit)
@@ -32,7 +32,7 @@
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if !e.Ready(time.Now()) {
-			problem.New(http.StatusServiceUnavailable, "", "no bundle in force, or leaving").Write(w)
+			problem.New(http.StatusServiceUnavailable, "", "the entry is starting or draining").Write(w)
 		}
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -41,7 +41,7 @@
 	return mux
 }
 
-// team returns the caller's team, or writes a refusal.
+// team returns the caller's team, or responds with an error.
 func (e *Entry) team(w http.ResponseWriter, r *http.Request, d *bundle.Document) (*bundle.Team, bool) {
 	if r.TLS != nil {
 		return teamOfPeer(w, r, d)
@@ -50,7 +50,7 @@
 		if t, ok := d.Team(r.Header.Get(HeaderTeam)); ok {
 			return t, true
 		}
-		problem.New(http.StatusForbidden, HeaderTeam, "want the name of a team in the bundle").Write(w)
+		problem.New(http.StatusForbidden, HeaderTeam, "must be the name of a team in the bundle in force").Write(w)
 		return nil, false
 	}
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -60,16 +60,17 @@
 			return t, true
 		}
 	}
-	problem.New(http.StatusUnauthorized, "Authorization", "want a bearer token of a team in the bundle").Write(w)
+	problem.New(http.StatusUnauthorized, "Authorization", "must be a bearer token of a team in the bundle in force").Write(w)
 	return nil, false
 }
 
-// teamOfPeer returns the team for which another entry sends a request.
+// teamOfPeer returns the team on whose behalf another entry sends a request, or responds
+// with an error.
 func teamOfPeer(w http.ResponseWriter, r *http.Request, d *bundle.Document) (*bundle.Team, bool) {
 	peer, err := link.PeerOfRequest(r)
 	t, ok := d.Team(r.Header.Get(link.HeaderCallerTeam))
 	if err != nil || peer.Role() != link.RoleEntry || !ok {
-		problem.New(http.StatusForbidden, link.HeaderCallerTeam, "want an entry's certificate and a team in the bundle").Write(w)
+		problem.New(http.StatusForbidden, link.HeaderCallerTeam, "requires an entry's certificate and the name of a team in the bundle in force").Write(w)
 		return nil, false
 	}
 	return t, true
--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -16,23 +16,25 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// maxBundle bounds a signed bundle, in bytes.
-const maxBundle = 4 << 20
+// maxBundleBytes bounds the encoded size of a signed bundle.
+const maxBundleBytes = 4 << 20
 
-// maxPublishing is the most bundles that are being published through one entry at once.
-const maxPublishing = 8
+// maxConcurrentPublishes is the most bundles that one entry publishes at the same time.
+const maxConcurrentPublishes = 8
 
-// maxContents is the most contents of earlier bundles kept to answer with differences.
-const maxContents = 4
+// maxKeptContents is the most recent bundle contents that are kept as bases for compressed
+// replies.
+const maxKeptContents = 4
 
-// bundles is the entry's state of bundles.
-type bundles struct {
+// bundleState is what an entry knows of bundles.
+type bundleState struct {
 	chain *bundle.Chain
-	// contents are the documents of the newest versions, the newest last.
+	// contents are the encoded documents of the newest versions, newest last.
 	contents []bundleContent
-	// packed is the answer to the last asker, by the digest that it had.
-	packed map[string]*link.BundleReply
-	// publishing counts the publications under way.
+	// replies caches the reply to a bundle query by the digest of the base it is
+	// compressed against; an empty digest means no base.
+	replies map[string]*link.BundleReply
+	// publishing counts the publications in progress.
 	publishing int
 }
 
@@ -41,16 +43,17 @@
 	content []byte
 }
 
-// moved notes that another bundle has come in force; bundleMu is held.
-func (b *bundles) moved() {
-	b.packed = make(map[string]*link.BundleReply)
+// recordChange stores the contents of a bundle that has just come in force and empties the
+// cache of replies; bundleMu is held.
+func (b *bundleState) recordChange() {
+	b.replies = make(map[string]*link.BundleReply)
 	b.contents = append(b.contents, bundleContent{digest: b.chain.Digest(), content: b.chain.Signed().Content()})
-	if len(b.contents) > maxContents {
+	if len(b.contents) > maxKeptContents {
 		b.contents = b.contents[1:]
 	}
 }
 
-func (b *bundles) content(digest string) []byte {
+func (b *bundleState) content(digest string) []byte {
 	for _, c := range b.contents {
 		if c.digest == digest {
 			return c.content
@@ -59,8 +62,8 @@
 	return nil
 }
 
-// reply returns the answer to an asker that has the bundle with digest have.
-func (b *bundles) reply(have string) (*link.BundleReply, error) {
+// reply returns the reply to a peer that has the bundle with digest have.
+func (b *bundleState) reply(have string) (*link.BundleReply, error) {
 	proof := b.chain.Proof()
 	if proof == nil || have == b.chain.Digest() {
 		return &link.BundleReply{}, nil
@@ -69,10 +72,10 @@
 	if base == nil {
 		have = ""
 	}
-	if r, ok := b.packed[have]; ok {
+	if r, ok := b.replies[have]; ok {
 		return r, nil
 	}
-	signed, lineage, err := proof.Encode()
+	signed, operatorChanges, err := proof.Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -80,18 +83,18 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &link.BundleReply{Packed: packed, Base: have, Lineage: lineage, Covers: proof.EndOffset()}
-	b.packed[have] = r
+	r := &link.BundleReply{Packed: packed, Base: have, Lineage: operatorChanges, Covers: proof.EndOffset()}
+	b.replies[have] = r
 	return r, nil
 }
 
-func (e *Entry) answerBundle(_ context.Context, _ link.Peer, q *link.BundleQuery) (*link.BundleReply, error) {
+func (e *Entry) handleBundleQuery(_ context.Context, _ link.Peer, q *link.BundleQuery) (*link.BundleReply, error) {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
 	return e.bundle.reply(q.Have)
 }
 
-// deliverBundles takes in the records of the bundles stream.
+// deliverBundles processes records read from the bundles stream.
 func (e *Entry) deliverBundles(records []record.Record, next uint64, _ time.Time) {
 	now := time.Now()
 	for _, r := range records {
@@ -99,12 +102,12 @@
 		if !ok {
 			continue
 		}
-		digest := e.takeBundle(r.Position().Offset(), m)
+		digest := e.applyBundle(r.Position().Offset(), m)
 		e.bundleMu.Lock()
 		inForce := digest != "" && digest == e.bundle.chain.Digest()
 		e.bundleMu.Unlock()
 		if inForce && m.CarriedForward {
-			e.carried.bundleCopied(now, writtenAt(m.WrittenMS), m.EndOffset)
+			e.carriedForward.noteBundleCopy(now, writtenAt(m.WrittenMS), m.EndOffset)
 		}
 	}
 	e.bundleMu.Lock()
@@ -112,13 +115,14 @@
 	e.bundleMu.Unlock()
 }
 
-// bundlesLost is called when bundles were lost to retention: which one came in
-// force is then known from the next one that was carried forward.
-func (e *Entry) bundlesLost(_ context.Context, page record.Page) uint64 {
+// bundlesExpired is called when the next bundles to read have been dropped by the log's
+// retention. Which bundle is in force is then known from the next one that was carried
+// forward.
+func (e *Entry) bundlesExpired(_ context.Context, page record.Page) uint64 {
 	e.bundleMu.Lock()
 	e.bundle.chain.NoteGap(page.FirstOffset)
 	e.bundleMu.Unlock()
-	e.log.Info().Uint64("first", page.FirstOffset).Msg("reading bundles from the first offset kept")
+	e.log.Info().Uint64("first", page.FirstOffset).Msg("the log's retention dropped the next bundles; reading on at the first offset kept")
 	return page.FirstOffset
 }
 
@@ -129,8 +133,9 @@
 	return time.UnixMilli(ms)
 }
 
-// takeBundle offers a record's bundle to the chain and returns its digest, or "".
-func (e *Entry) takeBundle(at uint64, m *record.Bundle) string {
+// applyBundle offers the bundle in a record to the chain and returns its digest, or "" if
+// it cannot be decoded.
+func (e *Entry) applyBundle(at uint64, m *record.Bundle) string {
 	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
 		e.log.Warn().Err(err).Str("decision", "refuse-bundle").Msg("")
@@ -144,12 +149,12 @@
 	return bundle.Digest(proof.Signed().Content())
 }
 
-// offerBundle lets offer move the chain and logs what came of it.
+// offerBundle calls offer on the chain of bundles and logs whether the bundle was accepted.
 func (e *Entry) offerBundle(offer func(*bundle.Chain) error, source string) {
 	e.bundleMu.Lock()
 	err := offer(e.bundle.chain)
 	if err == nil {
-		e.bundle.moved()
+		e.bundle.recordChange()
 	}
 	version, digest := e.bundle.chain.Version(), e.bundle.chain.Digest()
 	e.bundleMu.Unlock()
@@ -162,31 +167,32 @@
 	}
 }
 
-// BundleResult is the JSON form of what became of a published bundle.
+// BundleResult is the JSON form of the result of publishing a bundle.
 type BundleResult struct {
 	Accepted bool   `json:"accepted"`
 	Version  uint64 `json:"version-in-force"`
 	Digest   string `json:"digest-in-force"`
-	// Winner is the digest of the bundle that came in force as this one's version.
+	// Winner is the digest of the bundle that came in force with the published bundle's
+	// version.
 	Winner string `json:"winner,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// publishWait bounds the wait until the bundle was read back from the log.
-const publishWait = 10 * time.Second
+// publishTimeout bounds the wait until a published bundle has been read back from the log.
+const publishTimeout = 10 * time.Second
 
-// publishPoll is how often the chain is looked at meanwhile.
-const publishPoll = 50 * time.Millisecond
+// publishPollInterval is how often the chain of bundles is polled meanwhile.
+const publishPollInterval = 50 * time.Millisecond
 
 func (e *Entry) servePublish(w http.ResponseWriter, r *http.Request) {
 	if !e.beginPublish() {
 		p := problem.New(http.StatusTooManyRequests, "", "too many bundles are being published")
-		p.RetryAfter = publishWait
+		p.RetryAfter = publishTimeout
 		p.Write(w)
 		return
 	}
 	defer e.endPublish()
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBundle))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBundleBytes))
 	if err != nil {
 		problem.New(http.StatusRequestEntityTooLarge, "body", "the bundle is too large").Write(w)
 		return
@@ -201,13 +207,13 @@
 		problem.New(http.StatusBadRequest, "bundle", err.Error()).Write(w)
 		return
 	}
-	if e.refusedBefore(w, r, signed, d) {
+	if e.respondWithoutAppend(w, r, signed, d) {
 		return
 	}
 	m := &record.Bundle{Signed: data, WrittenMS: time.Now().UnixMilli()}
-	if err := e.bundles.Append(r.Context(), m); err != nil {
-		p := problem.New(http.StatusServiceUnavailable, "", "the log is slow; publishing the same bundle again is safe")
-		p.RetryAfter = publishWait
+	if err := e.bundlesWriter.Append(r.Context(), m); err != nil {
+		p := problem.New(http.StatusServiceUnavailable, "", "the log did not accept the bundle in time; publishing the same bundle again is safe")
+		p.RetryAfter = publishTimeout
 		if errors.Is(err, record.ErrOutcomeUnknown) {
 			p.Outcome = problem.Unknown
 		}
@@ -220,7 +226,7 @@
 func (e *Entry) beginPublish() bool {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
-	if e.bundle.publishing >= maxPublishing {
+	if e.bundle.publishing >= maxConcurrentPublishes {
 		return false
 	}
 	e.bundle.publishing++
@@ -233,12 +239,12 @@
 	e.bundle.publishing--
 }
 
-// refusedBefore answers for a bundle that needs no append: one whose fate is
-// known or that could not come in force. A bundle whose parent is not in force
-// yet is waited for.
-func (e *Entry) refusedBefore(w http.ResponseWriter, r *http.Request, s *bundle.Signed, d *bundle.Document) bool {
-	for waited := time.Duration(0); ; waited += publishPoll {
-		if result, known := e.result(s, d); known {
+// respondWithoutAppend responds and returns true if a bundle need not be appended: its
+// result is known already, or it cannot come in force. While the bundle's parent is not in
+// force yet, it waits up to publishTimeout for it.
+func (e *Entry) respondWithoutAppend(w http.ResponseWriter, r *http.Request, s *bundle.Signed, d *bundle.Document) bool {
+	for waited := time.Duration(0); ; waited += publishPollInterval {
+		if result, known := e.publishResult(s, d); known {
 			writeResult(w, result)
 			return true
 		}
@@ -248,15 +254,15 @@
 		if err == nil {
 			return false
 		}
-		if !errors.Is(err, bundle.ErrNoParent) || waited >= publishWait || !delay.For(r.Context(), publishPoll) {
+		if !errors.Is(err, bundle.ErrNoParent) || waited >= publishTimeout || !delay.For(r.Context(), publishPollInterval) {
 			problem.New(http.StatusConflict, "bundle", err.Error()).Write(w)
 			return true
 		}
 	}
 }
 
-// result returns what became of a bundle, if that is known.
-func (e *Entry) result(s *bundle.Signed, d *bundle.Document) (BundleResult, bool) {
+// publishResult returns the result of publishing a bundle, if it is known.
+func (e *Entry) publishResult(s *bundle.Signed, d *bundle.Document) (BundleResult, bool) {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
 	c := e.bundle.chain
@@ -266,10 +272,10 @@
 		r.Accepted = true
 		return r, true
 	case r.Winner != "":
-		r.Detail = "another bundle of this version came first"
+		r.Detail = "another bundle with this version came in force first"
 		return r, true
 	case r.Version >= d.Version:
-		r.Detail = "a newer bundle is in force; which one came in force as this version is not known here"
+		r.Detail = "a newer bundle is in force; this entry does not know which bundle came in force with this version"
 		return r, true
 	}
 	return r, false
@@ -283,14 +289,14 @@
 	writeJSON(w, status, r)
 }
 
-// awaitVersion answers with what became of an appended bundle.
+// awaitVersion waits until the result of an appended bundle is known and responds with it.
 func (e *Entry) awaitVersion(w http.ResponseWriter, r *http.Request, s *bundle.Signed, d *bundle.Document) {
-	for waited := time.Duration(0); waited < publishWait; waited += publishPoll {
-		if result, known := e.result(s, d); known {
+	for waited := time.Duration(0); waited < publishTimeout; waited += publishPollInterval {
+		if result, known := e.publishResult(s, d); known {
 			writeResult(w, result)
 			return
 		}
-		if !delay.For(r.Context(), publishPoll) {
+		if !delay.For(r.Context(), publishPollInterval) {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/entry/bundle_fetch.go
@@ -0,0 +1,67 @@
+package entry
+
+import (
+	"context"
+	"time"
+
+	"savoryhoist.example/savoryhoist/internal/link"
+	"savoryhoist.example/savoryhoist/pkg/bundle"
+
+	"savoryhoist.example/savoryhoist/internal/delay"
+)
+
+// Times of fetching bundles from agents.
+const (
+	// bundleFetchTimeout bounds one fetch.
+	bundleFetchTimeout = 2 * time.Second
+	// minBundleFetchInterval is the least time between two fetches.
+	minBundleFetchInterval = 500 * time.Millisecond
+)
+
+// noteNewerBundle queues a fetch from an agent that has a newer bundle in force than this
+// entry. Agents can be ahead while the log is down, and after the entry's start until it has
+// read the bundles stream.
+func (e *Entry) noteNewerBundle(h *link.Heartbeat, version uint64) {
+	if h.BundleVersion <= version {
+		return
+	}
+	select {
+	case e.newerBundleAgents <- h.Address:
+	default:
+	}
+}
+
+// fetchNewerBundles fetches newer bundles from agents until ctx ends.
+func (e *Entry) fetchNewerBundles(ctx context.Context) {
+	for {
+		select {
+		case address := <-e.newerBundleAgents:
+			e.fetchBundleFrom(ctx, address)
+		case <-ctx.Done():
+			return
+		}
+		if !delay.For(ctx, minBundleFetchInterval) {
+			return
+		}
+	}
+}
+
+// fetchBundleFrom fetches the bundle of one agent and adopts it if its signatures are valid.
+func (e *Entry) fetchBundleFrom(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, bundleFetchTimeout)
+	defer cancel()
+	var reply link.BundleReply
+	if err := e.agentClient.Call(ctx, address, link.PathBundle, &link.BundleQuery{}, &reply); err != nil {
+		e.log.Warn().Err(err).Str("agent", address).Msg("fetching a newer bundle failed")
+		return
+	}
+	if len(reply.Signed) == 0 {
+		return
+	}
+	proof, err := bundle.DecodeProof(reply.Signed, reply.Lineage, reply.Covers)
+	if err != nil {
+		e.log.Warn().Err(err).Str("decision", "refuse-bundle").Str("source", address).Msg("")
+		return
+	}
+	e.offerBundle(func(c *bundle.Chain) error { return c.Adopt(proof) }, address)
+}
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -11,43 +11,43 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// maxCancelled is the most jobs that one call cancels.
-const maxCancelled = 10000
+// maxCancelledJobs is the most jobs that one request cancels.
+const maxCancelledJobs = 10000
 
-// Cancellation is the JSON form of a wave of cancellations.
+// Cancellation is the JSON form of a request that cancels many jobs.
 type Cancellation struct {
 	Jobs []string `json:"jobs"`
 }
 
-// CancellationResult says what became of a wave of cancellations.
+// CancellationResult is the JSON form of the response to a Cancellation.
 type CancellationResult struct {
 	Accepted []string `json:"accepted"`
-	// Unknown are jobs that the team does not have.
+	// Unknown are ids of jobs that the team does not have.
 	Unknown []string `json:"unknown,omitempty"`
-	// Repeat are jobs whose data centre did not answer or whose cancellation is
-	// not known to be in the log; cancelling them again is safe.
+	// Repeat are jobs whose data centre did not answer or whose cancellation is not known
+	// to be in the log. Cancelling them again is safe.
 	Repeat []string `json:"repeat,omitempty"`
 }
 
-// serveCancelMany cancels many jobs with one record for each data centre.
+// serveCancelMany cancels many jobs by appending one record for each data centre.
 func (e *Entry) serveCancelMany(w http.ResponseWriter, r *http.Request) {
-	d, team, ok := e.caller(w, r)
+	d, team, ok := e.authenticateCaller(w, r)
 	if !ok {
 		return
 	}
 	var c Cancellation
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBody)).Decode(&c); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBodyBytes)).Decode(&c); err != nil {
 		problem.New(http.StatusBadRequest, "body", err.Error()).Write(w)
 		return
 	}
-	if len(c.Jobs) == 0 || len(c.Jobs) > maxCancelled {
-		problem.New(http.StatusBadRequest, "jobs", "want 1 to 10000 job ids").Write(w)
+	if len(c.Jobs) == 0 || len(c.Jobs) > maxCancelledJobs {
+		problem.New(http.StatusBadRequest, "jobs", "must be 1 to 10000 job ids").Write(w)
 		return
 	}
-	result, homes := e.sortByHome(r.Context(), e.dataCentres(d), team.Name, c.Jobs)
+	result, homes := e.groupByDataCentre(r.Context(), e.dataCentres(d), team.Name, c.Jobs)
 	for home, ids := range homes {
 		m := &record.Cancel{Jobs: ids, AtMS: time.Now().UnixMilli()}
-		if p := appendTo(r.Context(), e.jobsWriter(home), m); p != nil {
+		if p := appendRecord(r.Context(), e.jobsWriter(home), m); p != nil {
 			result.Repeat = append(result.Repeat, ids...)
 			continue
 		}
@@ -58,22 +58,22 @@
 	writeJSON(w, http.StatusAccepted, result)
 }
 
-// sortByHome sorts jobs by the data centre that has them. Those that are found
-// nowhere are unknown, or to be repeated if some data centre did not answer.
-func (e *Entry) sortByHome(ctx context.Context, dataCentres []string, team string, ids []string) (CancellationResult, map[string][]string) {
-	homeOf := make(map[string]string)
+// groupByDataCentre groups jobs by the data centre that has them. Jobs that are not found
+// are reported as unknown, or as to be repeated if some data centre did not answer.
+func (e *Entry) groupByDataCentre(ctx context.Context, dataCentres []string, team string, ids []string) (CancellationResult, map[string][]string) {
+	dataCentreOf := make(map[string]string)
 	complete := true
 	for _, name := range dataCentres {
-		views, _, p := e.askJobs(ctx, name, team, "")
+		views, _, p := e.queryJobs(ctx, name, team, "")
 		complete = complete && p == nil
 		for i := range views {
-			homeOf[views[i].ID] = name
+			dataCentreOf[views[i].ID] = name
 		}
 	}
 	result := CancellationResult{Accepted: []string{}}
 	homes := make(map[string][]string)
 	for _, id := range ids {
-		home, ok := homeOf[id]
+		home, ok := dataCentreOf[id]
 		switch {
 		case ok:
 			homes[home] = append(homes[home], id)
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -2,11 +2,11 @@
 
 import "net/http"
 
-// closeWhenLeaving ends callers' connections after their answers once the entry
-// leaves, so that none is idle when the door is shut.
-func (e *Entry) closeWhenLeaving(next http.Handler) http.Handler {
+// closeWhenDraining closes callers' connections after the response once the entry is
+// draining, so that no idle connection is left when the server shuts down.
+func (e *Entry) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.leaving.Load() {
+		if e.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/entry/failover.go
+++ b/internal/entry/failover.go
@@ -13,41 +13,41 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// failoverEvery is how often an entry looks for lost data centres.
-const failoverEvery = time.Second
+// failoverInterval is how often an entry checks for lost data centres.
+const failoverInterval = time.Second
 
-// failover follows the stream of jobs of one lost data centre.
+// failover reads the jobs stream of one lost data centre and moves its jobs here.
 type failover struct {
 	dataCentre string
 	stop       context.CancelFunc
 
-	// mu guards what follows. It is taken after jobs.mu.
-	mu      sync.Mutex
-	fold    job.StateMachine
-	began   time.Time
-	decider job.Failover
+	// mu guards the fields below. It is taken after jobs.mu.
+	mu            sync.Mutex
+	state         job.StateMachine
+	lastReadBegan time.Time
+	decider       job.Failover
 }
 
-// failOver moves the jobs of lost data centres here until ctx ends. Of the
-// entries of a data centre, the one ranked first does it.
+// failOver moves jobs of lost data centres to this one until ctx ends. Of the entries of a
+// data centre, the one that ranks first by rendezvous hashing does it.
 func (e *Entry) failOver(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
 	running := make(map[string]*failover)
-	for delay.For(ctx, failoverEvery) {
+	for delay.For(ctx, failoverInterval) {
 		d := e.document()
-		if d == nil || e.leaving.Load() {
+		if d == nil || e.draining.Load() {
 			continue
 		}
 		now := time.Now()
-		lost, left := e.lostDataCentres(d)
+		lost, remaining := e.lostDataCentres(d)
 		for _, name := range lost {
 			if running[name] == nil && e.ranksFirst(now, name) {
 				running[name] = e.startFailover(ctx, &group, name)
 			}
 		}
 		for name, f := range running {
-			if !e.advanceFailover(now, f, left) && !slices.Contains(lost, name) {
+			if !e.advanceFailover(now, f, remaining) && !slices.Contains(lost, name) {
 				f.stop()
 				delete(running, name)
 				e.log.Info().Str("decision", "end-failover").Str("data-centre", name).Str("reason", "the data centre is back").Msg("")
@@ -57,19 +57,19 @@
 }
 
 func (e *Entry) ranksFirst(now time.Time, lost string) bool {
-	return rank(e.settings.Name, "failover/"+lost, e.neighbours(now)) == 0
+	return rendezvousRank(e.settings.Name, "failover/"+lost, e.localEntries(now)) == 0
 }
 
 func (e *Entry) startFailover(ctx context.Context, group *sync.WaitGroup, name string) *failover {
 	ctx, stop := context.WithCancel(ctx)
 	f := &failover{dataCentre: name, stop: stop}
-	tail := e.tail(JobsStream(name), f.deliver)
+	tail := e.newStreamReader(JobsStream(name), f.deliver)
 	tail.Expired = func(ctx context.Context, page record.Page) uint64 {
 		return e.recoverStream(ctx, JobsStream(name), page, f.restore)
 	}
 	group.Go(func() { tail.Run(ctx) })
 	e.log.Info().Str("decision", "start-failover").Str("data-centre", name).
-		Str("reason", "no entry of it has refreshed its membership").Msg("")
+		Str("reason", "no entry of it has refreshed its membership record").Msg("")
 	return f
 }
 
@@ -77,40 +77,40 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range records {
-		_ = f.fold.Apply(r) // void records change nothing
+		_ = f.state.Apply(r) // records without effect change nothing
 	}
-	f.fold.Advance(next)
+	f.state.Advance(next)
 	if !began.IsZero() {
-		f.began = began
+		f.lastReadBegan = began
 	}
 }
 
 func (f *failover) restore(parts []*record.Snapshot) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fold.Restore(parts)
+	return f.state.Restore(parts)
 }
 
-// advanceFailover queues the records that a failover calls for now, and
-// reports whether moves are still to be finished.
-func (e *Entry) advanceFailover(now time.Time, f *failover, left []string) bool {
+// advanceFailover queues the records that a failover requires now, and reports whether
+// moves are still unfinished.
+func (e *Entry) advanceFailover(now time.Time, f *failover, remaining []string) bool {
 	home := e.settings.DataCentre
-	heir := func(id string) string { return rendezvous(id, left) }
+	target := func(id string) string { return rendezvous(id, remaining) }
 	e.jobs.mu.Lock()
 	f.mu.Lock()
 	var there []record.Message
 	var here []*record.Submit
-	if !f.began.IsZero() && !e.jobs.began.IsZero() {
-		there, here = f.decider.Decide(now, &f.fold, &e.jobs.fold, home, heir)
+	if !f.lastReadBegan.IsZero() && !e.jobs.lastReadBegan.IsZero() {
+		there, here = f.decider.Decide(now, &f.state, &e.jobs.state, home, target)
 	}
-	pending := f.decider.Pending(now, &f.fold, &e.jobs.fold, home)
+	pending := f.decider.Pending(now, &f.state, &e.jobs.state, home)
 	f.mu.Unlock()
 	e.jobs.mu.Unlock()
 	e.queueAll(e.jobsWriter(f.dataCentre), there)
 	for _, m := range here {
 		e.log.Info().Str("decision", "move-job").Str("job", m.Spec.ID).Str("from", f.dataCentre).Str("to", home).
 			Str("reason", "its data centre is lost").Msg("")
-		e.queueAll(e.writer, []record.Message{m})
+		e.queueAll(e.localJobsWriter, []record.Message{m})
 	}
 	return pending
 }
@@ -120,6 +120,6 @@
 		return
 	}
 	if err := w.Enqueue(messages...); err != nil {
-		e.log.Warn().Err(err).Int("records", len(messages)).Msg("failover records not queued yet")
+		e.log.Warn().Err(err).Int("records", len(messages)).Msg("failover records not queued; trying again later")
 	}
 }
--- a/internal/entry/forget.go
+++ b/internal/entry/forget.go
@@ -6,29 +6,30 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Limits of forgetting ended jobs.
+// Limits on dropping ended jobs.
 const (
-	// keepEnded is how long an ended job can still be looked at.
-	keepEnded = 24 * time.Hour
-	// forgetEvery is how often the entry looks for jobs to forget.
-	forgetEvery = time.Minute
-	// forgetMost is the most jobs that one record forgets.
-	forgetMost = 1000
-	// forgetKey chooses the entry of the data centre that forgets.
+	// endedJobRetention is how long an ended job can still be queried.
+	endedJobRetention = 24 * time.Hour
+	// forgetInterval is how often an entry looks for jobs to drop.
+	forgetInterval = time.Minute
+	// maxForgottenPerRecord is the most jobs that one record drops.
+	maxForgottenPerRecord = 1000
+	// forgetKey is the rendezvous key that selects the entry of the data centre that drops
+	// ended jobs.
 	forgetKey = "forget"
 )
 
-// forget returns the record that drops jobs which ended long ago, if it is this
-// entry's turn; jobs.mu is held.
-func (e *Entry) forget(now time.Time, neighbours []record.Member) []record.Message {
-	if now.Sub(e.jobs.forgot) < forgetEvery || rank(e.settings.Name, forgetKey, neighbours) > 0 {
+// forgetEndedJobs returns a record that drops jobs which ended longer than
+// endedJobRetention ago, if this entry ranks first in the data centre; jobs.mu is held.
+func (e *Entry) forgetEndedJobs(now time.Time, localEntries []record.Member) []record.Message {
+	if now.Sub(e.jobs.lastForgetAt) < forgetInterval || rendezvousRank(e.settings.Name, forgetKey, localEntries) > 0 {
 		return nil
 	}
-	e.jobs.forgot = now
-	ids := e.jobs.fold.EndedBefore(now.Add(-keepEnded).UnixMilli(), forgetMost)
+	e.jobs.lastForgetAt = now
+	ids := e.jobs.state.EndedBefore(now.Add(-endedJobRetention).UnixMilli(), maxForgottenPerRecord)
 	if len(ids) == 0 {
 		return nil
 	}
-	e.log.Info().Str("decision", "forget-jobs").Int("jobs", len(ids)).Str("reason", "they ended long ago").Msg("")
+	e.log.Info().Str("decision", "forget-jobs").Int("jobs", len(ids)).Str("reason", "they ended longer ago than ended jobs are kept").Msg("")
 	return []record.Message{&record.Forget{Jobs: ids}}
 }
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -15,92 +15,94 @@
 
 func (e *Entry) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST "+link.PathHeartbeat, link.Handle(e.answerHeartbeat))
-	mux.Handle("POST "+link.PathSilence, link.Handle(e.answerSilence))
-	mux.Handle("POST "+link.PathBundle, link.Handle(e.answerBundle))
-	mux.Handle("POST "+link.PathJobs, link.Handle(e.answerJobs))
-	mux.Handle("POST "+link.PathSums, link.Handle(e.answerSums))
+	mux.Handle("POST "+link.PathHeartbeat, link.Handle(e.handleHeartbeat))
+	mux.Handle("POST "+link.PathSilence, link.Handle(e.handleSilenceQuery))
+	mux.Handle("POST "+link.PathBundle, link.Handle(e.handleBundleQuery))
+	mux.Handle("POST "+link.PathJobs, link.Handle(e.handleJobsQuery))
+	mux.Handle("POST "+link.PathSums, link.Handle(e.handleLoadQuery))
 	mux.HandleFunc("/services/{service}/", e.serveRequest)
 	return mux
 }
 
-func (e *Entry) answerHeartbeat(_ context.Context, peer link.Peer, sent *link.Heartbeat) (*link.Reading, error) {
+func (e *Entry) handleHeartbeat(_ context.Context, peer link.Peer, sent *link.Heartbeat) (*link.Reading, error) {
 	if peer.Role() != link.RoleAgent || peer.Name() != sent.Worker || peer.DataCentre() != e.settings.DataCentre {
-		return nil, errors.Wrapf(link.ErrPeer, "certificate of %s in %s, heartbeat of %s", peer.Name(), peer.DataCentre(), sent.Worker)
+		return nil, errors.Wrapf(link.ErrPeer, "certificate of %s in %s does not match heartbeat of %s", peer.Name(), peer.DataCentre(), sent.Worker)
 	}
-	h := e.receiver.Expand(sent)
+	h := e.heartbeatReceiver.Expand(sent)
 	if h == nil {
 		return &link.Reading{Resend: true, Compact: true}, nil
 	}
 	now := time.Now()
-	e.routes.observe(now, peer.DataCentre(), h)
-	reading := e.reading(now, h)
-	messages := e.jobs.observe(now, h, reading)
+	e.routes.applyHeartbeat(now, peer.DataCentre(), h)
+	reply := e.heartbeatReply(now, h)
+	messages := e.jobs.applyHeartbeat(now, h, reply)
 	if len(messages) == 0 {
-		return reading, nil
+		return reply, nil
 	}
 	if err := e.enqueue(messages); err != nil {
-		e.log.Warn().Err(err).Str("worker", h.Worker).Msg("reports not recorded yet")
+		e.log.Warn().Err(err).Str("worker", h.Worker).Msg("records for an agent's reports not queued")
 	}
-	return reading, nil
+	return reply, nil
 }
 
-// reading returns what an agent is told besides its tasks. What it knows
-// already is left out.
-func (e *Entry) reading(now time.Time, h *link.Heartbeat) *link.Reading {
-	reading := &link.Reading{Leaving: e.leaving.Load(), Compact: true}
+// heartbeatReply returns the reply to a heartbeat, without what the log says about the
+// worker's tasks. It omits what the agent knows already.
+func (e *Entry) heartbeatReply(now time.Time, h *link.Heartbeat) *link.Reading {
+	reply := &link.Reading{Leaving: e.draining.Load(), Compact: true}
 	e.bundleMu.Lock()
 	digest, version := e.bundle.chain.Digest(), e.bundle.chain.Version()
 	e.bundleMu.Unlock()
-	e.noteBundle(h, version)
+	e.noteNewerBundle(h, version)
 	if digest != h.Bundle {
-		reading.Bundle, reading.BundleVersion = digest, version
+		reply.Bundle, reply.BundleVersion = digest, version
 	}
 	var addresses []string
-	for _, m := range e.neighbours(now) {
+	for _, m := range e.localEntries(now) {
 		addresses = append(addresses, m.Address)
 	}
 	if link.EntriesDigest(addresses) != h.EntriesSeen {
-		reading.Entries = addresses
+		reply.Entries = addresses
 	}
-	return reading
+	return reply
 }
 
-// enqueue hands records to the writer without waiting for the log.
+// enqueue queues records for this data centre's jobs stream without waiting for the log.
 func (e *Entry) enqueue(messages []record.Message) error {
-	return e.writer.Enqueue(messages...)
+	return e.localJobsWriter.Enqueue(messages...)
 }
 
-// observe takes in a heartbeat, fills in what the log says about its worker,
-// and returns the records that the heartbeat's reports call for.
-func (j *jobs) observe(now time.Time, h *link.Heartbeat, reading *link.Reading) []record.Message {
+// applyHeartbeat updates the state from a heartbeat, sets in reply what the log says about
+// the worker and how often to send heartbeats, and returns the records to append for the
+// heartbeat's reports.
+func (j *jobState) applyHeartbeat(now time.Time, h *link.Heartbeat, reply *link.Reading) []record.Message {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.workers == nil {
-		j.workers = make(map[string]*workerView)
+		j.workers = make(map[string]*workerState)
 	}
-	j.workers[h.Worker] = &workerView{heartbeat: *h, heard: now}
-	said, uses := report(h)
-	j.scheduler.ApplyReport(now, said, uses)
-	j.taker.NoteContact(h.Worker, now)
-	reading.PaceMS = lease.HeartbeatInterval(j.live(now)).Milliseconds()
-	answer, records := j.relay.Respond(now, &j.fold, &job.Heartbeat{
+	j.workers[h.Worker] = &workerState{heartbeat: *h, lastContact: now}
+	workerReport, uses := schedulerReport(h)
+	j.scheduler.ApplyReport(now, workerReport, uses)
+	j.reclaimer.NoteContact(h.Worker, now)
+	reply.PaceMS = lease.HeartbeatInterval(j.liveWorkers(now)).Milliseconds()
+	logReading, records := j.responder.Respond(now, &j.state, &job.Heartbeat{
 		Worker: h.Worker, Incarnation: h.Incarnation, Round: h.Round,
 		Ready: h.Ready, Primary: h.Primary, Reports: h.Tasks,
 	})
-	reading.Lease = answer
+	reply.Lease = logReading
 	return records
 }
 
-// live counts the workers heard lately; mu is held.
-func (j *jobs) live(now time.Time) int {
-	if now.Sub(j.counted) < time.Second {
+// liveWorkers counts the workers whose last contact is recent. The count is renewed at most
+// once a second; mu is held.
+func (j *jobState) liveWorkers(now time.Time) int {
+	if now.Sub(j.liveCountedAt) < time.Second {
 		return j.liveCount
 	}
-	j.counted = now
+	j.liveCountedAt = now
 	j.liveCount = 0
 	for _, v := range j.workers {
-		if now.Sub(v.heard) <= workerLostAfter {
+		if now.Sub(v.lastContact) <= workerLostAfter {
 			j.liveCount++
 		}
 	}
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -22,12 +22,12 @@
 
 // Limits on a submission.
 const (
-	maxJobBody = 1 << 20
-	maxTasks   = 10000
-	// submitTimeout bounds the wait for the log.
+	maxJobBodyBytes = 1 << 20
+	maxTasks        = 10000
+	// submitTimeout bounds the wait until a record is in the log.
 	submitTimeout = 5 * time.Second
-	// idLength is the number of hex digits of a job id.
-	idLength = 20
+	// jobIDLength is the number of hex digits of a job id.
+	jobIDLength = 20
 )
 
 // Submission is the JSON form of a job that a team submits.
@@ -57,17 +57,17 @@
 	Attempts   uint32 `json:"attempts"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 	Detail     string `json:"detail,omitempty"`
-	// Waiting says why a pending task does not run yet.
+	// Waiting is the reason why a pending task does not run yet.
 	Waiting string `json:"waiting,omitempty"`
 }
 
 func (e *Entry) serveSubmit(w http.ResponseWriter, r *http.Request) {
-	d, team, ok := e.caller(w, r)
+	d, team, ok := e.authenticateCaller(w, r)
 	if !ok {
 		return
 	}
 	var s Submission
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBody))
+	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBodyBytes))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&s); err != nil {
 		problem.New(http.StatusBadRequest, "body", err.Error()).Write(w)
@@ -79,13 +79,13 @@
 		return
 	}
 	spec := newSpec(time.Now(), team, class, &s)
-	spec.ID = e.newID(d, team.Name, r.Header.Get("Idempotency-Key"))
-	home := e.home(d, spec.ID)
+	spec.ID = e.newJobID(d, team.Name, r.Header.Get("Idempotency-Key"))
+	home := e.homeDataCentre(d, spec.ID)
 	if views, movedTo := e.localJobs(team.Name, spec.ID); home == e.settings.DataCentre && len(views) == 1 && movedTo == "" {
 		writeJSON(w, http.StatusOK, views[0])
 		return
 	}
-	if p := appendTo(r.Context(), e.jobsWriter(home), &record.Submit{Spec: spec}); p != nil {
+	if p := appendRecord(r.Context(), e.jobsWriter(home), &record.Submit{Spec: spec}); p != nil {
 		p.Write(w)
 		return
 	}
@@ -95,8 +95,8 @@
 	writeJSON(w, http.StatusCreated, JobView{ID: spec.ID, Team: spec.Team, Class: spec.Class, Phase: job.Pending.String()})
 }
 
-// checkSubmission names the first wrong field. A submission without a size gets
-// that of its class.
+// checkSubmission returns the batch class of a submission, or the first invalid field and
+// what is wrong with it. A submission without a size gets the size of its class.
 func checkSubmission(d *bundle.Document, s *Submission) (class *bundle.BatchClass, field, detail string) {
 	class, ok := d.BatchClass(s.Class)
 	if ok && s.Size == (worker.Resources{}) {
@@ -108,7 +108,7 @@
 	case s.Tasks > maxTasks:
 		return nil, "tasks", "must be at most 10000"
 	case !s.Size.Valid() || s.Size == (worker.Resources{}):
-		return nil, "size", "must ask for something, and for nothing negative"
+		return nil, "size", "must not be empty or negative"
 	case s.ExpectedMS < 0:
 		return nil, "expected-ms", "must not be negative"
 	}
@@ -127,21 +127,22 @@
 	return spec
 }
 
-// jobID is the same for every submission of a team under the same key.
+// jobID returns the job id for a team's idempotency key: repeated submissions get the same
+// id.
 func jobID(team, key string) string {
 	sum := sha256.Sum256([]byte(team + "\x00" + key))
-	return hex.EncodeToString(sum[:])[:idLength]
+	return hex.EncodeToString(sum[:])[:jobIDLength]
 }
 
-// newID returns the id of a submission. Without a key it is a new one whose
-// home is this data centre, if one is found soon.
-func (e *Entry) newID(d *bundle.Document, team, key string) string {
+// newJobID returns the id of a submission. Without an idempotency key it is random, and its
+// home is this data centre unless none such is found in maxHomeTries.
+func (e *Entry) newJobID(d *bundle.Document, team, key string) string {
 	if key != "" {
 		return jobID(team, key)
 	}
 	id := jobID(team, rand.Text())
-	for range homeTries {
-		if e.home(d, id) == e.settings.DataCentre {
+	for range maxHomeTries {
+		if e.homeDataCentre(d, id) == e.settings.DataCentre {
 			break
 		}
 		id = jobID(team, rand.Text())
@@ -149,15 +150,15 @@
 	return id
 }
 
-// appendTo waits until a caller's record is in the log.
-func appendTo(ctx context.Context, w *services.Writer, m record.Message) *problem.Problem {
+// appendRecord appends a record on a caller's behalf and waits until it is in the log.
+func appendRecord(ctx context.Context, w *services.Writer, m record.Message) *problem.Problem {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	err := w.Append(ctx, m)
 	if err == nil {
 		return nil
 	}
-	p := problem.New(http.StatusServiceUnavailable, "", "the log is slow; repeat with the same Idempotency-Key")
+	p := problem.New(http.StatusServiceUnavailable, "", "the log did not accept the record in time; repeat with the same Idempotency-Key")
 	p.RetryAfter = submitTimeout
 	if !errors.Is(err, services.ErrBackpressure) && !errors.Is(err, record.ErrUnavailable) {
 		p.Outcome = problem.Unknown
@@ -166,13 +167,13 @@
 }
 
 func (e *Entry) serveJobs(w http.ResponseWriter, r *http.Request) {
-	d, team, ok := e.caller(w, r)
+	d, team, ok := e.authenticateCaller(w, r)
 	if !ok {
 		return
 	}
 	out := []JobView{}
 	for _, name := range e.dataCentres(d) {
-		views, _, p := e.askJobs(r.Context(), name, team.Name, "")
+		views, _, p := e.queryJobs(r.Context(), name, team.Name, "")
 		if p != nil {
 			w.Header().Add(HeaderPartial, name)
 		}
@@ -183,18 +184,18 @@
 }
 
 func (e *Entry) serveJob(w http.ResponseWriter, r *http.Request) {
-	if f, ok := e.callersJob(w, r); ok {
+	if f, ok := e.requestedJob(w, r); ok {
 		writeJSON(w, http.StatusOK, f.view)
 	}
 }
 
 func (e *Entry) serveCancel(w http.ResponseWriter, r *http.Request) {
-	f, ok := e.callersJob(w, r)
+	f, ok := e.requestedJob(w, r)
 	if !ok {
 		return
 	}
 	m := &record.Cancel{Jobs: []string{f.view.ID}, AtMS: time.Now().UnixMilli()}
-	if p := appendTo(r.Context(), e.jobsWriter(f.dataCentre), m); p != nil {
+	if p := appendRecord(r.Context(), e.jobsWriter(f.dataCentre), m); p != nil {
 		p.Write(w)
 		return
 	}
@@ -202,8 +203,9 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// caller returns the document in force and the caller's team, or writes a refusal.
-func (e *Entry) caller(w http.ResponseWriter, r *http.Request) (*bundle.Document, *bundle.Team, bool) {
+// authenticateCaller returns the bundle document in force and the caller's team, or
+// responds with an error.
+func (e *Entry) authenticateCaller(w http.ResponseWriter, r *http.Request) (*bundle.Document, *bundle.Team, bool) {
 	d := e.document()
 	if d == nil {
 		problem.New(http.StatusServiceUnavailable, "", "no bundle is in force yet").Write(w)
@@ -213,21 +215,21 @@
 	return d, team, ok
 }
 
-// callersJob returns the job that a request names, or writes a refusal.
-func (e *Entry) callersJob(w http.ResponseWriter, r *http.Request) (found, bool) {
-	d, team, ok := e.caller(w, r)
+// requestedJob returns the job that a request names, or responds with an error.
+func (e *Entry) requestedJob(w http.ResponseWriter, r *http.Request) (locatedJob, bool) {
+	d, team, ok := e.authenticateCaller(w, r)
 	if !ok {
-		return found{}, false
+		return locatedJob{}, false
 	}
 	f, p := e.findJob(r.Context(), d, team.Name, r.PathValue("id"))
 	if p != nil {
 		p.Write(w)
-		return found{}, false
+		return locatedJob{}, false
 	}
 	return f, true
 }
 
-// explainWaiting fills in why pending tasks wait; jobs.mu is held.
+// explainWaiting sets why pending tasks are waiting; jobs.mu is held.
 func (e *Entry) explainWaiting(j *job.Job, v *JobView) {
 	for i := range v.Tasks {
 		if reason, ok := e.jobs.scheduler.WaitReason(j, uint32(i)); ok {
@@ -236,7 +238,7 @@
 	}
 }
 
-// viewOf returns what callers see of a job; jobs.mu is held.
+// viewOf returns the JSON form of a job; jobs.mu is held.
 func (e *Entry) viewOf(j *job.Job, withTasks bool) JobView {
 	v := JobView{ID: j.Spec().ID, Team: j.Spec().Team, Class: j.Spec().Class, Phase: j.Phase().String()}
 	if !withTasks {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -16,46 +16,46 @@
 
 // Times of membership.
 const (
-	// announceEvery is how often an entry refreshes its membership record if
-	// its settings name no other time.
-	announceEvery = 10 * time.Second
-	// forgetMemberAfter is how long an entry without a refresh counts as a member.
+	// defaultAnnounceInterval is how often an entry refreshes its membership record
+	// unless Settings.AnnounceEvery is set.
+	defaultAnnounceInterval = 10 * time.Second
+	// forgetMemberAfter is how long an entry counts as a member after its last refresh.
 	forgetMemberAfter = 3 * time.Minute
 )
 
-// member is what the members stream says about one entry.
+// member is the newest membership record of one entry.
 type member struct {
-	record record.Member
-	seen   time.Time
-	// refresh is the reader's own count of refreshes when the record was read.
-	refresh uint64
+	record     record.Member
+	lastReadAt time.Time
+	// ownRefreshes is Entry.ownRefreshes at the time when the record was read.
+	ownRefreshes uint64
 }
 
 func (e *Entry) announce(ctx context.Context) {
 	for {
-		e.tellMembers(ctx, false)
-		if !delay.For(ctx, cmp.Or(e.settings.AnnounceEvery, announceEvery)) {
+		e.appendMembership(ctx, false)
+		if !delay.For(ctx, cmp.Or(e.settings.AnnounceEvery, defaultAnnounceInterval)) {
 			return
 		}
 	}
 }
 
-func (e *Entry) tellMembers(ctx context.Context, leaving bool) {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+func (e *Entry) appendMembership(ctx context.Context, leaving bool) {
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	m := e.self()
+	m := e.ownMember()
 	m.Leaving = leaving
 	m.WrittenMS = time.Now().UnixMilli()
-	if err := e.members.Append(ctx, &m); err != nil {
-		e.log.Warn().Err(err).Msg("membership record not appended yet")
+	if err := e.membersWriter.Append(ctx, &m); err != nil {
+		e.log.Warn().Err(err).Msg("membership record not appended")
 	}
 }
 
-// self returns this entry's membership record.
-func (e *Entry) self() record.Member {
+// ownMember returns this entry's membership record.
+func (e *Entry) ownMember() record.Member {
 	return record.Member{
 		Name: e.settings.Name, DataCentre: e.settings.DataCentre, Address: e.PeerAddress(),
-		Incarnation: uint64(e.jobs.born.UnixNano()),
+		Incarnation: uint64(e.jobs.startedAt.UnixNano()),
 	}
 }
 
@@ -65,22 +65,23 @@
 	defer e.memberMu.Unlock()
 	for _, r := range records {
 		m, ok := r.Message().(*record.Member)
-		if !ok || m.Incarnation < e.known[m.Name].record.Incarnation {
+		if !ok || m.Incarnation < e.knownMembers[m.Name].record.Incarnation {
 			continue
 		}
-		if m.Name == e.settings.Name && m.Incarnation == uint64(e.jobs.born.UnixNano()) {
-			e.refreshes++
+		if m.Name == e.settings.Name && m.Incarnation == uint64(e.jobs.startedAt.UnixNano()) {
+			e.ownRefreshes++
 		}
-		e.known[m.Name] = member{record: *m, seen: now, refresh: e.refreshes}
+		e.knownMembers[m.Name] = member{record: *m, lastReadAt: now, ownRefreshes: e.ownRefreshes}
 	}
 }
 
-// neighbours returns the entries of this data centre, sorted by name.
-func (e *Entry) neighbours(now time.Time) []record.Member {
-	out := e.membersOf(e.settings.DataCentre, now)
+// localEntries returns the entries of this data centre that are not draining, including
+// this one, sorted by name.
+func (e *Entry) localEntries(now time.Time) []record.Member {
+	out := e.entriesOf(e.settings.DataCentre, now)
 	out = slices.DeleteFunc(out, func(m record.Member) bool { return m.Name == e.settings.Name })
-	if !e.leaving.Load() {
-		out = append(out, e.self())
+	if !e.draining.Load() {
+		out = append(out, e.ownMember())
 	}
 	sortMembers(out)
 	return out
@@ -90,20 +91,21 @@
 	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
 }
 
-// rank returns this entry's place among neighbours for a job by rendezvous
-// hashing: the entry of rank 0 schedules it, the others take over one by one.
-func rank(self, job string, neighbours []record.Member) int {
-	own := weight(self, job)
+// rendezvousRank returns the rank of the entry self among entries for a job, by rendezvous
+// hashing: the entry with rank 0 schedules the job, and the others take over in the order of
+// their ranks.
+func rendezvousRank(self, job string, entries []record.Member) int {
+	own := rendezvousWeight(self, job)
 	n := 0
-	for _, m := range neighbours {
-		if m.Name != self && weight(m.Name, job) > own {
+	for _, m := range entries {
+		if m.Name != self && rendezvousWeight(m.Name, job) > own {
 			n++
 		}
 	}
 	return n
 }
 
-func weight(name, job string) uint64 {
+func rendezvousWeight(name, job string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(name)
 	_, _ = d.WriteString("/")
--- a/internal/entry/takeover.go
+++ b/internal/entry/reclaim.go
@@ -7,20 +7,20 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// workerLostAfter is how long a worker is silent before it gets no new tasks.
+// workerLostAfter is how long a worker is silent before it gets no new tasks here.
 const workerLostAfter = job.LostAfter
 
-// takeOver revokes the tasks of lost workers and releases those whose takeover
-// time has passed. jobs.mu is held.
-func (e *Entry) takeOver(now time.Time) []record.Message {
-	out := e.jobs.taker.Decide(now, &e.jobs.fold)
+// reclaimTasks returns the records that revoke the tasks of lost workers and release those
+// whose takeover time has passed; jobs.mu is held.
+func (e *Entry) reclaimTasks(now time.Time) []record.Message {
+	out := e.jobs.reclaimer.Decide(now, &e.jobs.state)
 	for _, m := range out {
-		e.logTakeover(m)
+		e.logReclaim(m)
 	}
 	return out
 }
 
-func (e *Entry) logTakeover(m record.Message) {
+func (e *Entry) logReclaim(m record.Message) {
 	switch m := m.(type) {
 	case *record.Revoke:
 		for _, h := range m.Assignments {
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -21,11 +21,11 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// bornWithin bounds how long a test waits for something that must happen.
-const bornWithin = time.Minute
+// eventuallyTimeout bounds how long eventually waits for a condition.
+const eventuallyTimeout = time.Minute
 
-// birth is a log with what a new entry needs.
-type birth struct {
+// entryFixture is a log and the keys and certificates that a new entry needs.
+type entryFixture struct {
 	t         *testing.T
 	log       *standin.Log
 	url       string
@@ -34,9 +34,9 @@
 	roots     bundle.Operators
 }
 
-func newBirth(t *testing.T) *birth {
+func newEntryFixture(t *testing.T) *entryFixture {
 	t.Helper()
-	b := &birth{t: t, log: new(standin.Log)}
+	b := &entryFixture{t: t, log: new(standin.Log)}
 	server := httptest.NewServer(b.log.Handler())
 	t.Cleanup(server.Close)
 	b.url = server.URL
@@ -50,14 +50,14 @@
 	return b
 }
 
-func (b *birth) must(err error) {
+func (b *entryFixture) must(err error) {
 	b.t.Helper()
 	if err != nil {
 		b.t.Fatal(err)
 	}
 }
 
-func (b *birth) identity(role link.Role, name string) *link.Identity {
+func (b *entryFixture) identity(role link.Role, name string) *link.Identity {
 	b.t.Helper()
 	certificate, key, err := b.authority.Issue(time.Now(), time.Hour, link.NewPeer(role, "dc-1", name))
 	b.must(err)
@@ -67,7 +67,7 @@
 }
 
 // start runs an entry until the test ends.
-func (b *birth) start() *Entry {
+func (b *entryFixture) start() *Entry {
 	b.t.Helper()
 	e, err := New(time.Now(), Settings{
 		Name: "entry-1", DataCentre: "dc-1", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
@@ -84,18 +84,18 @@
 	return e
 }
 
-func (b *birth) eventually(what string, fn func() bool) {
+func (b *entryFixture) eventually(what string, fn func() bool) {
 	b.t.Helper()
-	for end := time.Now().Add(bornWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if fn() {
 			return
 		}
 	}
-	b.t.Fatalf("%s: not within %s", what, bornWithin)
+	b.t.Fatalf("%s: not reached within %s", what, eventuallyTimeout)
 }
 
 // signed returns a bundle that follows the one with digest parent.
-func (b *birth) signed(version uint64, parent string) *bundle.Signed {
+func (b *entryFixture) signed(version uint64, parent string) *bundle.Signed {
 	b.t.Helper()
 	content, err := bundle.Format(&bundle.Document{Version: version, Parent: parent, Operators: b.roots})
 	b.must(err)
@@ -104,8 +104,8 @@
 	return s
 }
 
-// appendAll writes messages as one batch each and folds them.
-func (b *birth) appendAll(fold *job.StateMachine, seq *uint64, messages ...record.Message) {
+// appendAll appends each message as a batch of its own and applies them to state.
+func (b *entryFixture) appendAll(state *job.StateMachine, seq *uint64, messages ...record.Message) {
 	b.t.Helper()
 	for _, m := range messages {
 		*seq++
@@ -114,8 +114,8 @@
 		offset := b.log.Append(JobsStream("dc-1"), data)
 		records, _, err := record.Decode(offset, data)
 		b.must(err)
-		_ = fold.Apply(records[0])
-		fold.Advance(offset + 1)
+		_ = state.Apply(records[0])
+		state.Advance(offset + 1)
 	}
 }
 
@@ -123,51 +123,51 @@
 	return &record.Submit{Spec: record.Spec{ID: fmt.Sprintf("job-%d", i), Team: "nursery", Class: "shaping", Tasks: 1}}
 }
 
-// TestEntryStartsAtSnapshot checks that an entry whose stream has lost its
-// oldest records knows all jobs from the newest usable snapshot and what
-// follows it.
+// TestEntryStartsAtSnapshot checks that an entry whose jobs stream has lost its oldest records
+// to retention knows all jobs from the newest usable snapshot and the records after it.
 func TestEntryStartsAtSnapshot(t *testing.T) {
-	b := newBirth(t)
+	b := newEntryFixture(t)
 	b.log.SetFaults(standin.LogFaults{Keep: 20})
-	var fold job.StateMachine
+	var state job.StateMachine
 	var seq uint64
 	for i := range 40 {
-		b.appendAll(&fold, &seq, submit(i))
+		b.appendAll(&state, &seq, submit(i))
 	}
-	parts, err := fold.Snapshot("snapshot", 1<<10)
+	parts, err := state.Snapshot("snapshot", 1<<10)
 	b.must(err)
 	for i := 40; i < 45; i++ {
-		b.appendAll(&fold, &seq, submit(i))
+		b.appendAll(&state, &seq, submit(i))
 	}
 	for _, p := range parts {
-		b.appendAll(&fold, &seq, p)
+		b.appendAll(&state, &seq, p)
 	}
 	for i := 45; i < 48; i++ {
-		b.appendAll(&fold, &seq, submit(i))
+		b.appendAll(&state, &seq, submit(i))
 	}
 	e := b.start()
 	b.eventually("all jobs known", func() bool { return e.status(time.Now()).Tasks[job.Pending.String()] == 48 })
 }
 
-// TestEntryBornInLogOutage checks that an entry started while the log is down
-// takes the bundle in force from an agent that has it, and no forged one.
-func TestEntryBornInLogOutage(t *testing.T) {
-	b := newBirth(t)
+// TestEntryStartsInLogOutage checks that an entry started while the log is down
+// adopts the bundle in force from an agent that has it, and rejects a forged one.
+func TestEntryStartsInLogOutage(t *testing.T) {
+	b := newEntryFixture(t)
 	b.log.SetFaults(standin.LogFaults{Down: true})
 	e := b.start()
 	first := b.signed(1, "")
 	second := b.signed(2, bundle.Digest(first.Content()))
 	forged := bundle.NewSigned(second.Content())
 	forged.Sign("alice", make([]byte, ed25519.PrivateKeySize))
-	b.tell(e, "worker-1", forged)
-	b.tell(e, "worker-2", second)
+	b.announceBundle(e, "worker-1", forged)
+	b.announceBundle(e, "worker-2", second)
 	b.eventually("the bundle in force", func() bool {
 		return e.status(time.Now()).BundleDigest == bundle.Digest(second.Content())
 	})
 }
 
-// tell serves a bundle as an agent does and sends a heartbeat that names it.
-func (b *birth) tell(e *Entry, name string, s *bundle.Signed) {
+// announceBundle serves a bundle as an agent does, and sends heartbeats that announce it until
+// the entry has fetched it.
+func (b *entryFixture) announceBundle(e *Entry, name string, s *bundle.Signed) {
 	b.t.Helper()
 	id := b.identity(link.RoleAgent, name)
 	asked := make(chan struct{}, 1)
--- a/internal/entry/remote.go
+++ b/internal/entry/remote.go
@@ -13,80 +13,83 @@
 	"savoryhoist.example/savoryhoist/pkg/job"
 )
 
-// HeaderPartial names the data centres whose jobs are missing from a list.
+// HeaderPartial names the data centres whose jobs are missing from a response because they
+// did not answer.
 const HeaderPartial = "Savoryhoist-Partial"
 
-// Limits of questions to other data centres.
+// Limits on queries to other data centres.
 const (
-	remoteTimeout = 2 * time.Second
-	// maxFollowed is how many moves of a job are followed.
-	maxFollowed = 8
+	remoteQueryTimeout = 2 * time.Second
+	// maxMovesFollowed is how many moves of a job between data centres are followed.
+	maxMovesFollowed = 8
 )
 
-// found is a job and the data centre whose stream holds it.
-type found struct {
+// locatedJob is a job and the data centre whose stream holds it.
+type locatedJob struct {
 	view       JobView
 	dataCentre string
 }
 
-// findJob looks for a team's job at its home and follows its moves.
-func (e *Entry) findJob(ctx context.Context, d *bundle.Document, team, id string) (found, *problem.Problem) {
-	at := e.home(d, id)
-	for range maxFollowed {
-		views, movedTo, p := e.askJobs(ctx, at, team, id)
+// findJob looks for a team's job in its home data centre and follows its moves from there.
+func (e *Entry) findJob(ctx context.Context, d *bundle.Document, team, id string) (locatedJob, *problem.Problem) {
+	at := e.homeDataCentre(d, id)
+	for range maxMovesFollowed {
+		views, movedTo, p := e.queryJobs(ctx, at, team, id)
 		if p != nil {
-			return found{}, p
+			return locatedJob{}, p
 		}
 		if movedTo != "" {
 			at = movedTo
 			continue
 		}
 		if len(views) == 1 {
-			return found{view: views[0], dataCentre: at}, nil
+			return locatedJob{view: views[0], dataCentre: at}, nil
 		}
 		break
 	}
 	p := problem.New(http.StatusNotFound, "id", "the team has no such job")
-	return found{}, &p
+	return locatedJob{}, &p
 }
 
-// askJobs returns a team's jobs in a data centre: one, or all for an empty id.
-func (e *Entry) askJobs(ctx context.Context, dataCentre, team, id string) (views []JobView, movedTo string, p *problem.Problem) {
+// queryJobs returns a team's jobs in a data centre: the one with the given id, or all if id
+// is empty.
+func (e *Entry) queryJobs(ctx context.Context, dataCentre, team, id string) (views []JobView, movedTo string, p *problem.Problem) {
 	if dataCentre == e.settings.DataCentre {
 		views, movedTo = e.localJobs(team, id)
 		return views, movedTo, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, remoteTimeout)
+	ctx, cancel := context.WithTimeout(ctx, remoteQueryTimeout)
 	defer cancel()
-	for _, m := range e.membersOf(dataCentre, time.Now()) {
+	for _, m := range e.entriesOf(dataCentre, time.Now()) {
 		var reply link.JobsReply
-		err := e.entries.Call(ctx, m.Address, link.PathJobs, &link.JobsQuery{Team: team, ID: id}, &reply)
+		err := e.entryClient.Call(ctx, m.Address, link.PathJobs, &link.JobsQuery{Team: team, ID: id}, &reply)
 		if err == nil {
 			err = json.Unmarshal(reply.Views, &views)
 		}
 		if err == nil {
 			return views, reply.MovedTo, nil
 		}
-		e.log.Warn().Err(err).Str("entry", m.Name).Msg("asking about jobs failed")
+		e.log.Warn().Err(err).Str("entry", m.Name).Msg("query for jobs failed")
 	}
-	out := problem.New(http.StatusServiceUnavailable, "", "no entry of data centre "+dataCentre+" answers")
-	out.RetryAfter = remoteTimeout
+	out := problem.New(http.StatusServiceUnavailable, "", "no entry of data centre "+dataCentre+" answered")
+	out.RetryAfter = remoteQueryTimeout
 	return nil, "", &out
 }
 
-// localJobs returns a team's jobs in this data centre's stream.
+// localJobs returns a team's jobs in this data centre's stream: the one with the given id and
+// the data centre it was moved to, or all that were not moved if id is empty.
 func (e *Entry) localJobs(team, id string) (views []JobView, movedTo string) {
 	views = []JobView{}
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
 	if id != "" {
-		j, ok := e.jobs.fold.Job(id)
+		j, ok := e.jobs.state.Job(id)
 		if !ok || j.Spec().Team != team {
 			return views, ""
 		}
 		return append(views, e.viewOf(j, true)), j.MovedTo()
 	}
-	e.jobs.fold.Each(func(j *job.Job) bool {
+	e.jobs.state.Each(func(j *job.Job) bool {
 		if j.Spec().Team == team && j.MovedTo() == "" {
 			views = append(views, e.viewOf(j, false))
 		}
@@ -96,7 +99,7 @@
 	return views, ""
 }
 
-func (e *Entry) answerJobs(_ context.Context, peer link.Peer, q *link.JobsQuery) (*link.JobsReply, error) {
+func (e *Entry) handleJobsQuery(_ context.Context, peer link.Peer, q *link.JobsQuery) (*link.JobsReply, error) {
 	if peer.Role() != link.RoleEntry {
 		return nil, link.ErrPeer
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -18,51 +18,51 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// request is one caller's request.
+// request is a caller's request with the attempts made for it.
 type request struct {
 	id      string
 	team    string
 	service *bundle.Service
 	class   *bundle.RequestClass
 	body    []byte
-	course  endpoint.AttemptTracker
+	tracker endpoint.AttemptTracker
 }
 
 func (e *Entry) serveRequest(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	defer func() { e.requestTimer.UpdateSince(start) }()
-	q, useful, ok := e.accept(w, r)
+	q, timeout, ok := e.acceptRequest(w, r)
 	if !ok {
 		return
 	}
-	deadline := start.Add(useful)
+	deadline := start.Add(timeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	if other := e.spillTo(start, r, q, deadline); other != "" && e.spill(ctx, w, r, q, other) {
+	if other := e.chooseSpillTarget(start, r, q, deadline); other != "" && e.spillRequest(ctx, w, r, q, other) {
 		return
 	}
-	e.routes.first(q.service.Name)
+	e.routes.recordFirstAttempt(q.service.Name)
 	skip := ""
 	for {
-		n := q.course.BeginAttempt()
-		t, d, err := e.routes.await(ctx, q, deadline, skip)
+		n := q.tracker.BeginAttempt()
+		t, d, err := e.routes.chooseEndpoint(ctx, q, deadline, skip)
 		if err != nil {
-			q.course.RecordRefusal(endpoint.AttemptNotRun)
+			q.tracker.RecordRefusal(endpoint.AttemptNotRun)
 			p := problem.New(http.StatusServiceUnavailable, "", d.Reason)
 			p.RetryAfter = d.RetryAfter
-			p.Outcome = outcomeOf(q.course.State())
-			e.logShed(q, n, d.Reason)
+			p.Outcome = outcomeOf(q.tracker.State())
+			e.logRefused(q, n, d.Reason)
 			p.Write(w)
 			return
 		}
 		e.logRoute(q, t, n)
-		out := e.try(ctx, r, q, t)
-		if out.answer != nil {
-			out.answer.relay(w, func() { e.finish(q, t, out) })
+		out := e.makeAttempt(ctx, r, q, t)
+		if out.response != nil {
+			out.response.forward(w, func() { e.finishAttempt(q, t, out) })
 			return
 		}
-		e.finish(q, t, out)
-		if !e.again(ctx, q, t, &out) {
+		e.finishAttempt(q, t, out)
+		if !e.awaitRetry(ctx, q, t, &out) {
 			out.problem.Write(w)
 			return
 		}
@@ -70,28 +70,29 @@
 	}
 }
 
-// again reports whether another attempt is safe and allowed, and waits for its turn.
-func (e *Entry) again(ctx context.Context, q *request, t target, out *outcome) bool {
-	n := q.course.Attempt()
-	safe := q.course.MayRetry(ctx.Err() != nil)
+// awaitRetry waits out the backoff and reports true if another attempt is safe and the retry
+// budget allows it.
+func (e *Entry) awaitRetry(ctx context.Context, q *request, t target, out *attemptOutcome) bool {
+	n := q.tracker.Attempt()
+	safe := q.tracker.MayRetry(ctx.Err() != nil)
 	var backoff time.Duration
 	allowed := false
 	if safe {
-		backoff, allowed = e.routes.retry(time.Now(), q.service.Name, int(n))
+		backoff, allowed = e.routes.takeRetry(time.Now(), q.service.Name, int(n))
 	}
 	e.log.Info().Str("decision", "judge-attempt").Str("request-id", q.id).Uint32("attempt", n).Str("endpoint", t.name).
 		Str("outcome", string(out.problem.Outcome)).Bool("again", allowed).Bool("safe", safe).Err(out.err).Msg("")
 	if !allowed {
 		return false
 	}
-	e.count("requests-retried")
+	e.countEvent("requests-retried")
 	return delay.For(ctx, backoff)
 }
 
-func (e *Entry) finish(q *request, t target, out outcome) {
-	if e.routes.done(time.Now(), q.service.Name, t, out.result) {
-		e.count("endpoints-ejected")
-		e.log.Warn().Str("decision", "eject-endpoint").Str("endpoint", t.name).Str("reason", "it fails everything").Msg("")
+func (e *Entry) finishAttempt(q *request, t target, out attemptOutcome) {
+	if e.routes.finishAttempt(time.Now(), q.service.Name, t, out.result) {
+		e.countEvent("endpoints-ejected")
+		e.log.Warn().Str("decision", "eject-endpoint").Str("endpoint", t.name).Str("reason", "too many of its attempts failed").Msg("")
 	}
 }
 
@@ -100,17 +101,18 @@
 		Str("endpoint", t.name).Int("in-flight", t.inFlight).Bool("waited", t.waited).Str("reason", t.reason).Msg("")
 }
 
-// count adds one to a counter of rare events.
-func (e *Entry) count(name string) { gometrics.GetOrRegisterCounter(name, e.registry).Inc(1) }
+// countEvent increments the counter of a rare event.
+func (e *Entry) countEvent(name string) { gometrics.GetOrRegisterCounter(name, e.registry).Inc(1) }
 
-func (e *Entry) logShed(q *request, n uint32, reason string) {
-	e.count("requests-refused")
+func (e *Entry) logRefused(q *request, n uint32, reason string) {
+	e.countEvent("requests-refused")
 	e.log.Info().Str("decision", "refuse-request").Str("request-id", q.id).Uint32("attempt", n).
 		Str("class", q.class.Name).Str("reason", reason).Msg("")
 }
 
-// accept checks a request and reads its body; it answers a bad one itself.
-func (e *Entry) accept(w http.ResponseWriter, r *http.Request) (*request, time.Duration, bool) {
+// acceptRequest checks a request, reads its body and returns it with the time until its
+// deadline. If the request is invalid, it responds with an error and returns false.
+func (e *Entry) acceptRequest(w http.ResponseWriter, r *http.Request) (*request, time.Duration, bool) {
 	d := e.document()
 	if d == nil {
 		p := problem.New(http.StatusServiceUnavailable, "", "no bundle is in force yet")
@@ -139,15 +141,15 @@
 	}
 	repeat := r.Header.Get(link.HeaderRepeat)
 	if repeat != "" && repeat != "never" {
-		problem.New(http.StatusBadRequest, link.HeaderRepeat, `want "never" or nothing`).Write(w)
+		problem.New(http.StatusBadRequest, link.HeaderRepeat, `must be "never" or absent`).Write(w)
 		return nil, 0, false
 	}
 	body, err := readBody(w, r, service.MaxBodyBytes)
 	if err != nil {
-		problem.New(http.StatusRequestEntityTooLarge, "body", "the body is cut off or over the service's limit").Write(w)
+		problem.New(http.StatusRequestEntityTooLarge, "body", "the body is truncated or larger than the service's body-limit").Write(w)
 		return nil, 0, false
 	}
-	q := &request{id: rand.Text(), team: team.Name, service: service, class: class, body: body, course: endpoint.NewAttemptTracker(repeat == "")}
+	q := &request{id: rand.Text(), team: team.Name, service: service, class: class, body: body, tracker: endpoint.NewAttemptTracker(repeat == "")}
 	return q, deadline, true
 }
 
@@ -161,13 +163,13 @@
 	return body, err
 }
 
-func parseDeadline(text string, standard time.Duration) (time.Duration, error) {
+func parseDeadline(text string, defaultDeadline time.Duration) (time.Duration, error) {
 	if text == "" {
-		return standard, nil
+		return defaultDeadline, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 || d > math.MaxInt32*time.Millisecond {
-		return 0, errors.New(`want how long the answer is of use, such as "250ms"`)
+		return 0, errors.New(`must be the time until the deadline, such as "250ms"`)
 	}
 	return d, nil
 }
--- a/internal/entry/request_attempt.go
+++ b/internal/entry/request_attempt.go
@@ -22,139 +22,140 @@
 
 // Errors of an exchange with an agent.
 var (
-	// errSilent means that a connection made no progress although the agent
-	// had more to say.
-	errSilent = errors.New("the connection is silent")
-	// errSlow means that an attempt of a repeatable request takes so much longer
-	// than expected that another endpoint is tried.
-	errSlow = errors.New("the attempt takes too long")
-	// errCrossed means that an answer belongs to another attempt.
-	errCrossed = errors.New("the answer belongs to another attempt")
+	// errStalled means that a connection made no progress although the agent no longer
+	// had the attempt running, or the agent did not answer queries.
+	errStalled = errors.New("the connection to the agent is stalled")
+	// errSlow means that an attempt of a repeatable request takes so much longer than
+	// expected that another endpoint is tried.
+	errSlow = errors.New("the attempt takes much longer than expected")
+	// errWrongAttempt means that a response belongs to another attempt.
+	errWrongAttempt = errors.New("the response belongs to another attempt")
 )
 
 const (
-	// silenceAfter is how long an exchange may make no progress before the
-	// agent is asked about it; it doubles up to silenceMost.
-	silenceAfter = 500 * time.Millisecond
-	silenceMost  = 4 * time.Second
-	// patience is how many times its expected time an attempt of a repeatable
-	// request is given, if that is longer than silenceAfter.
-	patience = 10
-	// settleTime is what an answer that is on its way is given to arrive.
-	settleTime = 100 * time.Millisecond
-	// fateTimeout bounds one question about an attempt.
-	fateTimeout = 500 * time.Millisecond
-	// fateTries is how often a question about an attempt is asked.
-	fateTries = 2
+	// stallTimeout is how long an exchange may take before the agent is queried about the
+	// attempt. The time to the next query doubles up to maxStallQueryInterval.
+	stallTimeout          = 500 * time.Millisecond
+	maxStallQueryInterval = 4 * time.Second
+	// slowAttemptFactor is how many times its expected service time an attempt of a
+	// repeatable request may take, if that is longer than stallTimeout.
+	slowAttemptFactor = 10
+	// responseGrace is the time for a response to arrive that the agent has sent already.
+	responseGrace = 100 * time.Millisecond
+	// attemptQueryTimeout bounds one query about an attempt.
+	attemptQueryTimeout = 500 * time.Millisecond
+	// maxAttemptQueries is how often a query about an attempt is tried.
+	maxAttemptQueries = 2
 )
 
-// outcome is what became of one attempt: an answer to relay, or a problem.
-type outcome struct {
-	answer  *answer
-	problem problem.Problem
-	err     error
-	result  result
+// attemptOutcome is the outcome of one attempt: a response to forward, or a problem to report.
+type attemptOutcome struct {
+	response *agentResponse
+	problem  problem.Problem
+	err      error
+	result   attemptResult
 }
 
-// exchange is one way of an attempt to the agent and back.
+// exchange is one HTTP exchange with the agent for an attempt. An attempt may need several.
 type exchange struct {
 	connected atomic.Bool
-	answered  atomic.Bool
-	// mayAbandon says whether the attempt may be given up while it runs.
+	responded atomic.Bool
+	// mayAbandon says whether the attempt may be abandoned while it runs.
 	mayAbandon bool
 	cancel     context.CancelCauseFunc
 }
 
-// try makes one attempt. If a connection fails or goes silent, it asks the
-// agent over a new one what became of the attempt, and for its answer.
-func (e *Entry) try(ctx context.Context, r *http.Request, q *request, t target) outcome {
-	transport := e.agents.Requests()
-	n := q.course.Attempt()
+// makeAttempt makes one attempt. If a connection fails or stalls, it queries the agent over a
+// new one for the state of the attempt, and resends the request to get the response.
+func (e *Entry) makeAttempt(ctx context.Context, r *http.Request, q *request, t target) attemptOutcome {
+	transport := e.agentClient.Requests()
+	n := q.tracker.Attempt()
 	for {
 		a, connected, err := e.exchange(ctx, transport, r, q, t, n)
 		if err == nil {
-			return e.judge(q, a)
+			return e.interpretResponse(q, a)
 		}
 		if errors.Is(err, errSlow) {
-			q.course.Abandon()
-			return e.unanswered(ctx, q.course.State(), err)
+			q.tracker.Abandon()
+			return e.interpretNoResponse(ctx, q.tracker.State(), err)
 		}
-		step := q.course.RecordNoResponse(connected)
+		step := q.tracker.RecordNoResponse(connected)
 		if step == endpoint.StepQuery {
-			step = q.course.RecordQueryResult(e.askFate(ctx, q, t, n), ctx.Err() != nil)
+			step = q.tracker.RecordQueryResult(e.queryAttempt(ctx, q, t, n), ctx.Err() != nil)
 		}
 		if step == endpoint.StepEnd {
-			return e.unanswered(ctx, q.course.State(), err)
+			return e.interpretNoResponse(ctx, q.tracker.State(), err)
 		}
-		transport = e.agents.Fresh()
+		transport = e.agentClient.Fresh()
 	}
 }
 
-// exchange sends the attempt and reads its answer. It reports whether a
-// connection was there to send it on.
-func (e *Entry) exchange(ctx context.Context, transport http.RoundTripper, r *http.Request, q *request, t target, n uint32) (*answer, bool, error) {
-	x := &exchange{mayAbandon: q.course.MayAbandon()}
-	own, cancel := context.WithCancelCause(ctx)
+// exchange sends the attempt and reads the response. It reports whether it had a connection to
+// send it on.
+func (e *Entry) exchange(ctx context.Context, transport http.RoundTripper, r *http.Request, q *request, t target, n uint32) (*agentResponse, bool, error) {
+	x := &exchange{mayAbandon: q.tracker.MayAbandon()}
+	exchangeCtx, cancel := context.WithCancelCause(ctx)
 	x.cancel = cancel
-	watch := time.AfterFunc(silenceAfter, func() { e.watch(own, x, q, t, n) })
-	traced := httptrace.WithClientTrace(own, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.connected.Store(true) }})
-	out, err := buildAttempt(traced, r, q, t, n)
+	watch := time.AfterFunc(stallTimeout, func() { e.watchExchange(exchangeCtx, x, q, t, n) })
+	traced := httptrace.WithClientTrace(exchangeCtx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.connected.Store(true) }})
+	out, err := newAttemptRequest(traced, r, q, t, n)
 	if err != nil {
 		cancel(nil)
 		return nil, false, err
 	}
 	resp, err := transport.RoundTrip(out)
 	if err == nil {
-		var a *answer
-		if a, err = readAnswer(resp, q.id, n, func() { cancel(nil) }); err == nil {
+		var a *agentResponse
+		if a, err = readResponse(resp, q.id, n, func() { cancel(nil) }); err == nil {
 			watch.Stop()
-			x.answered.Store(true)
+			x.responded.Store(true)
 			return a, true, nil
 		}
 	}
 	watch.Stop()
-	if cause := context.Cause(own); cause != nil && ctx.Err() == nil {
+	if cause := context.Cause(exchangeCtx); cause != nil && ctx.Err() == nil {
 		err = cause
 	}
 	cancel(nil)
 	return nil, x.connected.Load(), err
 }
 
-// watch asks the agent about an exchange that makes no progress. If the agent
-// has an end to report and it does not arrive, the connection is given up.
-func (e *Entry) watch(ctx context.Context, x *exchange, q *request, t target, n uint32) {
-	wait := silenceAfter
-	started := time.Now().Add(-silenceAfter)
+// watchExchange queries the agent about an exchange that takes long. If the attempt no longer
+// runs there and its response does not arrive, or the agent does not answer, it cancels the
+// exchange, which replaces the connection. An attempt that runs for too long is abandoned.
+func (e *Entry) watchExchange(ctx context.Context, x *exchange, q *request, t target, n uint32) {
+	wait := stallTimeout
+	started := time.Now().Add(-stallTimeout)
 	failures := 0
-	for ctx.Err() == nil && !x.answered.Load() {
-		fate, err := e.askOnce(ctx, q, t, n, false)
+	for ctx.Err() == nil && !x.responded.Load() {
+		state, err := e.queryAttemptOnce(ctx, q, t, n, false)
 		if err != nil {
 			failures++
 		} else {
 			failures = 0
 		}
-		if err == nil && fate != endpoint.AttemptRunning || failures > fateTries {
-			if !delay.For(ctx, settleTime) || x.answered.Load() {
+		if err == nil && state != endpoint.AttemptRunning || failures > maxAttemptQueries {
+			if !delay.For(ctx, responseGrace) || x.responded.Load() {
 				return
 			}
-			e.count("connections-replaced")
+			e.countEvent("connections-replaced")
 			e.log.Warn().Str("decision", "replace-connection").Str("request-id", q.id).Str("endpoint", t.name).
-				Str("reason", "no progress").Str("fate", fate.String()).Msg("")
-			e.agents.DropIdle()
-			x.cancel(errSilent)
+				Str("reason", "it made no progress").Str("fate", state.String()).Msg("")
+			e.agentClient.DropIdle()
+			x.cancel(errStalled)
 			return
 		}
-		if elapsed := time.Since(started); elapsed >= patience*t.ticket.ServiceTime() && elapsed < timeLeft(ctx) && e.abandon(ctx, x, q, t, n) {
+		if elapsed := time.Since(started); elapsed >= slowAttemptFactor*t.ticket.ServiceTime() && elapsed < timeLeft(ctx) && e.abandonAttempt(ctx, x, q, t, n) {
 			return
 		}
-		wait = min(2*wait, silenceMost)
+		wait = min(2*wait, maxStallQueryInterval)
 		if !delay.For(ctx, wait) {
 			return
 		}
 	}
 }
 
-// timeLeft returns the time to a request's deadline.
+// timeLeft returns the time until a request's deadline.
 func timeLeft(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -163,21 +164,21 @@
 	return time.Until(deadline)
 }
 
-// abandon gives an attempt of a repeatable request up for one elsewhere, and
-// tells the agent that nobody waits for it any more.
-func (e *Entry) abandon(ctx context.Context, x *exchange, q *request, t target, n uint32) bool {
-	if !x.mayAbandon || x.answered.Load() {
+// abandonAttempt gives up an attempt of a repeatable request in favour of one on another
+// endpoint, and asks the agent to cancel it. It reports whether it did so.
+func (e *Entry) abandonAttempt(ctx context.Context, x *exchange, q *request, t target, n uint32) bool {
+	if !x.mayAbandon || x.responded.Load() {
 		return false
 	}
-	e.count("attempts-abandoned")
+	e.countEvent("attempts-abandoned")
 	e.log.Warn().Str("decision", "abandon-attempt").Str("request-id", q.id).Str("endpoint", t.name).
 		Str("reason", "it takes much longer than expected").Msg("")
 	x.cancel(errSlow)
-	_, _ = e.askOnce(context.WithoutCancel(ctx), q, t, n, true)
+	_, _ = e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, n, true)
 	return true
 }
 
-func buildAttempt(ctx context.Context, r *http.Request, q *request, t target, n uint32) (*http.Request, error) {
+func newAttemptRequest(ctx context.Context, r *http.Request, q *request, t target, n uint32) (*http.Request, error) {
 	path := link.PathRequests + q.service.Name + strings.TrimPrefix(r.URL.Path, "/services/"+q.service.Name)
 	out, err := http.NewRequestWithContext(ctx, r.Method, "https://"+t.address+path, bytes.NewReader(q.body))
 	if err != nil {
@@ -198,27 +199,27 @@
 	return out, nil
 }
 
-// judge says what an answer of the agent means.
-func (e *Entry) judge(q *request, a *answer) outcome {
-	out := outcome{result: result{refusal: a.header.Get(link.HeaderRefusal)}}
+// interpretResponse returns the outcome of an attempt from the agent's response.
+func (e *Entry) interpretResponse(q *request, a *agentResponse) attemptOutcome {
+	out := attemptOutcome{result: attemptResult{refusal: a.header.Get(link.HeaderRefusal)}}
 	out.result.load, out.result.hasLoad = link.ParseLoad(a.header.Get(link.HeaderLoad))
 	if out.result.refusal == "" && a.outcome == problem.Run {
 		took, _ := strconv.ParseInt(a.header.Get(link.HeaderTook), 10, 64)
-		out.result.took = time.Duration(took) * time.Microsecond
-		out.result.answer = a.status < http.StatusInternalServerError
-		out.result.failed = !out.result.answer
-		out.answer = a
+		out.result.serviceTime = time.Duration(took) * time.Microsecond
+		out.result.succeeded = a.status < http.StatusInternalServerError
+		out.result.failed = !out.result.succeeded
+		out.response = a
 		return out
 	}
-	a.close()
-	q.course.RecordRefusal(endpoint.ParseAttemptState(string(a.outcome)))
+	a.releaseConnection()
+	q.tracker.RecordRefusal(endpoint.ParseAttemptState(string(a.outcome)))
 	out.result.failed = out.result.refusal == link.RefusalRunner
 	out.problem = problem.New(http.StatusBadGateway, "", "the endpoint did not answer the request")
-	if q.course.State() == endpoint.AttemptNotRun {
+	if q.tracker.State() == endpoint.AttemptNotRun {
 		out.problem = problem.New(http.StatusServiceUnavailable, "", "no endpoint could take the request")
 		out.problem.RetryAfter = time.Second
 	}
-	out.problem.Outcome = outcomeOf(q.course.State())
+	out.problem.Outcome = outcomeOf(q.tracker.State())
 	return out
 }
 
@@ -232,41 +233,42 @@
 	return problem.Unknown
 }
 
-// unanswered says what an attempt without an answer means.
-func (e *Entry) unanswered(ctx context.Context, fate endpoint.AttemptState, err error) outcome {
+// interpretNoResponse returns the outcome of an attempt without a response.
+func (e *Entry) interpretNoResponse(ctx context.Context, state endpoint.AttemptState, err error) attemptOutcome {
 	p := problem.New(http.StatusBadGateway, "", "the endpoint did not answer")
-	if fate == endpoint.AttemptNotRun {
+	if state == endpoint.AttemptNotRun {
 		p = problem.New(http.StatusServiceUnavailable, "", "the endpoint could not be reached")
 		p.RetryAfter = time.Second
 	}
-	p.Outcome = outcomeOf(fate)
+	p.Outcome = outcomeOf(state)
 	if ctx.Err() != nil {
 		p.Status = http.StatusGatewayTimeout
 		p.Title = http.StatusText(p.Status)
 		p.Detail = "the deadline has passed"
 	}
-	return outcome{problem: p, err: err, result: result{failed: !errors.Is(ctx.Err(), context.Canceled)}}
+	return attemptOutcome{problem: p, err: err, result: attemptResult{failed: !errors.Is(ctx.Err(), context.Canceled)}}
 }
 
-// askFate asks the agent over new connections what became of an attempt. If
-// nobody waits for it any more, it is cancelled where that is safe.
-func (e *Entry) askFate(ctx context.Context, q *request, t target, n uint32) endpoint.AttemptState {
-	over := ctx.Err() != nil
-	for range fateTries {
-		fate, err := e.askOnce(context.WithoutCancel(ctx), q, t, n, over)
-		if err == nil || over {
-			return fate
+// queryAttempt queries the agent over new connections for the state of an attempt. If the
+// caller no longer waits for it, it also asks the agent to cancel the attempt where that is
+// safe.
+func (e *Entry) queryAttempt(ctx context.Context, q *request, t target, n uint32) endpoint.AttemptState {
+	abandoned := ctx.Err() != nil
+	for range maxAttemptQueries {
+		state, err := e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, n, abandoned)
+		if err == nil || abandoned {
+			return state
 		}
 	}
 	return endpoint.AttemptUnknown
 }
 
-func (e *Entry) askOnce(ctx context.Context, q *request, t target, n uint32, cancelIt bool) (endpoint.AttemptState, error) {
-	ctx, cancel := context.WithTimeout(ctx, fateTimeout)
+func (e *Entry) queryAttemptOnce(ctx context.Context, q *request, t target, n uint32, cancelAttempt bool) (endpoint.AttemptState, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptQueryTimeout)
 	defer cancel()
-	in := &link.FateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelIt}
+	in := &link.FateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelAttempt}
 	var out link.FateReply
-	if err := e.agents.CallFresh(ctx, t.address, link.PathFate, in, &out); err != nil {
+	if err := e.agentClient.CallFresh(ctx, t.address, link.PathFate, in, &out); err != nil {
 		return endpoint.AttemptUnknown, err
 	}
 	return endpoint.ParseAttemptState(out.Fate), nil
--- a/internal/entry/request_answer.go
+++ b/internal/entry/request_response.go
@@ -10,31 +10,32 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// answer is an agent's answer. A small one has been read to its end, so that
-// it is whole or can still be asked for again; the rest of a large one streams.
-type answer struct {
+// agentResponse is an agent's response. The body of a small one has been read completely, so
+// that it is known to be complete or the agent can still be asked to resend it. What is
+// unread of a large body is streamed to the caller.
+type agentResponse struct {
 	status  int
 	header  http.Header
 	outcome problem.Outcome
 	body    []byte
-	rest    io.ReadCloser
+	unread  io.ReadCloser
 	release func()
 }
 
-// readAnswer reads an answer and checks that it belongs to the attempt.
-// Release is called when the answer needs its connection no more.
-func readAnswer(resp *http.Response, id string, attempt uint32, release func()) (*answer, error) {
+// readResponse reads a response and checks that it belongs to the attempt. It calls release
+// when the response no longer needs its connection.
+func readResponse(resp *http.Response, id string, attempt uint32, release func()) (*agentResponse, error) {
 	h := resp.Header
 	if h.Get(link.HeaderRequest) != id || h.Get(link.HeaderAttempt) != strconv.FormatUint(uint64(attempt), 10) {
 		_ = resp.Body.Close()
-		return nil, errCrossed
+		return nil, errWrongAttempt
 	}
-	a := &answer{
+	a := &agentResponse{
 		status: resp.StatusCode, header: h, outcome: problem.Outcome(h.Get(link.HeaderOutcome)),
-		rest: resp.Body, release: release,
+		unread: resp.Body, release: release,
 	}
 	if resp.Body == http.NoBody {
-		a.close()
+		a.releaseConnection()
 		return a, nil
 	}
 	if resp.ContentLength > endpoint.MaxResponseBytes {
@@ -52,28 +53,29 @@
 		return nil, err
 	}
 	if len(a.body) <= endpoint.MaxResponseBytes {
-		a.close()
+		a.releaseConnection()
 	}
 	return a, nil
 }
 
-// close gives the connection back.
-func (a *answer) close() {
-	if a.rest == nil {
+// releaseConnection closes what is unread of the body and releases the connection.
+func (a *agentResponse) releaseConnection() {
+	if a.unread == nil {
 		return
 	}
-	_ = a.rest.Close()
-	a.rest = nil
+	_ = a.unread.Close()
+	a.unread = nil
 	a.release()
 }
 
-// relay passes an answer on; a body that is cut off is cut off for the caller
-// too. It calls ended when the endpoint has done its part.
-func (a *answer) relay(w http.ResponseWriter, ended func()) {
-	defer a.close()
+// forward sends the response to the caller; a body that is truncated on the way from the
+// agent is truncated for the caller too. It calls ended when the endpoint has nothing more to
+// send.
+func (a *agentResponse) forward(w http.ResponseWriter, ended func()) {
+	defer a.releaseConnection()
 	link.DropInternal(a.header)
 	link.CopyHeader(w.Header(), a.header)
-	if a.rest == nil {
+	if a.unread == nil {
 		ended()
 		w.WriteHeader(a.status)
 		_, _ = w.Write(a.body)
@@ -84,7 +86,7 @@
 	if _, err := w.Write(a.body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if _, err := io.Copy(w, a.rest); err != nil {
+	if _, err := io.Copy(w, a.unread); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -26,27 +26,27 @@
 )
 
 const (
-	testDataCentre = "dc-1"
-	testBody       = "a request that must come back whole"
-	testWithin     = 20 * time.Second
+	testDataCentre   = "dc-1"
+	testBody         = "a request that must come back complete"
+	heartbeatTimeout = 20 * time.Second
 )
 
-// requestScript says how an agent behaves and what the caller must be told.
+// requestScript defines how an agent behaves and which response the caller must get.
 type requestScript struct {
 	Promise string
-	// Repeat is the caller's mark.
+	// Repeat is the value of the caller's header link.HeaderRepeat.
 	Repeat string
-	// Exchanges are the agent's answers to attempts, in their order; the last
-	// one goes on. Fates are its answers to questions.
+	// Exchanges are the agent's responses to attempts, in order; the last one is used for all
+	// further attempts. Fates are its replies to attempt queries, likewise.
 	Exchanges, Fates []string
 	Status           int
 	Outcome          string
-	// Attempts are the numbers of the attempts that the agent got.
+	// Attempts are the numbers of the attempts that the agent must receive.
 	Attempts   []int
 	RetryAfter bool `json:"retry-after"`
 }
 
-// scriptedAgent is the agent's side of the contract.
+// scriptedAgent is a fake agent that behaves as its script says.
 type scriptedAgent struct {
 	mu       sync.Mutex
 	script   requestScript
@@ -104,7 +104,7 @@
 	}
 }
 
-func (a *scriptedAgent) answerFate(context.Context, link.Peer, *link.FateQuery) (*link.FateReply, error) {
+func (a *scriptedAgent) handleAttemptQuery(context.Context, link.Peer, *link.FateQuery) (*link.FateReply, error) {
 	fate := a.take(&a.script.Fates)
 	if fate == "lost" {
 		return nil, link.ErrCall
@@ -112,16 +112,16 @@
 	return &link.FateReply{Fate: fate}, nil
 }
 
-// contract is an entry with scripted agents.
-type contract struct {
+// requestFixture is an entry with scripted agents.
+type requestFixture struct {
 	t         *testing.T
 	authority *link.Authority
 	entry     *Entry
 }
 
-func newContract(t *testing.T) *contract {
+func newRequestFixture(t *testing.T) *requestFixture {
 	t.Helper()
-	c := &contract{t: t}
+	c := &requestFixture{t: t}
 	var err error
 	c.authority, err = link.NewAuthority(time.Now(), time.Hour)
 	c.must(err)
@@ -156,14 +156,14 @@
 	return c
 }
 
-func (c *contract) must(err error) {
+func (c *requestFixture) must(err error) {
 	c.t.Helper()
 	if err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *contract) identity(role link.Role, name string) *link.Identity {
+func (c *requestFixture) identity(role link.Role, name string) *link.Identity {
 	certificate, key, err := c.authority.Issue(time.Now(), time.Hour, link.NewPeer(role, testDataCentre, name))
 	c.must(err)
 	id := new(link.Identity)
@@ -171,12 +171,12 @@
 	return id
 }
 
-// announce serves a scripted agent and tells the entry of it.
-func (c *contract) announce(name string, a *scriptedAgent) *link.Server {
+// announce serves a scripted agent and sends a heartbeat of it to the entry.
+func (c *requestFixture) announce(name string, a *scriptedAgent) *link.Server {
 	id := c.identity(link.RoleAgent, name)
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.PathRequests+"{service}/", a.serveRequest)
-	mux.Handle("POST "+link.PathFate, link.Handle(a.answerFate))
+	mux.Handle("POST "+link.PathFate, link.Handle(a.handleAttemptQuery))
 	server, err := link.Listen("127.0.0.1:0", id, mux, link.RoleEntry)
 	c.must(err)
 	var group sync.WaitGroup
@@ -191,20 +191,20 @@
 	client := link.NewClient(id, link.RoleEntry)
 	defer func() { _ = client.Close() }()
 	heartbeat := &link.Heartbeat{Worker: name, Service: "planner", Address: server.Address(), Incarnation: 1, Mark: 1, Slots: 8}
-	ctx, cancel := context.WithTimeout(context.Background(), testWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	c.must(client.Call(ctx, c.entry.PeerAddress(), link.PathHeartbeat, heartbeat, &link.Reading{}))
 	return server
 }
 
-// told is what a caller was told.
-type told struct {
+// callerResponse is the response that a caller got.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (c *contract) post(repeat string) (told, error) {
+func (c *requestFixture) post(repeat string) (callerResponse, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.entry.Address()+"/services/planner/x", strings.NewReader(testBody))
 	c.must(err)
 	req.Header.Set(HeaderTeam, "nursery")
@@ -213,14 +213,14 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return told{}, err
+		return callerResponse{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return told{resp.StatusCode, resp.Header, string(body)}, err
+	return callerResponse{resp.StatusCode, resp.Header, string(body)}, err
 }
 
-// TestRequestContract plays each script with one agent.
+// TestRequestContract runs each script of testdata with one agent.
 func TestRequestContract(t *testing.T) {
 	names, err := filepath.Glob(filepath.Join("testdata", "request", "*.json"))
 	if err != nil || len(names) == 0 {
@@ -237,14 +237,14 @@
 			if err := json.NewDecoder(bytes.NewReader(data)).Decode(&a.script); err != nil {
 				t.Fatal(err)
 			}
-			playRequest(t, a, a.script)
+			runScript(t, a, a.script)
 		})
 	}
 }
 
-func playRequest(t *testing.T, a *scriptedAgent, s requestScript) {
+func runScript(t *testing.T, a *scriptedAgent, s requestScript) {
 	t.Helper()
-	c := newContract(t)
+	c := newRequestFixture(t)
 	c.announce("worker-1", a)
 	resp, err := c.post(s.Repeat)
 	if err != nil {
@@ -269,9 +269,10 @@
 	}
 }
 
-// TestDeadAgentIsNotRun sends to an address that nobody listens at.
-func TestDeadAgentIsNotRun(t *testing.T) {
-	c := newContract(t)
+// TestUnreachableAgentIsNotRun checks that a request to an address on which nothing listens is
+// reported as not run.
+func TestUnreachableAgentIsNotRun(t *testing.T) {
+	c := newRequestFixture(t)
 	server := c.announce("worker-1", &scriptedAgent{})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -285,9 +286,10 @@
 	}
 }
 
-// TestHeadHasNoBody asks for the header of an answer alone.
+// TestHeadHasNoBody checks that a HEAD request, whose response has a length but no body, is
+// answered.
 func TestHeadHasNoBody(t *testing.T) {
-	c := newContract(t)
+	c := newRequestFixture(t)
 	c.announce("worker-1", &scriptedAgent{script: requestScript{Exchanges: []string{"answer"}}})
 	req, err := http.NewRequest(http.MethodHead, "http://"+c.entry.Address()+"/services/planner/x", nil)
 	c.must(err)
@@ -300,12 +302,13 @@
 	}
 }
 
-// TestLeavingAgentGetsNothingMore refuses one request as leaving: the next ones go elsewhere.
-func TestLeavingAgentGetsNothingMore(t *testing.T) {
-	c := newContract(t)
-	leaving := &scriptedAgent{script: requestScript{Exchanges: []string{"leaving"}}}
+// TestDrainingAgentGetsNoMoreRequests checks that an agent that refused a request because it is
+// draining gets no further requests.
+func TestDrainingAgentGetsNoMoreRequests(t *testing.T) {
+	c := newRequestFixture(t)
+	draining := &scriptedAgent{script: requestScript{Exchanges: []string{"leaving"}}}
 	staying := &scriptedAgent{script: requestScript{Exchanges: []string{"answer"}}}
-	c.announce("worker-1", leaving)
+	c.announce("worker-1", draining)
 	c.announce("worker-2", staying)
 	for range 12 {
 		resp, err := c.post("never")
@@ -313,21 +316,22 @@
 			t.Fatalf("request: got %v, %v, want the answer", resp, err)
 		}
 	}
-	leaving.mu.Lock()
-	defer leaving.mu.Unlock()
-	if got, want := len(leaving.attempts), 1; got > want {
-		t.Errorf("attempts at the leaving agent: got %d, want at most %d", got, want)
+	draining.mu.Lock()
+	defer draining.mu.Unlock()
+	if got, want := len(draining.attempts), 1; got > want {
+		t.Errorf("attempts at the draining agent: got %d, want at most %d", got, want)
 	}
 	if got, want := slices.Contains(staying.attempts, 0), false; got != want {
 		t.Errorf("attempt without a number: got %v, want %v", got, want)
 	}
 }
 
-// TestLeavingEntryClosesConnections asks an entry that leaves.
-func TestLeavingEntryClosesConnections(t *testing.T) {
-	c := newContract(t)
+// TestDrainingEntryClosesConnections checks that a draining entry closes a caller's connection
+// after the response.
+func TestDrainingEntryClosesConnections(t *testing.T) {
+	c := newRequestFixture(t)
 	c.announce("worker-1", &scriptedAgent{script: requestScript{Exchanges: []string{"answer"}}})
-	c.entry.leaving.Store(true)
+	c.entry.draining.Store(true)
 	req, err := http.NewRequest(http.MethodGet, "http://"+c.entry.Address()+"/services/planner/x", nil)
 	c.must(err)
 	req.Header.Set(HeaderTeam, "nursery")
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -16,7 +16,7 @@
 // ErrShed means that a request was refused before it was sent anywhere.
 var ErrShed = errors.New("the request was refused")
 
-// routes is the entry's state of interactive requests.
+// routes is the entry's state of interactive requests, by service.
 type routes struct {
 	mu      sync.Mutex
 	routers map[string]*endpoint.Router
@@ -24,7 +24,7 @@
 	random  *mathrand.Rand
 }
 
-// target is a chosen endpoint, copied out of the table.
+// target is a chosen endpoint, with a copy of the attributes that an attempt needs.
 type target struct {
 	endpoint    *endpoint.Endpoint
 	ticket      *endpoint.Ticket
@@ -51,8 +51,8 @@
 	return p
 }
 
-// covers reports whether some endpoint takes requests for every service.
-func (r *routes) covers(now time.Time, d *bundle.Document) bool {
+// allServicesUsable reports whether every service has an endpoint that takes requests.
+func (r *routes) allServicesUsable(now time.Time, d *bundle.Document) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range d.Services {
@@ -63,26 +63,26 @@
 	return true
 }
 
-// await returns the endpoint for a request, after a wait if all are busy. The
-// caller must call done on it.
-func (r *routes) await(ctx context.Context, q *request, deadline time.Time, skip string) (target, endpoint.Decision, error) {
+// chooseEndpoint returns the endpoint for a request, after a wait if all are busy. The
+// caller must pass the target to finishAttempt.
+func (r *routes) chooseEndpoint(ctx context.Context, q *request, deadline time.Time, skip string) (target, endpoint.Decision, error) {
 	now := time.Now()
 	r.mu.Lock()
 	p := r.router(q.service.Name)
 	ticket := p.NewTicket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.ExpectedServiceTime.Std())
 	d := p.Offer(now, r.random, ticket, skip)
 	if d.Victim != nil {
-		r.wake(d.Victim, endpoint.Decision{Verdict: endpoint.Shed, Reason: "a more important request took its place", RetryAfter: time.Second})
+		r.resolveWaiter(d.Victim, endpoint.Decision{Verdict: endpoint.Shed, Reason: "a request with higher precedence took its place in the queue", RetryAfter: time.Second})
 	}
-	var granted chan endpoint.Decision
+	var decided chan endpoint.Decision
 	if d.Verdict == endpoint.Wait {
-		granted = make(chan endpoint.Decision, 1)
-		r.waiters[ticket] = granted
+		decided = make(chan endpoint.Decision, 1)
+		r.waiters[ticket] = decided
 	}
 	t := newTarget(ticket, d)
 	r.mu.Unlock()
 	if d.Verdict == endpoint.Wait {
-		d = r.wait(ctx, p, ticket, granted)
+		d = r.waitForDecision(ctx, p, ticket, decided)
 		r.mu.Lock()
 		t = newTarget(ticket, d)
 		r.mu.Unlock()
@@ -94,7 +94,7 @@
 	return target{}, d, errors.Wrap(ErrShed, d.Reason)
 }
 
-// newTarget copies what is needed of a chosen endpoint; mu is held.
+// newTarget copies the attributes of a chosen endpoint; mu is held.
 func newTarget(ticket *endpoint.Ticket, d endpoint.Decision) target {
 	e := d.Endpoint
 	if e == nil {
@@ -106,12 +106,12 @@
 	}
 }
 
-// wait blocks until the request is sent or refused.
-func (r *routes) wait(ctx context.Context, p *endpoint.Router, ticket *endpoint.Ticket, granted chan endpoint.Decision) endpoint.Decision {
+// waitForDecision blocks until a queued request may start or is refused.
+func (r *routes) waitForDecision(ctx context.Context, p *endpoint.Router, ticket *endpoint.Ticket, decided chan endpoint.Decision) endpoint.Decision {
 	timer := time.NewTimer(time.Until(ticket.LatestStart()))
 	defer timer.Stop()
 	select {
-	case d := <-granted:
+	case d := <-decided:
 		return d
 	case <-timer.C:
 	case <-ctx.Done():
@@ -122,43 +122,43 @@
 		delete(r.waiters, ticket)
 		return endpoint.Decision{Verdict: endpoint.Shed, Reason: "the deadline is too near", RetryAfter: time.Second}
 	}
-	return <-granted
+	return <-decided
 }
 
-// wake tells a waiting request what became of it; mu is held.
-func (r *routes) wake(t *endpoint.Ticket, d endpoint.Decision) {
-	granted, ok := r.waiters[t]
+// resolveWaiter passes the decision to a waiting request; mu is held.
+func (r *routes) resolveWaiter(t *endpoint.Ticket, d endpoint.Decision) {
+	decided, ok := r.waiters[t]
 	if !ok {
 		return
 	}
 	delete(r.waiters, t)
-	granted <- d
+	decided <- d
 }
 
-// pump sends waiting requests where there is room; mu is held.
-func (r *routes) pump(now time.Time, p *endpoint.Router) {
+// startWaiting starts waiting requests on endpoints that have room; mu is held.
+func (r *routes) startWaiting(now time.Time, p *endpoint.Router) {
 	for p.Waiting() > 0 {
 		t, d := p.Next(now, r.random)
 		if t == nil {
 			return
 		}
-		r.wake(t, d)
+		r.resolveWaiter(t, d)
 	}
 }
 
-// result is what an attempt taught about its endpoint.
-type result struct {
-	load    endpoint.Load
-	hasLoad bool
-	took    time.Duration
-	answer  bool
-	failed  bool
-	refusal string
+// attemptResult is what an attempt revealed about its endpoint.
+type attemptResult struct {
+	load        endpoint.Load
+	hasLoad     bool
+	serviceTime time.Duration
+	succeeded   bool
+	failed      bool
+	refusal     string
 }
 
-// done takes in the end of an attempt and sends on what waits. It reports
+// finishAttempt records the result of an attempt and starts waiting requests. It reports
 // whether the endpoint was ejected.
-func (r *routes) done(now time.Time, service string, t target, res result) bool {
+func (r *routes) finishAttempt(now time.Time, service string, t target, res attemptResult) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.router(service)
@@ -177,26 +177,27 @@
 		table.RecordRefusal(t.endpoint)
 	case res.failed:
 		ejected = table.RecordFailure(now, r.random, t.endpoint)
-	case res.answer:
+	case res.succeeded:
 		table.RecordSuccess(now, t.endpoint)
 		table.RecordAcceptance(t.endpoint)
-		if res.took > 0 {
-			p.RecordServiceTime(now, t.endpoint, t.ticket.Class(), res.took)
+		if res.serviceTime > 0 {
+			p.RecordServiceTime(now, t.endpoint, t.ticket.Class(), res.serviceTime)
 		}
 	}
-	r.pump(now, p)
+	r.startWaiting(now, p)
 	return ejected
 }
 
-// first notes a first attempt in the budget of retries.
-func (r *routes) first(service string) {
+// recordFirstAttempt records a first attempt in the service's retry budget.
+func (r *routes) recordFirstAttempt(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.router(service).RetryBudget().RecordFirstAttempt()
 }
 
-// retry reports whether the budget allows a retry, and after what delay.
-func (r *routes) retry(now time.Time, service string, retry int) (time.Duration, bool) {
+// takeRetry takes a retry from the service's retry budget, and returns the delay before it
+// and whether the budget allows it.
+func (r *routes) takeRetry(now time.Time, service string, retry int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.router(service).RetryBudget().Take(now) {
@@ -205,8 +206,8 @@
 	return endpoint.RetryDelay(r.random, retry), true
 }
 
-// observe takes a heartbeat into the table of its service.
-func (r *routes) observe(now time.Time, dataCentre string, h *link.Heartbeat) {
+// applyHeartbeat updates the endpoint table of a service from a heartbeat.
+func (r *routes) applyHeartbeat(now time.Time, dataCentre string, h *link.Heartbeat) {
 	if h.Service == "" {
 		return
 	}
@@ -219,5 +220,5 @@
 		Load: endpoint.Load{InFlight: h.InFlight, Long: h.InFlightLong, Reserved: h.Reserved},
 	})
 	p.Table().Prune(now)
-	r.pump(now, p)
+	r.startWaiting(now, p)
 }
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -18,44 +18,44 @@
 
 // Times of scheduling.
 const (
-	// scheduleEvery is the longest time between two looks at the queue.
-	scheduleEvery = 100 * time.Millisecond
+	// scheduleInterval is the longest time between two scheduling passes.
+	scheduleInterval = 100 * time.Millisecond
 )
 
-// jobs is the entry's state of batch work.
-type jobs struct {
-	mu   sync.Mutex
-	born time.Time
-	fold job.StateMachine
-	// began is when the newest read of the stream began.
-	began   time.Time
-	changed chan struct{}
-	workers map[string]*workerView
-	// liveCount is how many of them were heard lately when they were counted.
-	liveCount int
-	counted   time.Time
-	relay     job.HeartbeatResponder
-	taker     job.Reclaimer
-	// forgot is when ended jobs were looked for last.
-	forgot time.Time
+// jobState is the entry's state of batch jobs.
+type jobState struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	state     job.StateMachine
+	// lastReadBegan is when the newest read of the jobs stream began.
+	lastReadBegan time.Time
+	changed       chan struct{}
+	workers       map[string]*workerState
+	// liveCount is how many workers had a recent last contact at liveCountedAt.
+	liveCount     int
+	liveCountedAt time.Time
+	responder     job.HeartbeatResponder
+	reclaimer     job.Reclaimer
+	// lastForgetAt is when the entry last looked for ended jobs to drop.
+	lastForgetAt time.Time
 
 	scheduler queue.Scheduler
 	random    *rand.Rand
-	// delivered is when the records that are being folded were delivered.
-	delivered time.Time
-	// configured is the document that the scheduler follows.
-	configured *bundle.Document
-	// looked is when silent workers were looked for last.
-	looked time.Time
+	// deliveredAt is when the records that are being applied were read.
+	deliveredAt time.Time
+	// configuredDocument is the bundle document that the scheduler is configured with.
+	configuredDocument *bundle.Document
+	// lastSilenceCheckAt is when the entry last checked for silent workers.
+	lastSilenceCheckAt time.Time
 }
 
-type workerView struct {
-	heartbeat link.Heartbeat
-	heard     time.Time
+type workerState struct {
+	heartbeat   link.Heartbeat
+	lastContact time.Time
 }
 
 // notify wakes the scheduler; mu is held.
-func (j *jobs) notify() {
+func (j *jobState) notify() {
 	if j.changed == nil {
 		return
 	}
@@ -65,29 +65,30 @@
 	}
 }
 
-// attach makes the scheduler follow the fold, before anything is folded.
-func (j *jobs) attach(now time.Time) {
-	j.born = now
-	j.delivered = now
+// connectScheduler passes task changes of the state machine to the scheduler. It must be
+// called before any record is applied.
+func (j *jobState) connectScheduler(now time.Time) {
+	j.startedAt = now
+	j.deliveredAt = now
 	j.random = rand.New(rand.NewPCG(uint64(now.UnixNano()), 1)) //nolint:gosec // placement only
-	j.fold.OnTaskChange = func(id record.TaskID, owner *job.Job, t *job.Task) {
-		j.scheduler.TaskChanged(j.delivered, id, owner, t)
+	j.state.OnTaskChange = func(id record.TaskID, owner *job.Job, t *job.Task) {
+		j.scheduler.TaskChanged(j.deliveredAt, id, owner, t)
 	}
 }
 
-func (j *jobs) init() {
+func (j *jobState) init() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.changed = make(chan struct{}, 1)
 	if j.workers == nil {
-		j.workers = make(map[string]*workerView)
+		j.workers = make(map[string]*workerState)
 	}
 }
 
-// schedule places pending tasks and takes over those of lost workers until ctx ends.
+// schedule places pending tasks and reclaims those of lost workers until ctx ends.
 func (e *Entry) schedule(ctx context.Context) {
 	e.jobs.init()
-	tick := time.NewTicker(scheduleEvery)
+	tick := time.NewTicker(scheduleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -96,7 +97,7 @@
 		case <-tick.C:
 		case <-e.jobs.changed:
 		}
-		if e.leaving.Load() {
+		if e.draining.Load() {
 			continue
 		}
 		e.appendDecisions(ctx, e.decide(time.Now()))
@@ -112,28 +113,28 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if err := e.writer.Append(ctx, messages...); err != nil {
-		e.log.Warn().Err(err).Int("records", len(messages)).Msg("scheduling records not appended yet")
+	if err := e.localJobsWriter.Append(ctx, messages...); err != nil {
+		e.log.Warn().Err(err).Int("records", len(messages)).Msg("scheduling records not appended")
 	}
 }
 
-// decide returns the records that the present state calls for.
+// decide returns the records to append in the current state.
 func (e *Entry) decide(now time.Time) []record.Message {
 	document := e.document()
-	neighbours := e.neighbours(now)
+	entries := e.localEntries(now)
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
-	if document == nil || e.jobs.began.IsZero() {
+	if document == nil || e.jobs.lastReadBegan.IsZero() {
 		return nil
 	}
-	out := append(e.takeOver(now), e.forget(now, neighbours)...)
+	out := append(e.reclaimTasks(now), e.forgetEndedJobs(now, entries)...)
 	e.configure(now, document)
-	e.dropSilent(now)
+	e.dropSilentWorkers(now)
 	backup := func(jobID string) time.Duration {
-		return time.Duration(rank(e.settings.Name, jobID, neighbours)) * queue.BackupDelay
+		return time.Duration(rendezvousRank(e.settings.Name, jobID, entries)) * queue.BackupDelay
 	}
-	decisions := e.jobs.scheduler.Decide(now, &e.jobs.fold, backup, e.jobs.random)
-	e.countQueue()
+	decisions := e.jobs.scheduler.Decide(now, &e.jobs.state, backup, e.jobs.random)
+	e.updateQueueGauges()
 	for i := range decisions {
 		e.logDecision(&decisions[i])
 		if m := decisions[i].Message(); m != nil {
@@ -143,27 +144,28 @@
 	return out
 }
 
-// configure hands a new bundle to the scheduler; jobs.mu is held.
+// configure configures the scheduler with a new bundle document; jobs.mu is held.
 func (e *Entry) configure(now time.Time, d *bundle.Document) {
-	if e.jobs.configured == d {
+	if e.jobs.configuredDocument == d {
 		return
 	}
-	e.jobs.configured = d
-	e.jobs.scheduler.Configure(now, d, &e.jobs.fold)
+	e.jobs.configuredDocument = d
+	e.jobs.scheduler.Configure(now, d, &e.jobs.state)
 }
 
-// forgetWorkerAfter is how long a worker without tasks may be silent before
-// nothing is kept of it.
+// forgetWorkerAfter is how long a worker without tasks may be silent before it is dropped
+// from the state.
 const forgetWorkerAfter = 10 * time.Minute
 
-// dropSilent tells the scheduler of workers that fell silent; jobs.mu is held.
-func (e *Entry) dropSilent(now time.Time) {
-	if now.Sub(e.jobs.looked) < workerLostAfter/2 {
+// dropSilentWorkers marks silent workers as lost in the scheduler and drops those without
+// tasks after forgetWorkerAfter; jobs.mu is held.
+func (e *Entry) dropSilentWorkers(now time.Time) {
+	if now.Sub(e.jobs.lastSilenceCheckAt) < workerLostAfter/2 {
 		return
 	}
-	e.jobs.looked = now
+	e.jobs.lastSilenceCheckAt = now
 	for name, v := range e.jobs.workers {
-		silent := now.Sub(v.heard)
+		silent := now.Sub(v.lastContact)
 		if silent > workerLostAfter {
 			e.jobs.scheduler.Fleet().MarkLost(name)
 		}
@@ -173,8 +175,8 @@
 	}
 }
 
-// countQueue keeps the gauges of waiting work; jobs.mu is held.
-func (e *Entry) countQueue() {
+// updateQueueGauges updates the gauges of queued tasks and allocations; jobs.mu is held.
+func (e *Entry) updateQueueGauges() {
 	q := e.jobs.scheduler.Queue()
 	gometrics.GetOrRegisterGauge("queue-waiting", e.registry).Update(int64(q.Len()))
 	gometrics.GetOrRegisterGauge("queue-parked", e.registry).Update(int64(q.Parked()))
@@ -198,8 +200,8 @@
 	}
 }
 
-// report returns what the scheduler needs to know of a heartbeat.
-func report(h *link.Heartbeat) (*worker.Report, []queue.ClassUse) {
+// schedulerReport returns the parts of a heartbeat that the scheduler uses.
+func schedulerReport(h *link.Heartbeat) (*worker.Report, []queue.ClassUse) {
 	r := &worker.Report{
 		Name: h.Worker, Rack: h.Rack, Service: h.Service, Total: h.Total, Free: h.Free, Ready: h.Ready, Draining: h.Leaving,
 		Pressure: h.Pressure,
--- a/internal/entry/spill.go
+++ b/internal/entry/spill.go
@@ -16,110 +16,112 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// Times of the exchange of sums between data centres.
+// Times of the load queries between data centres.
 const (
-	sumEvery   = time.Second
-	sumTimeout = 800 * time.Millisecond
+	loadQueryInterval = time.Second
+	loadQueryTimeout  = 800 * time.Millisecond
 )
 
-// spills holds what is known of the services in other data centres.
-type spills struct {
+// remoteLoad holds the load of the services in other data centres, to decide which requests
+// to spill there.
+type remoteLoad struct {
 	// mu is taken after routes.mu.
-	mu       sync.Mutex
-	services map[string]*endpoint.RemoteDataCentres
-	trips    map[string]*roundTrip
+	mu         sync.Mutex
+	services   map[string]*endpoint.RemoteDataCentres
+	roundTrips map[string]*roundTrip
 }
 
-// roundTrip is the least recent time to a data centre and back.
+// roundTrip estimates the shortest recent round-trip time to a data centre.
 type roundTrip struct {
-	least time.Duration
+	shortest time.Duration
 }
 
-// tripGrowth is the part by which the least round trip grows with each reading,
-// as a divisor, so that a longer way is learned.
-const tripGrowth = 16
+// roundTripGrowthDivisor sets how fast the estimate grows: by 1/16 of itself with each
+// measurement, so that it follows when the route becomes longer.
+const roundTripGrowthDivisor = 16
 
-func (r *roundTrip) note(took time.Duration) time.Duration {
-	r.least += r.least / tripGrowth
-	if r.least == 0 || took < r.least {
-		r.least = took
+func (r *roundTrip) observe(took time.Duration) time.Duration {
+	r.shortest += r.shortest / roundTripGrowthDivisor
+	if r.shortest == 0 || took < r.shortest {
+		r.shortest = took
 	}
-	return r.least
+	return r.shortest
 }
 
-// exchangeSums asks one entry of each other data centre for its sums until ctx ends.
-func (e *Entry) exchangeSums(ctx context.Context) {
+// queryRemoteLoad regularly asks one entry of each other data centre for the load of its
+// services, until ctx ends.
+func (e *Entry) queryRemoteLoad(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	for delay.For(ctx, sumEvery) {
+	for delay.For(ctx, loadQueryInterval) {
 		d := e.document()
 		if d == nil {
 			continue
 		}
 		for _, name := range e.dataCentres(d) {
 			if name != e.settings.DataCentre {
-				group.Go(func() { e.askSums(ctx, name) })
+				group.Go(func() { e.queryLoadOf(ctx, name) })
 			}
 		}
 	}
 }
 
-func (e *Entry) askSums(ctx context.Context, dataCentre string) {
-	address, ok := e.someEntry(dataCentre)
+func (e *Entry) queryLoadOf(ctx context.Context, dataCentre string) {
+	address, ok := e.randomEntry(dataCentre)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, sumTimeout)
+	ctx, cancel := context.WithTimeout(ctx, loadQueryTimeout)
 	defer cancel()
-	asked := time.Now()
+	askedAt := time.Now()
 	var reply link.SumsReply
-	if err := e.entries.Call(ctx, address, link.PathSums, &link.SumsQuery{}, &reply); err != nil {
-		e.log.Debug().Err(err).Str("data-centre", dataCentre).Msg("asking for sums failed")
+	if err := e.entryClient.Call(ctx, address, link.PathSums, &link.SumsQuery{}, &reply); err != nil {
+		e.log.Debug().Err(err).Str("data-centre", dataCentre).Msg("load query failed")
 		return
 	}
-	e.spills.observe(time.Now(), dataCentre, time.Since(asked), &reply)
+	e.remoteLoad.applyReply(time.Now(), dataCentre, time.Since(askedAt), &reply)
 }
 
-// someEntry returns the peer address of an entry of a data centre.
-func (e *Entry) someEntry(dataCentre string) (string, bool) {
-	members := e.membersOf(dataCentre, time.Now())
+// randomEntry returns the peer address of a random entry of a data centre.
+func (e *Entry) randomEntry(dataCentre string) (string, bool) {
+	members := e.entriesOf(dataCentre, time.Now())
 	if len(members) == 0 {
 		return "", false
 	}
 	return members[rand.IntN(len(members))].Address, true
 }
 
-func (s *spills) observe(now time.Time, dataCentre string, took time.Duration, reply *link.SumsReply) {
+func (s *remoteLoad) applyReply(now time.Time, dataCentre string, took time.Duration, reply *link.SumsReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.services == nil {
 		s.services = make(map[string]*endpoint.RemoteDataCentres)
-		s.trips = make(map[string]*roundTrip)
+		s.roundTrips = make(map[string]*roundTrip)
 	}
-	if s.trips[dataCentre] == nil {
-		s.trips[dataCentre] = new(roundTrip)
+	if s.roundTrips[dataCentre] == nil {
+		s.roundTrips[dataCentre] = new(roundTrip)
 	}
-	trip := s.trips[dataCentre].note(took)
+	shortest := s.roundTrips[dataCentre].observe(took)
 	for _, v := range reply.Services {
 		if s.services[v.Service] == nil {
 			s.services[v.Service] = new(endpoint.RemoteDataCentres)
 		}
 		s.services[v.Service].Observe(now, endpoint.DataCentreLoad{
-			DataCentre: dataCentre, Slots: v.Slots, InFlight: v.InFlight, Entries: reply.Askers, RoundTrip: trip,
+			DataCentre: dataCentre, Slots: v.Slots, InFlight: v.InFlight, Entries: reply.Askers, RoundTrip: shortest,
 		})
 	}
 }
 
-func (s *spills) done(service, dataCentre string) {
+func (s *remoteLoad) done(service, dataCentre string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.services[service].Done(dataCentre)
 }
 
-// answerSums tells an entry of another data centre what the services here can take.
-func (e *Entry) answerSums(_ context.Context, _ link.Peer, _ *link.SumsQuery) (*link.SumsReply, error) {
+// handleLoadQuery returns the load of the services here to an entry of another data centre.
+func (e *Entry) handleLoadQuery(_ context.Context, _ link.Peer, _ *link.SumsQuery) (*link.SumsReply, error) {
 	now := time.Now()
-	reply := &link.SumsReply{Askers: e.strangers(now)}
+	reply := &link.SumsReply{Askers: e.countRemoteEntries(now)}
 	e.routes.mu.Lock()
 	defer e.routes.mu.Unlock()
 	for name, r := range e.routes.routers {
@@ -129,24 +131,24 @@
 	return reply, nil
 }
 
-// strangers counts the entries of other data centres.
-func (e *Entry) strangers(now time.Time) int {
+// countRemoteEntries counts the entries of other data centres.
+func (e *Entry) countRemoteEntries(now time.Time) int {
 	e.memberMu.Lock()
 	defer e.memberMu.Unlock()
 	n := 0
-	for _, m := range e.known {
-		if m.record.DataCentre != e.settings.DataCentre && !m.record.Leaving && now.Sub(m.seen) < forgetMemberAfter {
+	for _, m := range e.knownMembers {
+		if m.record.DataCentre != e.settings.DataCentre && !m.record.Leaving && now.Sub(m.lastReadAt) < forgetMemberAfter {
 			n++
 		}
 	}
 	return n
 }
 
-// spillTo returns the data centre that a request should go to, or "". Only
-// repeatable requests from callers leave: if the way is lost, nobody can say
-// what became of one there.
-func (e *Entry) spillTo(now time.Time, r *http.Request, q *request, deadline time.Time) string {
-	if r.TLS != nil || !q.course.MayRepeat() {
+// chooseSpillTarget returns the data centre that a request should be sent to, or "". Only
+// repeatable requests that come from callers are sent elsewhere: if the connection to the
+// other data centre fails, nothing here can find out whether the request ran there.
+func (e *Entry) chooseSpillTarget(now time.Time, r *http.Request, q *request, deadline time.Time) string {
+	if r.TLS != nil || !q.tracker.MayRepeat() {
 		return ""
 	}
 	e.routes.mu.Lock()
@@ -159,9 +161,9 @@
 	if wait <= 0 {
 		return ""
 	}
-	e.spills.mu.Lock()
-	defer e.spills.mu.Unlock()
-	n := e.spills.services[q.service.Name]
+	e.remoteLoad.mu.Lock()
+	defer e.remoteLoad.mu.Unlock()
+	n := e.remoteLoad.services[q.service.Name]
 	if n == nil {
 		return ""
 	}
@@ -173,11 +175,11 @@
 	return dataCentre
 }
 
-// spill makes an attempt in another data centre and relays the answer. It
-// returns false if the request was not answered and may be tried here.
-func (e *Entry) spill(ctx context.Context, w http.ResponseWriter, r *http.Request, q *request, dataCentre string) bool {
-	defer e.spills.done(q.service.Name, dataCentre)
-	address, ok := e.someEntry(dataCentre)
+// spillRequest makes an attempt in another data centre and relays the response. It returns
+// false if there was none and the request may be tried here.
+func (e *Entry) spillRequest(ctx context.Context, w http.ResponseWriter, r *http.Request, q *request, dataCentre string) bool {
+	defer e.remoteLoad.done(q.service.Name, dataCentre)
+	address, ok := e.randomEntry(dataCentre)
 	if !ok {
 		return false
 	}
@@ -185,7 +187,7 @@
 	if err != nil {
 		return false
 	}
-	q.course.BeginAttempt()
+	q.tracker.BeginAttempt()
 	out.URL.RawQuery = r.URL.RawQuery
 	link.CopyHeader(out.Header, r.Header)
 	out.Header.Set(link.HeaderClass, q.class.Name)
@@ -193,21 +195,21 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		out.Header.Set(link.HeaderDeadline, time.Until(deadline).String())
 	}
-	resp, err := e.entries.Control().RoundTrip(out)
+	resp, err := e.entryClient.Control().RoundTrip(out)
 	if err != nil {
-		q.course.Abandon()
-		e.log.Warn().Err(err).Str("request-id", q.id).Str("data-centre", dataCentre).Msg("spilling a request failed")
+		q.tracker.Abandon()
+		e.log.Warn().Err(err).Str("request-id", q.id).Str("data-centre", dataCentre).Msg("spilling a request to another data centre failed")
 		return false
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if outcome := resp.Header.Get(problem.HeaderOutcome); outcome != string(problem.Run) {
-		q.course.RecordRefusal(endpoint.ParseAttemptState(outcome))
+		q.tracker.RecordRefusal(endpoint.ParseAttemptState(outcome))
 		return false
 	}
 	link.CopyHeader(w.Header(), resp.Header)
 	w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		panic(http.ErrAbortHandler) // the caller must see that the body is cut off
+		panic(http.ErrAbortHandler) // the caller must notice that the body is truncated
 	}
 	return true
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -44,7 +44,7 @@
 func (e *Entry) status(now time.Time) Status {
 	s := Status{Entry: e.settings.Name, DataCentre: e.settings.DataCentre, Tasks: make(map[string]int)}
 	e.jobs.mu.Lock()
-	e.jobs.fold.Each(func(j *job.Job) bool {
+	e.jobs.state.Each(func(j *job.Job) bool {
 		for i := range j.Tasks() {
 			s.Tasks[j.Task(i).Phase().String()]++
 		}
@@ -53,7 +53,7 @@
 	for name, v := range e.jobs.workers {
 		s.Workers = append(s.Workers, WorkerStatus{
 			Name: name, Ready: v.heartbeat.Ready, Leaving: v.heartbeat.Leaving,
-			SilentMS: now.Sub(v.heard).Milliseconds(), Bundle: v.heartbeat.Bundle,
+			SilentMS: now.Sub(v.lastContact).Milliseconds(), Bundle: v.heartbeat.Bundle,
 		})
 	}
 	e.jobs.mu.Unlock()
@@ -67,7 +67,7 @@
 	e.bundleMu.Lock()
 	s.BundleVersion, s.BundleDigest = e.bundle.chain.Version(), e.bundle.chain.Digest()
 	e.bundleMu.Unlock()
-	for _, m := range e.neighbours(now) {
+	for _, m := range e.localEntries(now) {
 		s.Entries = append(s.Entries, m.Name)
 	}
 	return s
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -11,33 +11,33 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// readWait is how long a read of the log waits for a record.
-const readWait = 500 * time.Millisecond
+// maxReadWait is how long a read of the log waits for a record.
+const maxReadWait = 500 * time.Millisecond
 
-// tails returns the readers of the streams that an entry follows.
-func (e *Entry) tails() []*services.Tail {
-	jobs := e.tail(JobsStream(e.settings.DataCentre), e.deliverJobs)
-	jobs.Observed = e.carried.observer(&e.carried.jobs)
-	jobs.Start = e.startOfJobs
+// streamReaders returns the readers of the streams that an entry follows.
+func (e *Entry) streamReaders() []*services.Tail {
+	jobs := e.newStreamReader(JobsStream(e.settings.DataCentre), e.deliverJobs)
+	jobs.Observed = e.carriedForward.observer(&e.carriedForward.jobs)
+	jobs.Start = e.jobsStartOffset
 	jobs.Expired = e.recoverJobs
-	bundles := e.tail(StreamBundles, e.deliverBundles)
-	bundles.Expired = e.bundlesLost
-	bundles.Observed = e.carried.observer(&e.carried.bundle)
-	members := e.tail(StreamMembers, e.deliverMembers)
+	bundles := e.newStreamReader(StreamBundles, e.deliverBundles)
+	bundles.Expired = e.bundlesExpired
+	bundles.Observed = e.carriedForward.observer(&e.carriedForward.bundle)
+	members := e.newStreamReader(StreamMembers, e.deliverMembers)
 	return []*services.Tail{jobs, bundles, members}
 }
 
-func (e *Entry) tail(stream string, deliver func([]record.Record, uint64, time.Time)) *services.Tail {
+func (e *Entry) newStreamReader(stream string, deliver func([]record.Record, uint64, time.Time)) *services.Tail {
 	skipped := gometrics.GetOrRegisterCounter("records-skipped", e.registry)
 	return &services.Tail{
-		Log: e.logPort, Stream: stream, Wait: readWait, Deliver: deliver,
+		Log: e.logService, Stream: stream, Wait: maxReadWait, Deliver: deliver,
 		Skipped: func(offset uint64, count int, err error) {
 			skipped.Inc(int64(max(1, count)))
 			e.log.Warn().Err(err).Str("stream", stream).Uint64("offset", offset).Int("records", count).Msg("skipped unreadable records")
 		},
 		Expired: func(_ context.Context, page record.Page) uint64 {
-			// What still counts has been carried forward in this stream.
-			e.log.Info().Str("stream", stream).Uint64("first", page.FirstOffset).Msg("reading on at the first offset kept")
+			// Records that still matter have been carried forward in this stream.
+			e.log.Info().Str("stream", stream).Uint64("first", page.FirstOffset).Msg("the log's retention dropped the next offset; reading on at the first offset kept")
 			return page.FirstOffset
 		},
 	}
@@ -47,19 +47,19 @@
 	now := time.Now()
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
-	e.jobs.delivered = time.Now()
+	e.jobs.deliveredAt = time.Now()
 	for _, r := range records {
-		if err := e.jobs.fold.Apply(r); err != nil {
-			e.log.Debug().Err(err).Uint64("position", uint64(r.Position())).Str("writer", r.Writer()).Msg("void record")
+		if err := e.jobs.state.Apply(r); err != nil {
+			e.log.Debug().Err(err).Uint64("position", uint64(r.Position())).Str("writer", r.Writer()).Msg("record without effect")
 		}
 		if s, ok := r.Message().(*record.Snapshot); ok && s.Part == s.Parts-1 {
-			e.carried.jobsCopied(now, writtenAt(s.WrittenMS), s.EndOffset)
+			e.carriedForward.noteSnapshot(now, writtenAt(s.WrittenMS), s.EndOffset)
 		}
 	}
-	e.jobs.fold.Advance(next)
+	e.jobs.state.Advance(next)
 	if !began.IsZero() {
-		e.jobs.began = began
-		e.jobs.relay.NoteRead(began)
+		e.jobs.lastReadBegan = began
+		e.jobs.responder.NoteRead(began)
 	}
 	if len(records) > 0 {
 		e.jobs.notify()
