--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs beside an endpoint: it announces the endpoint, admits
-// callers' requests to it, and is the only authority over its worker.
+// Package agent implements the agent, the process beside an endpoint: it announces the
+// endpoint to the entries, admits callers' requests to it, and is the only process that gives
+// orders to the worker there.
 package agent
 
 import (
@@ -29,16 +30,18 @@
 	Rack       string
 	// Service is the latency-critical service that the endpoint runs.
 	Service string
-	// Listen is where entries reach the agent, IP and port.
+	// Listen is the address that entries connect to, IP and port.
 	Listen string
-	// Admin is where metrics and health are served, IP and port.
+	// Admin is the address at which metrics and health are served, IP and port.
 	Admin string
-	// RunnerURL and WorkerURL are the endpoint's runner and the platform's worker.
+	// RunnerURL and WorkerURL are the base URLs of the endpoint's runner and of the
+	// platform's worker.
 	RunnerURL, WorkerURL string
-	// Entries are addresses of entries, or the balancer's.
+	// Entries are addresses of entries, or of a load balancer in front of them.
 	Entries        []string
 	HeartbeatEvery time.Duration
-	// DrainAfter is how long the agent goes on answering after it has said that it leaves.
+	// DrainAfter is how long the agent goes on serving after it has announced that it is
+	// draining.
 	DrainAfter time.Duration
 	Roots      bundle.Operators
 }
@@ -46,8 +49,8 @@
 // Agent is one running agent.
 type Agent struct {
 	settings    Settings
-	id          *link.Identity
-	client      *link.Client
+	identity    *link.Identity
+	entryClient *link.Client
 	log         *log.Logger
 	worker      services.Worker
 	runner      *http.Transport
@@ -55,23 +58,23 @@
 	server      *link.Server
 	incarnation uint64
 
-	// calls are the heartbeats under way.
-	calls  sync.WaitGroup
-	sender link.Sender
+	// heartbeatCalls counts the heartbeats in progress.
+	heartbeatCalls  sync.WaitGroup
+	heartbeatSender link.Sender
 
 	// mu guards what requests and heartbeats share.
-	mu       sync.Mutex
-	book     endpoint.DedupTable
-	gate     endpoint.Gate
-	times    endpoint.ServiceTimes
-	flights  map[endpoint.AttemptID]*flight
-	waiting  map[*endpoint.Ticket]*flight
-	leaving  bool
-	chain    *bundle.Chain
-	contacts contacts
-	primary  string
-	// pace is the longest heartbeat period that an entry asks for.
-	pace time.Duration
+	mu              sync.Mutex
+	dedupTable      endpoint.DedupTable
+	gate            endpoint.Gate
+	serviceTimes    endpoint.ServiceTimes
+	activeAttempts  map[endpoint.AttemptID]*activeAttempt
+	waitingAttempts map[*endpoint.Ticket]*activeAttempt
+	draining        bool
+	chain           *bundle.Chain
+	entrySelector   entrySelector
+	primary         string
+	// requestedInterval is the longest heartbeat interval that an entry asks for.
+	requestedInterval time.Duration
 
 	// tasksMu guards the holder and the guard. It is taken before mu.
 	tasksMu sync.Mutex
@@ -79,27 +82,27 @@
 	guard   guard
 }
 
-// predecessorSettles is how long a start that this agent's predecessor ordered
-// may still be on its way to the worker beside it.
-const predecessorSettles = time.Second
+// predecessorStartGrace is how long a start order of this agent's predecessor may still be
+// on its way to the worker. A listing requested earlier may miss that task.
+const predecessorStartGrace = time.Second
 
 // New returns an agent that is bound to its address but does not run yet.
 func New(now time.Time, s Settings, id *link.Identity, logger *log.Logger) (*Agent, error) {
 	a := &Agent{
-		settings:    s,
-		id:          id,
-		client:      link.NewClient(id, link.RoleEntry),
-		log:         logger,
-		worker:      services.NewWorker(&http.Client{}, s.WorkerURL),
-		runner:      newRunnerTransport(),
-		registry:    gometrics.NewRegistry(),
-		incarnation: uint64(now.UnixNano()),
-		chain:       bundle.NewChain(s.Roots),
-		contacts:    contacts{name: s.Name, configured: s.Entries},
-		flights:     make(map[endpoint.AttemptID]*flight),
-		waiting:     make(map[*endpoint.Ticket]*flight),
+		settings:        s,
+		identity:        id,
+		entryClient:     link.NewClient(id, link.RoleEntry),
+		log:             logger,
+		worker:          services.NewWorker(&http.Client{}, s.WorkerURL),
+		runner:          newRunnerTransport(),
+		registry:        gometrics.NewRegistry(),
+		incarnation:     uint64(now.UnixNano()),
+		chain:           bundle.NewChain(s.Roots),
+		entrySelector:   entrySelector{name: s.Name, configured: s.Entries},
+		activeAttempts:  make(map[endpoint.AttemptID]*activeAttempt),
+		waitingAttempts: make(map[*endpoint.Ticket]*activeAttempt),
 	}
-	a.holder.Ledger().RequireListingSince(now.Add(predecessorSettles))
+	a.holder.Ledger().RequireListingSince(now.Add(predecessorStartGrace))
 	id.OnRefused(func(err error) { logger.Warn().Err(err).Str("decision", "refuse-peer").Msg("") })
 	server, err := link.Listen(s.Listen, id, a.peerHandler(), link.RoleEntry)
 	if err != nil {
@@ -109,7 +112,7 @@
 	return a, nil
 }
 
-// Address returns where entries reach the agent.
+// Address returns the address that entries connect to.
 func (a *Agent) Address() string { return a.server.Address() }
 
 // Run serves until ctx ends, then drains.
@@ -117,31 +120,32 @@
 	var group sync.WaitGroup
 	live, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group.Go(func() { a.serve(a.server.ServeTCP) })
-	group.Go(func() { a.serve(a.server.ServeQUIC) })
-	group.Go(func() { a.beat(live) })
+	group.Go(func() { a.serveUntilClosed(a.server.ServeTCP) })
+	group.Go(func() { a.serveUntilClosed(a.server.ServeQUIC) })
+	group.Go(func() { a.sendHeartbeats(live) })
 	a.log.Info().Str("address", a.Address()).Uint64("incarnation", a.incarnation).Msg("agent started")
 	<-ctx.Done()
 	a.drain(live)
 	stop()
 	group.Wait()
-	a.calls.Wait()
-	return a.client.Close()
+	a.heartbeatCalls.Wait()
+	return a.entryClient.Close()
 }
 
-func (a *Agent) serve(fn func() error) {
+func (a *Agent) serveUntilClosed(fn func() error) {
 	if err := fn(); err != nil {
 		a.log.Error().Err(err).Msg("serving peers failed")
 	}
 }
 
-// drain tells the entries that the endpoint leaves and ends after the requests in flight.
+// drain announces to the entries that the endpoint is draining, and returns when the requests
+// in flight have ended.
 func (a *Agent) drain(ctx context.Context) {
 	a.mu.Lock()
-	a.leaving = true
+	a.draining = true
 	a.mu.Unlock()
-	a.log.Info().Msg("agent is leaving")
-	a.round(ctx)
+	a.log.Info().Msg("agent is draining")
+	a.runRound(ctx)
 	delay.For(ctx, a.settings.DrainAfter)
 	a.waitIdle(ctx)
 	if err := a.server.Shutdown(ctx); err != nil {
@@ -149,28 +153,29 @@
 	}
 }
 
-// idlePoll is how often a draining agent looks whether requests have ended.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is how often a draining agent checks whether requests have ended.
+const idlePollInterval = 20 * time.Millisecond
 
 func (a *Agent) waitIdle(ctx context.Context) {
-	for a.flying() > 0 && delay.For(ctx, idlePoll) {
+	for a.activeCount() > 0 && delay.For(ctx, idlePollInterval) {
 		continue
 	}
 }
 
-func (a *Agent) flying() int {
+func (a *Agent) activeCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.flights)
+	return len(a.activeAttempts)
 }
 
-// Ready reports whether the worker's ledger is rebuilt and an entry has answered.
+// Ready reports whether the ledger of the worker's tasks has been rebuilt and an entry has
+// answered.
 func (a *Agent) Ready() bool {
 	a.tasksMu.Lock()
 	defer a.tasksMu.Unlock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Ledger().Ready() && a.primary != "" && !a.leaving
+	return a.holder.Ledger().Ready() && a.primary != "" && !a.draining
 }
 
 // AdminHandler serves metrics and health.
@@ -189,7 +194,7 @@
 func (a *Agent) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.PathRequests+"{service}/", a.serveRequest)
-	mux.Handle("POST "+link.PathFate, link.Handle(a.answerFate))
-	mux.Handle("POST "+link.PathBundle, link.Handle(a.answerBundle))
+	mux.Handle("POST "+link.PathFate, link.Handle(a.handleAttemptQuery))
+	mux.Handle("POST "+link.PathBundle, link.Handle(a.handleBundleQuery))
 	return mux
 }
--- a/internal/agent/bundle.go
+++ b/internal/agent/bundle.go
@@ -9,16 +9,17 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// updateBundle fetches the bundle if an entry has another one in force.
-func (a *Agent) updateBundle(ctx context.Context, answers []answer) {
-	for _, o := range answers {
+// updateBundle fetches the bundle in force from entries that have another one, unless theirs
+// is known to be older.
+func (a *Agent) updateBundle(ctx context.Context, replies []entryReply) {
+	for _, o := range replies {
 		a.mu.Lock()
 		have, version := a.chain.Digest(), a.chain.Version()
 		a.mu.Unlock()
-		if o.reading.Bundle == "" || o.reading.Bundle == have {
+		if o.reply.Bundle == "" || o.reply.Bundle == have {
 			continue
 		}
-		if o.reading.BundleVersion != 0 && o.reading.BundleVersion <= version {
+		if o.reply.BundleVersion != 0 && o.reply.BundleVersion <= version {
 			continue
 		}
 		if err := a.fetchBundle(ctx, o.entry, have); err != nil {
@@ -27,26 +28,26 @@
 	}
 }
 
-// answerBundle gives the bundle in force to an entry that was started without
-// the log.
-func (a *Agent) answerBundle(context.Context, link.Peer, *link.BundleQuery) (*link.BundleReply, error) {
+// handleBundleQuery returns the bundle in force to an entry that was started while the log was
+// down.
+func (a *Agent) handleBundleQuery(context.Context, link.Peer, *link.BundleQuery) (*link.BundleReply, error) {
 	a.mu.Lock()
 	proof := a.chain.Proof()
 	a.mu.Unlock()
 	if proof == nil {
 		return &link.BundleReply{}, nil
 	}
-	signed, lineage, err := proof.Encode()
-	return &link.BundleReply{Signed: signed, Lineage: lineage, Covers: proof.EndOffset()}, err
+	signed, operatorChanges, err := proof.Encode()
+	return &link.BundleReply{Signed: signed, Lineage: operatorChanges, Covers: proof.EndOffset()}, err
 }
 
 // fetchBundle asks an entry for the bundle in force and adopts it if it is
-// newer and its signatures hold.
+// newer and its signatures are valid.
 func (a *Agent) fetchBundle(ctx context.Context, entry, have string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply link.BundleReply
-	if err := a.client.Call(ctx, entry, link.PathBundle, &link.BundleQuery{Have: have}, &reply); err != nil {
+	if err := a.entryClient.Call(ctx, entry, link.PathBundle, &link.BundleQuery{Have: have}, &reply); err != nil {
 		return err
 	}
 	signed, err := a.unpack(&reply)
@@ -70,7 +71,7 @@
 	return err
 }
 
-// unpack returns the signed bundle of a reply.
+// unpack returns the encoded signed bundle of a reply.
 func (a *Agent) unpack(reply *link.BundleReply) ([]byte, error) {
 	if reply.Packed == nil {
 		return reply.Signed, nil
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -11,53 +11,53 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// guardEvery is how often the guard looks at the service and the tasks.
-const guardEvery = time.Second
+// guardInterval is how often the guard decides about the tasks.
+const guardInterval = time.Second
 
-// guard protects the service beside the worker from the batch tasks on it.
+// guard keeps batch tasks on the worker from raising the latency of the service beside it.
 type guard struct {
-	// tail is guarded by Agent.mu, the rest by Agent.tasksMu.
-	tail     worker.LatencyWindow
-	decide   worker.Guard
-	looked   time.Time
-	pressure float64
-	uses     []link.ClassUse
+	// latencies is guarded by Agent.mu, the other fields by Agent.tasksMu.
+	latencies      worker.LatencyWindow
+	policy         worker.Guard
+	lastDecisionAt time.Time
+	pressure       float64
+	classUses      []link.ClassUse
 }
 
-// noteLatency takes in how long a request took; mu is held. Requests of
-// classes that are expected to take longer than the objective do not count.
-func (a *Agent) noteLatency(now time.Time, f *flight) {
+// noteLatency records the latency of a request; mu is held. Classes with an expected service
+// time of the latency objective or more do not count.
+func (a *Agent) noteLatency(now time.Time, att *activeAttempt) {
 	s, ok := a.service()
 	if !ok {
 		return
 	}
-	if c, ok := s.Class(f.ticket.Class()); ok && c.ExpectedServiceTime < s.LatencyObjective {
-		a.guard.tail.Add(now, now.Sub(f.arrived))
+	if c, ok := s.Class(att.ticket.Class()); ok && c.ExpectedServiceTime < s.LatencyObjective {
+		a.guard.latencies.Add(now, now.Sub(att.arrived))
 	}
 }
 
-// protect lets the guard decide about the tasks that run and does what it
-// asks for; tasksMu is held.
-func (a *Agent) protect(ctx context.Context, now time.Time, listing *services.Listing) {
-	if now.Sub(a.guard.looked) < guardEvery {
+// runGuard makes the guard's decisions about the running tasks and carries them out; tasksMu is
+// held.
+func (a *Agent) runGuard(ctx context.Context, now time.Time, listing *services.Listing) {
+	if now.Sub(a.guard.lastDecisionAt) < guardInterval {
 		return
 	}
-	a.guard.looked = now
+	a.guard.lastDecisionAt = now
 	usage, err := a.worker.Usage(ctx)
 	if err != nil {
 		a.log.Warn().Err(err).Msg("reading the worker's usage failed")
 	}
-	reading := a.reading(now)
+	reading := a.serviceReading(now)
 	a.guard.pressure = reading.Pressure
-	a.guard.uses = usesOf(listing, &usage)
+	a.guard.classUses = sumClassUses(listing, &usage)
 	gometrics.GetOrRegisterGaugeFloat64("guard-pressure", a.registry).Update(reading.Pressure)
-	for _, action := range a.guard.decide.Decide(now, &reading, a.guardTasks(listing)) {
-		a.restrain(ctx, now, &action)
+	for _, action := range a.guard.policy.Decide(now, &reading, a.guardTasks(listing)) {
+		a.applyGuardAction(ctx, now, &action)
 	}
 }
 
-// reading returns the pressure on the service and its load.
-func (a *Agent) reading(now time.Time) worker.ServiceReading {
+// serviceReading returns the service's pressure and load.
+func (a *Agent) serviceReading(now time.Time) worker.ServiceReading {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := worker.ServiceReading{Service: a.settings.Service}
@@ -66,7 +66,7 @@
 		return r
 	}
 	r.Load = min(float64(a.load().InFlight)/float64(s.Slots), 1)
-	if tail, ok := a.guard.tail.TailLatency(now); ok {
+	if tail, ok := a.guard.latencies.TailLatency(now); ok {
 		r.Pressure = float64(tail) / float64(s.LatencyObjective.Std())
 	}
 	return r
@@ -93,8 +93,8 @@
 	return out
 }
 
-// usesOf sums up by class what running tasks were granted and use.
-func usesOf(listing *services.Listing, usage *services.Usage) []link.ClassUse {
+// sumClassUses sums, by class, the resources granted to running tasks and those they use.
+func sumClassUses(listing *services.Listing, usage *services.Usage) []link.ClassUse {
 	var out []link.ClassUse
 	index := make(map[string]int)
 	for i := range listing.Tasks {
@@ -115,8 +115,8 @@
 	return out
 }
 
-// restrain does what the guard asks for.
-func (a *Agent) restrain(ctx context.Context, now time.Time, action *worker.Action) {
+// applyGuardAction carries out one decision of the guard.
+func (a *Agent) applyGuardAction(ctx context.Context, now time.Time, action *worker.Action) {
 	key := action.Key()
 	var err error
 	switch action.Kind() {
@@ -128,20 +128,20 @@
 		err = a.moveTask(ctx, key)
 	}
 	if err != nil {
-		a.guard.decide.ForgetTask(key)
-		a.log.Warn().Err(err).Str("decision", action.Kind().String()).Str("task", key).Msg("the worker did not follow")
+		a.guard.policy.ForgetTask(key)
+		a.log.Warn().Err(err).Str("decision", action.Kind().String()).Str("task", key).Msg("call to the worker failed")
 		return
 	}
 	gometrics.GetOrRegisterCounter("guard-"+action.Kind().String(), a.registry).Inc(1)
 	if action.Kind() == worker.ActionCheckpoint {
-		a.guard.decide.CheckpointSaved(now, key)
+		a.guard.policy.CheckpointSaved(now, key)
 	}
 	a.log.Info().Str("decision", action.Kind().String()).Str("task", key).Int("percent", action.CPUPercent()).
 		Str("reason", action.Reason()).Float64("pressure", a.guard.pressure).Msg("")
 }
 
-// moveTask stops a task at a fresh checkpoint. The next listing shows it as
-// stopped, which is reported and lets it go on elsewhere.
+// moveTask saves a checkpoint of a task and stops it. The next listing shows it as stopped;
+// that is reported, and the task continues on another worker.
 func (a *Agent) moveTask(ctx context.Context, key string) error {
 	if _, err := a.worker.Checkpoint(ctx, key); err != nil {
 		return err
--- a/internal/agent/guard_test.go
+++ b/internal/agent/guard_test.go
@@ -35,8 +35,9 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// guarded is an agent with a fake worker that notes the calls and fails some.
-type guarded struct {
+// guardFixture is an agent with a fake worker that records the calls and fails those of one
+// name.
+type guardFixture struct {
 	agent   *Agent
 	calls   []string
 	failing string
@@ -44,7 +45,7 @@
 	now     time.Time
 }
 
-func newGuarded(t *testing.T) *guarded {
+func newGuardFixture(t *testing.T) *guardFixture {
 	t.Helper()
 	private, public, err := bundle.GenerateKey(rand.Reader)
 	if err != nil {
@@ -64,7 +65,7 @@
 	}
 	signed := bundle.NewSigned(content)
 	signed.Sign("alice", private)
-	g := &guarded{now: epoch, agent: &Agent{
+	g := &guardFixture{now: epoch, agent: &Agent{
 		settings: Settings{Service: "planner"}, log: &log.Logger{Level: log.PanicLevel}, chain: bundle.NewChain(roots),
 		registry: gometrics.NewRegistry(),
 	}}
@@ -87,12 +88,12 @@
 		g.listing.Tasks = append(g.listing.Tasks, services.WorkerTask{
 			Job: id, Epoch: 1, Size: worker.Resources{MilliCPU: 500}, State: services.TaskRunning, Class: "archive",
 		})
-		g.agent.guard.decide.TaskStarted(g.now, id+".0@1")
+		g.agent.guard.policy.TaskStarted(g.now, id+".0@1")
 	}
 	return g
 }
 
-func (g *guarded) call(name, detail string) error {
+func (g *guardFixture) call(name, detail string) error {
 	if name == g.failing {
 		return errors.New("the worker is slow")
 	}
@@ -102,19 +103,20 @@
 	return nil
 }
 
-// press lets requests of a class take so long for some seconds.
-func (g *guarded) press(seconds int, class string, took time.Duration) {
+// serve simulates 30 requests a second of a class, each taking the given time, and runs the
+// guard after each second.
+func (g *guardFixture) serve(seconds int, class string, took time.Duration) {
 	for range seconds {
 		g.now = g.now.Add(time.Second)
 		for range 30 {
-			f := &flight{ticket: endpoint.NewTicket(class, "", 0, g.now, 0), arrived: g.now.Add(-took)}
+			f := &activeAttempt{ticket: endpoint.NewTicket(class, "", 0, g.now, 0), arrived: g.now.Add(-took)}
 			g.agent.noteLatency(g.now, f)
 		}
-		g.agent.protect(context.Background(), g.now, &g.listing)
+		g.agent.runGuard(context.Background(), g.now, &g.listing)
 	}
 }
 
-func (g *guarded) called(name string) bool {
+func (g *guardFixture) called(name string) bool {
 	return strings.Contains(strings.Join(g.calls, "\n"), name)
 }
 
@@ -123,19 +125,19 @@
 	cases := []struct {
 		name    string
 		failing string
-		drive   func(g *guarded)
+		drive   func(g *guardFixture)
 		want    map[string]bool
 	}{
-		{"a calm service", "", func(g *guarded) { g.press(60, "preview", fast) }, map[string]bool{"throttle": false}},
-		{"a pressed service", "", func(g *guarded) { g.press(5, "preview", slow) }, map[string]bool{"throttle": true, "stop": false}},
-		{"long pressure", "", func(g *guarded) { g.press(60, "preview", slow) }, map[string]bool{"checkpoint": true, "stop": true}},
-		{"a class that takes long by nature", "", func(g *guarded) { g.press(60, "season-plan", slow) }, map[string]bool{"throttle": false}},
-		{"usage cannot be read", "usage", func(g *guarded) { g.press(5, "preview", slow) }, map[string]bool{"throttle": true}},
-		{"no checkpoint, no stop", "checkpoint", func(g *guarded) { g.press(120, "preview", slow) }, map[string]bool{"stop": false}},
+		{"a fast service", "", func(g *guardFixture) { g.serve(60, "preview", fast) }, map[string]bool{"throttle": false}},
+		{"a slow service", "", func(g *guardFixture) { g.serve(5, "preview", slow) }, map[string]bool{"throttle": true, "stop": false}},
+		{"long pressure", "", func(g *guardFixture) { g.serve(60, "preview", slow) }, map[string]bool{"checkpoint": true, "stop": true}},
+		{"a class that is expected to take long", "", func(g *guardFixture) { g.serve(60, "season-plan", slow) }, map[string]bool{"throttle": false}},
+		{"usage cannot be read", "usage", func(g *guardFixture) { g.serve(5, "preview", slow) }, map[string]bool{"throttle": true}},
+		{"no checkpoint, no stop", "checkpoint", func(g *guardFixture) { g.serve(120, "preview", slow) }, map[string]bool{"stop": false}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newGuarded(t)
+			g := newGuardFixture(t)
 			g.failing = c.failing
 			c.drive(g)
 			for name, want := range c.want {
@@ -147,25 +149,26 @@
 	}
 }
 
-// TestThrottleIsRepeatedAfterAFailure has the worker refuse the first throttle.
+// TestThrottleIsRepeatedAfterAFailure checks that a throttle that the worker refuses is
+// repeated.
 func TestThrottleIsRepeatedAfterAFailure(t *testing.T) {
-	g := newGuarded(t)
+	g := newGuardFixture(t)
 	g.failing = "throttle"
-	g.press(3, "preview", time.Second)
+	g.serve(3, "preview", time.Second)
 	g.failing = ""
-	g.press(10, "preview", time.Second)
+	g.serve(10, "preview", time.Second)
 	if want := "throttle a.0@1=5"; !g.called(want) {
 		t.Errorf("got calls %v, want %s", g.calls, want)
 	}
 }
 
 func TestHeartbeatCarriesPressureAndUse(t *testing.T) {
-	g := newGuarded(t)
-	g.press(1, "preview", 50*time.Millisecond)
+	g := newGuardFixture(t)
+	g.serve(1, "preview", 50*time.Millisecond)
 	if got, want := g.agent.guard.pressure, 0.5; got != want {
 		t.Errorf("got pressure %v, want %v", got, want)
 	}
-	uses := g.agent.guard.uses
+	uses := g.agent.guard.classUses
 	if len(uses) != 1 || uses[0].Granted.MilliCPU != 1000 || uses[0].Used.MilliCPU != 500 {
 		t.Errorf("got %+v, want 1000 granted and 500 used by one class", uses)
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -16,203 +16,207 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// Times of a round.
+// Times of a heartbeat round.
 const (
-	// callTimeout bounds a heartbeat.
+	// callTimeout bounds a call to an entry.
 	callTimeout = 2 * time.Second
-	// answerGrace is how long a round waits for further answers after the first.
-	answerGrace = 100 * time.Millisecond
-	// beatJitter is the part of the heartbeat period by which a pause varies.
-	beatJitter = 10
+	// replyGrace is how long a round waits for further replies after the first.
+	replyGrace = 100 * time.Millisecond
+	// heartbeatJitterDivisor sets the random variation of the interval: up to 1/10 of it either
+	// way.
+	heartbeatJitterDivisor = 10
 )
 
-func (a *Agent) beat(ctx context.Context) {
+func (a *Agent) sendHeartbeats(ctx context.Context) {
 	for {
-		a.round(ctx)
-		period := a.period()
-		jitter := period / beatJitter
-		if !delay.For(ctx, period-jitter+rand.N(2*jitter+1)) {
+		a.runRound(ctx)
+		interval := a.heartbeatInterval()
+		jitter := interval / heartbeatJitterDivisor
+		if !delay.For(ctx, interval-jitter+rand.N(2*jitter+1)) {
 			return
 		}
 	}
 }
 
-// period returns the time to the next heartbeat: the agent's own, or a longer
-// one that an entry has asked for.
-func (a *Agent) period() time.Duration {
+// heartbeatInterval returns the time to the next heartbeat: the configured interval, or a
+// longer one that an entry has asked for.
+func (a *Agent) heartbeatInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return max(a.settings.HeartbeatEvery, a.pace)
+	return max(a.settings.HeartbeatEvery, a.requestedInterval)
 }
 
-// round asks the worker, tells the entries, and does what they answer.
-func (a *Agent) round(ctx context.Context) {
+// runRound lists the worker's tasks, sends a heartbeat to the entries, and acts on their
+// replies.
+func (a *Agent) runRound(ctx context.Context) {
 	a.tasksMu.Lock()
 	defer a.tasksMu.Unlock()
-	asked := time.Now()
+	listedAt := time.Now()
 	listing, err := a.worker.List(ctx)
 	if err != nil {
-		a.log.Warn().Err(err).Msg("the worker does not answer")
-		a.tell(ctx, a.heartbeat(nil))
+		a.log.Warn().Err(err).Msg("listing the worker's tasks failed")
+		a.sendHeartbeat(ctx, a.newHeartbeat(nil))
 		return
 	}
-	a.holder.Observe(asked, listingOf(&listing))
-	a.follow(ctx, a.tell(ctx, a.heartbeat(&listing)))
-	a.protect(ctx, time.Now(), &listing)
+	a.holder.Observe(listedAt, leaseListing(&listing))
+	a.applyReplies(ctx, a.sendHeartbeat(ctx, a.newHeartbeat(&listing)))
+	a.runGuard(ctx, time.Now(), &listing)
 }
 
-// answer is one entry's reading.
-type answer struct {
-	entry   string
-	reading *link.Reading
+// entryReply is one entry's reply to a heartbeat; reply is nil if the call failed.
+type entryReply struct {
+	entry string
+	reply *link.Reading
 }
 
-// tell sends the heartbeat to a few entries at once and returns the answers
-// that come in time: an entry that hangs does not hold up the round.
-func (a *Agent) tell(ctx context.Context, h link.Heartbeat) []answer {
-	entries, primary := a.targets(time.Now())
-	replies := make(chan answer, len(entries))
+// sendHeartbeat sends the heartbeat to a few entries in parallel and returns the replies that
+// arrive in time: an entry that hangs does not delay the round.
+func (a *Agent) sendHeartbeat(ctx context.Context, h link.Heartbeat) []entryReply {
+	entries, primary := a.chooseTargets(time.Now())
+	results := make(chan entryReply, len(entries))
 	for _, address := range entries {
 		own := h
 		own.Primary = address == primary
-		a.calls.Go(func() { replies <- a.tellOne(ctx, address, &own) })
+		a.heartbeatCalls.Go(func() { results <- a.sendHeartbeatTo(ctx, address, &own) })
 	}
-	answers := collect(ctx, replies, len(entries))
-	a.choosePrimary(answers, primary)
-	a.updateBundle(ctx, answers)
-	return answers
+	replies := collectReplies(ctx, results, len(entries))
+	a.choosePrimary(replies, primary)
+	a.updateBundle(ctx, replies)
+	return replies
 }
 
-// collect returns the answers that arrive until all have, or until answerGrace
-// after the first.
-func collect(ctx context.Context, replies <-chan answer, count int) []answer {
-	var answers []answer
+// collectReplies returns the replies that arrive until all have arrived, or until replyGrace
+// after the first one.
+func collectReplies(ctx context.Context, results <-chan entryReply, count int) []entryReply {
+	var replies []entryReply
 	var grace <-chan time.Time
 	for range count {
 		select {
-		case o := <-replies:
-			if o.reading == nil {
+		case o := <-results:
+			if o.reply == nil {
 				continue
 			}
-			answers = append(answers, o)
+			replies = append(replies, o)
 			if grace == nil {
-				grace = time.After(answerGrace)
+				grace = time.After(replyGrace)
 			}
 		case <-grace:
-			return answers
+			return replies
 		case <-ctx.Done():
-			return answers
+			return replies
 		}
 	}
-	return answers
+	return replies
 }
 
-// tellOne sends the heartbeat to one entry. The call goes on after the round, so
-// that a slow entry hears the worker all the same; its answer is then dropped.
-func (a *Agent) tellOne(ctx context.Context, address string, h *link.Heartbeat) answer {
+// sendHeartbeatTo sends the heartbeat to one entry. The call may outlast the round, so that a
+// slow entry still gets the heartbeat; its reply is then dropped.
+func (a *Agent) sendHeartbeatTo(ctx context.Context, address string, h *link.Heartbeat) entryReply {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reading, err := a.exchange(ctx, address, h)
+	reply, err := a.callHeartbeat(ctx, address, h)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.contacts.ended(address)
+	a.entrySelector.endCall(address)
 	if err != nil {
 		a.log.Warn().Err(err).Str("entry", address).Msg("heartbeat failed")
-		a.contacts.failed(time.Now(), address)
-		return answer{}
+		a.entrySelector.recordFailure(time.Now(), address)
+		return entryReply{}
 	}
-	a.contacts.answered(address)
-	return answer{entry: address, reading: reading}
+	a.entrySelector.recordSuccess(address)
+	return entryReply{entry: address, reply: reply}
 }
 
-// maxExchanges is the most times that one round sends a heartbeat to one entry.
-const maxExchanges = 2
+// maxHeartbeatSends is the most times that one round sends the heartbeat to one entry.
+const maxHeartbeatSends = 2
 
-// exchange sends a heartbeat, without what the entry knows already, and returns
-// the reading.
-func (a *Agent) exchange(ctx context.Context, address string, h *link.Heartbeat) (*link.Reading, error) {
-	for range maxExchanges {
-		sent, digest, err := a.sender.Compact(address, h)
+// callHeartbeat sends a heartbeat, without the parts that the entry knows already, and returns
+// the reply.
+func (a *Agent) callHeartbeat(ctx context.Context, address string, h *link.Heartbeat) (*link.Reading, error) {
+	for range maxHeartbeatSends {
+		sent, digest, err := a.heartbeatSender.Compact(address, h)
 		if err != nil {
 			return nil, err
 		}
-		reading := new(link.Reading)
-		if err := a.client.Call(ctx, address, link.PathHeartbeat, sent, reading); err != nil {
-			a.sender.Forget(address)
+		reply := new(link.Reading)
+		if err := a.entryClient.Call(ctx, address, link.PathHeartbeat, sent, reply); err != nil {
+			a.heartbeatSender.Forget(address)
 			return nil, err
 		}
-		if !a.sender.Sent(address, digest, reading) {
-			return reading, nil
+		if !a.heartbeatSender.Sent(address, digest, reply) {
+			return reply, nil
 		}
 	}
-	return nil, errors.Wrap(link.ErrCall, "the entry asks again for the whole heartbeat")
+	return nil, errors.Wrap(link.ErrCall, "the entry asked repeatedly for the complete heartbeat")
 }
 
-// targets returns the entries to tell and the one that records reports.
-func (a *Agent) targets(now time.Time) ([]string, string) {
+// chooseTargets returns the entries to send a heartbeat to, and the primary: the one that
+// appends the records for the reports of this agent.
+func (a *Agent) chooseTargets(now time.Time) ([]string, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := a.contacts.targets(now)
+	out := a.entrySelector.targets(now)
 	if len(out) == 0 {
 		return nil, ""
 	}
-	a.contacts.begun(out)
+	a.entrySelector.beginCalls(out)
 	if slices.Contains(out, a.primary) {
 		return out, a.primary
 	}
 	return out, out[0]
 }
 
-// staleRounds is how many heartbeats an entry's reading of the log may be
-// behind another's while it stays primary.
-const staleRounds = 8
+// maxPrimaryLagRounds is how many heartbeat rounds an entry's read of the log may lag behind
+// that of another entry while it stays primary.
+const maxPrimaryLagRounds = 8
 
-// choosePrimary keeps the primary that was asked if it answered and can read
-// the log, and learns the entries to tell.
-func (a *Agent) choosePrimary(answers []answer, asked string) {
+// choosePrimary keeps the previous primary if it answered and can read the log, and otherwise
+// takes another entry that does. It also updates the known entries and requestedInterval.
+func (a *Agent) choosePrimary(replies []entryReply, previous string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.primary = ""
-	a.pace = 0
+	a.requestedInterval = 0
 	var known []string
 	var newest uint64
-	for _, o := range answers {
-		newest = max(newest, o.reading.Lease.HeartbeatRound)
+	for _, o := range replies {
+		newest = max(newest, o.reply.Lease.HeartbeatRound)
 	}
-	for _, o := range answers {
-		asks := time.Duration(o.reading.PaceMS) * time.Millisecond
-		a.pace = max(a.pace, min(asks, lease.MaxHeartbeatInterval))
-		if o.reading.Leaving {
+	for _, o := range replies {
+		requested := time.Duration(o.reply.PaceMS) * time.Millisecond
+		a.requestedInterval = max(a.requestedInterval, min(requested, lease.MaxHeartbeatInterval))
+		if o.reply.Leaving {
 			continue
 		}
-		known = append(known, o.reading.Entries...)
-		if o.reading.Lease.HeartbeatRound+staleRounds < newest {
+		known = append(known, o.reply.Entries...)
+		if o.reply.Lease.HeartbeatRound+maxPrimaryLagRounds < newest {
 			continue
 		}
-		if a.primary == "" || o.entry == asked {
+		if a.primary == "" || o.entry == previous {
 			a.primary = o.entry
 		}
 	}
-	a.contacts.learned(known)
+	a.entrySelector.setKnown(known)
 }
 
-// heartbeat says what the agent knows; a nil listing means that the worker did not answer.
-func (a *Agent) heartbeat(listing *services.Listing) link.Heartbeat {
+// newHeartbeat returns the heartbeat for the current state; a nil listing means that the worker
+// did not answer.
+func (a *Agent) newHeartbeat(listing *services.Listing) link.Heartbeat {
 	h := link.Heartbeat{
 		Worker: a.settings.Name, Rack: a.settings.Rack, Service: a.settings.Service, Address: a.Address(),
 		Incarnation: a.incarnation, Round: a.holder.Round(), Ready: listing != nil && a.holder.Ledger().Ready(),
-		Total: a.holder.Ledger().Total(), Free: a.holder.Ledger().Free(), Pressure: a.guard.pressure, Uses: a.guard.uses,
+		Total: a.holder.Ledger().Total(), Free: a.holder.Ledger().Free(), Pressure: a.guard.pressure, Uses: a.guard.classUses,
 	}
 	a.mu.Lock()
-	h.Leaving, h.Bundle, h.BundleVersion = a.leaving, a.chain.Digest(), a.chain.Version()
+	h.Leaving, h.Bundle, h.BundleVersion = a.draining, a.chain.Digest(), a.chain.Version()
 	load := a.load()
-	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.book.NextMark()
+	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.dedupTable.NextMark()
 	if s, ok := a.service(); ok {
 		h.Slots = s.Slots
 	}
 	a.mu.Unlock()
 	if listing != nil {
-		h.Tasks = a.holder.Reports(listingOf(listing))
+		h.Tasks = a.holder.Reports(leaseListing(listing))
 	}
 	return h
 }
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -9,11 +9,12 @@
 	"savoryhoist.example/savoryhoist/internal/link"
 )
 
-// TestRoundDoesNotWaitForHungEntry checks how long a round waits for answers.
+// TestRoundDoesNotWaitForHungEntry checks that a round ends at most replyGrace after the first
+// reply, or at callTimeout if there is none.
 func TestRoundDoesNotWaitForHungEntry(t *testing.T) {
 	cases := []struct {
 		name string
-		// after is when each entry answers; negative ones fail at once, 0 hangs.
+		// after is the delay of each entry's reply: a negative one fails at once, 0 hangs.
 		after []time.Duration
 		want  int
 		waits time.Duration
@@ -30,20 +31,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 				defer cancel()
-				replies := make(chan answer, len(c.after))
+				replies := make(chan entryReply, len(c.after))
 				for _, after := range c.after {
 					switch {
 					case after < 0:
-						replies <- answer{}
+						replies <- entryReply{}
 					case after > 0:
-						time.AfterFunc(after, func() { replies <- answer{reading: new(link.Reading)} })
+						time.AfterFunc(after, func() { replies <- entryReply{reply: new(link.Reading)} })
 					}
 				}
 				began := time.Now()
-				if got := len(collect(ctx, replies, len(c.after))); got != c.want {
-					t.Errorf("answers: got %d, want %d", got, c.want)
+				if got := len(collectReplies(ctx, replies, len(c.after))); got != c.want {
+					t.Errorf("replies: got %d, want %d", got, c.want)
 				}
-				if got, want := time.Since(began), c.waits+answerGrace; got > want {
+				if got, want := time.Since(began), c.waits+replyGrace; got > want {
 					t.Errorf("round: got %s, want at most %s", got, want)
 				}
 			})
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -22,11 +22,10 @@
 	dialTimeout = time.Second
 	// maxRunnerConnections is the most connections to the runner.
 	maxRunnerConnections = 64
-	// readAhead is the largest body, in bytes, that is read before the request
-	// is admitted.
-	readAhead = 64 << 10
-	// standardDeadline is used for attempts that carry none.
-	standardDeadline = time.Minute
+	// maxReadAheadBytes is the largest body that is read before the request is admitted.
+	maxReadAheadBytes = 64 << 10
+	// defaultTimeout is the time to the deadline of attempts that carry none.
+	defaultTimeout = time.Minute
 )
 
 func newRunnerTransport() *http.Transport {
@@ -38,8 +37,8 @@
 	}
 }
 
-// attempt is one attempt as it arrived.
-type attempt struct {
+// attemptRequest holds the headers of an attempt.
+type attemptRequest struct {
 	id          endpoint.AttemptID
 	incarnation uint64
 	mark        uint64
@@ -49,21 +48,21 @@
 	repeatable  bool
 }
 
-func parseAttempt(now time.Time, h http.Header) (attempt, error) {
+func parseAttempt(now time.Time, h http.Header) (attemptRequest, error) {
 	n, err := strconv.ParseUint(h.Get(link.HeaderAttempt), 10, 32)
-	a := attempt{
+	a := attemptRequest{
 		id:    endpoint.AttemptID{Request: h.Get(link.HeaderRequest), Attempt: uint32(n)},
 		class: h.Get(link.HeaderClass), team: h.Get(link.HeaderCallerTeam),
-		deadline: now.Add(standardDeadline), repeatable: h.Get(link.HeaderRepeat) == "",
+		deadline: now.Add(defaultTimeout), repeatable: h.Get(link.HeaderRepeat) == "",
 	}
 	if err != nil || a.id.Request == "" {
-		return a, errors.New("want a request id and an attempt number")
+		return a, errors.New("a request id and an attempt number are required")
 	}
 	if a.incarnation, err = strconv.ParseUint(h.Get(link.HeaderIncarnation), 10, 64); err != nil {
-		return a, errors.New("want the agent's incarnation")
+		return a, errors.New("the agent's incarnation is required")
 	}
 	if a.mark, err = strconv.ParseUint(h.Get(link.HeaderMark), 10, 64); err != nil {
-		return a, errors.New("want the agent's mark")
+		return a, errors.New("the agent's mark is required")
 	}
 	if d, err := time.ParseDuration(h.Get(link.HeaderDeadline)); err == nil {
 		a.deadline = now.Add(d)
@@ -71,8 +70,8 @@
 	return a, nil
 }
 
-// serveRequest runs one attempt of a caller's request on the runner, or hands
-// out the answer of an attempt that it knows.
+// serveRequest runs one attempt of a caller's request on the runner, or returns the response of
+// an attempt that has run or is running already.
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request) {
 	in, err := parseAttempt(time.Now(), r.Header)
 	if err != nil {
@@ -86,33 +85,33 @@
 		return
 	}
 	if err := readBody(r); err != nil {
-		panic(http.ErrAbortHandler) // the body is cut off: nobody waits for an answer
+		panic(http.ErrAbortHandler) // the body is truncated: no one waits for a response
 	}
-	f, admission, refusal := a.admit(time.Now(), in)
+	att, admission, refusal := a.admit(time.Now(), in)
 	switch admission {
 	case endpoint.Admit:
 		if refusal != "" {
-			a.refuse(w, in.id, refusal, problem.NotRun, "the endpoint is leaving or full")
+			a.refuse(w, in.id, refusal, problem.NotRun, "the endpoint is draining or full")
 			return
 		}
-		a.fly(w, r, f)
+		a.run(w, r, att)
 	case endpoint.Attach:
-		a.attach(w, r, f)
+		a.attach(w, r, att)
 	case endpoint.Replay:
 		a.replay(w, in.id)
 	case endpoint.RefuseNotRun:
 		a.refuse(w, in.id, link.RefusalFate, problem.NotRun, "the attempt has ended without being run")
 	case endpoint.RefuseRun:
-		a.refuse(w, in.id, link.RefusalFate, problem.Run, "the attempt was run and its answer is not kept")
+		a.refuse(w, in.id, link.RefusalFate, problem.Run, "the attempt was run and its response is not kept")
 	case endpoint.RefuseUnknown:
 		a.refuse(w, in.id, link.RefusalFate, problem.Unknown, "the attempt may have been run before")
 	}
 }
 
-// readBody reads a small body at once, so that the server notices an asker
-// that goes away.
+// readBody reads a small body at once, so that the server notices when the client closes the
+// connection.
 func readBody(r *http.Request) error {
-	if r.ContentLength < 0 || r.ContentLength > readAhead {
+	if r.ContentLength < 0 || r.ContentLength > maxReadAheadBytes {
 		return nil
 	}
 	data := make([]byte, r.ContentLength)
@@ -120,7 +119,7 @@
 		return err
 	}
 	if _, err := r.Body.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		return errors.New("the body is longer than announced")
+		return errors.New("the body is longer than its Content-Length")
 	}
 	r.Body = io.NopCloser(bytes.NewReader(data))
 	return nil
@@ -139,27 +138,27 @@
 		Str("reason", refusal).Str("outcome", string(outcome)).Msg("")
 }
 
-// fly waits for a slot and runs the attempt.
-func (a *Agent) fly(w http.ResponseWriter, r *http.Request, f *flight) {
-	if refusal := a.awaitSlot(r.Context(), f); refusal != "" {
-		a.refuse(w, f.id, refusal, problem.NotRun, "no slot became free in time")
+// run waits for a slot and runs the attempt.
+func (a *Agent) run(w http.ResponseWriter, r *http.Request, att *activeAttempt) {
+	if refusal := a.awaitSlot(r.Context(), att); refusal != "" {
+		a.refuse(w, att.id, refusal, problem.NotRun, "no slot became free in time")
 		return
 	}
-	ctx, cancel := f.runContext(r.Context())
+	ctx, cancel := att.runContext(r.Context())
 	defer cancel()
-	stop := a.watchAsker(r.Context(), f, cancel)
+	stop := a.cancelWhenAbandoned(r.Context(), att, cancel)
 	defer stop()
 	began := time.Now()
-	resp, err := a.toRunner(ctx, r)
+	resp, err := a.forwardToRunner(ctx, r)
 	if err != nil {
-		a.runnerFailed(w, f, err)
+		a.refuseFailedRun(w, att, err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a.deliver(w, f, resp, time.Since(began))
+	a.forwardResponse(w, att, resp, time.Since(began))
 }
 
-func (a *Agent) toRunner(ctx context.Context, r *http.Request) (*http.Response, error) {
+func (a *Agent) forwardToRunner(ctx context.Context, r *http.Request) (*http.Response, error) {
 	path := strings.TrimPrefix(r.URL.Path, link.PathRequests+r.PathValue("service"))
 	out, err := http.NewRequestWithContext(ctx, r.Method, a.settings.RunnerURL+path, r.Body)
 	if err != nil {
@@ -175,20 +174,21 @@
 	return a.runner.RoundTrip(out)
 }
 
-// deliver passes the runner's answer on and keeps it if it is small. If the
-// asker goes away, a small answer is still read to its end for the next asker.
-func (a *Agent) deliver(w http.ResponseWriter, f *flight, resp *http.Response, took time.Duration) {
+// forwardResponse sends the runner's response to the entry and keeps it if it is small. If the
+// entry closes the connection, a small response is still read completely, for the next request
+// for it.
+func (a *Agent) forwardResponse(w http.ResponseWriter, att *activeAttempt, resp *http.Response, took time.Duration) {
 	header := resp.Header.Clone()
 	header.Set(link.HeaderTook, strconv.FormatInt(took.Microseconds(), 10))
-	a.writeHeader(w, f.id, resp.StatusCode, header)
-	spool := &spool{to: w}
-	if err := spool.readFrom(resp); err != nil {
-		a.ended(f, endpoint.AttemptDone, nil)
-		panic(http.ErrAbortHandler) // the entry must see that the body is cut off
+	a.writeHeader(w, att.id, resp.StatusCode, header)
+	buffer := &responseBuffer{client: w}
+	if err := buffer.readFrom(resp); err != nil {
+		a.finishRun(att, endpoint.AttemptDone, nil)
+		panic(http.ErrAbortHandler) // the entry must notice that the body is truncated
 	}
-	a.learnTime(f, took)
-	a.ended(f, endpoint.AttemptDone, spool.answer(resp.StatusCode, header))
-	if spool.failed != nil {
+	a.recordServiceTime(att, took)
+	a.finishRun(att, endpoint.AttemptDone, buffer.response(resp.StatusCode, header))
+	if buffer.writeErr != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -206,49 +206,50 @@
 	w.WriteHeader(status)
 }
 
-// runnerFailed tells what is known of an attempt that the runner did not answer.
-func (a *Agent) runnerFailed(w http.ResponseWriter, f *flight, err error) {
+// refuseFailedRun responds with what is known of an attempt that the runner did not answer. It
+// was not run only if the connection could not be opened.
+func (a *Agent) refuseFailedRun(w http.ResponseWriter, att *activeAttempt, err error) {
 	var op *net.OpError
-	fate, outcome := endpoint.AttemptUnknown, problem.Unknown
+	state, outcome := endpoint.AttemptUnknown, problem.Unknown
 	if errors.As(err, &op) && op.Op == "dial" {
-		fate, outcome = endpoint.AttemptNotRun, problem.NotRun
+		state, outcome = endpoint.AttemptNotRun, problem.NotRun
 	}
-	a.ended(f, fate, nil)
-	a.log.Warn().Err(err).Str("request-id", f.id.Request).Msg("the runner did not answer")
-	a.refuse(w, f.id, link.RefusalRunner, outcome, "the runner did not answer")
+	a.finishRun(att, state, nil)
+	a.log.Warn().Err(err).Str("request-id", att.id.Request).Msg("the runner did not answer")
+	a.refuse(w, att.id, link.RefusalRunner, outcome, "the runner did not answer")
 }
 
-// attach waits for the end of an attempt that runs and hands out its answer.
-func (a *Agent) attach(w http.ResponseWriter, r *http.Request, f *flight) {
-	a.log.Info().Str("decision", "attach-request").Str("request-id", f.id.Request).Msg("")
-	f.askers.Add(1)
-	defer f.askers.Add(-1)
+// attach waits for the end of a running attempt and responds with its response.
+func (a *Agent) attach(w http.ResponseWriter, r *http.Request, att *activeAttempt) {
+	a.log.Info().Str("decision", "attach-request").Str("request-id", att.id.Request).Msg("")
+	att.waiters.Add(1)
+	defer att.waiters.Add(-1)
 	select {
-	case <-f.end:
-		a.replay(w, f.id)
+	case <-att.done:
+		a.replay(w, att.id)
 	case <-r.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// replay hands out the kept answer of an attempt that has ended.
+// replay responds with the kept response of an attempt that has ended.
 func (a *Agent) replay(w http.ResponseWriter, id endpoint.AttemptID) {
 	a.mu.Lock()
-	answer := a.book.Response(id)
-	fate := a.book.QueryOrFence(time.Now(), id, 0)
+	response := a.dedupTable.Response(id)
+	state := a.dedupTable.QueryOrFence(time.Now(), id, 0)
 	a.mu.Unlock()
-	if answer == nil {
-		a.refuse(w, id, link.RefusalFate, outcomeOf(fate), "the answer of the attempt is not kept")
+	if response == nil {
+		a.refuse(w, id, link.RefusalFate, outcomeOf(state), "the response of the attempt is not kept")
 		return
 	}
-	a.writeHeader(w, id, answer.Status(), answer.Header())
-	if _, err := w.Write(answer.Body()); err != nil {
+	a.writeHeader(w, id, response.Status(), response.Header())
+	if _, err := w.Write(response.Body()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func outcomeOf(f endpoint.AttemptState) problem.Outcome {
-	switch f {
+func outcomeOf(state endpoint.AttemptState) problem.Outcome {
+	switch state {
 	case endpoint.AttemptNotRun:
 		return problem.NotRun
 	case endpoint.AttemptDone:
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -26,23 +26,23 @@
 	testDataCentre  = "dc-1"
 )
 
-// bench is an agent with a runner that works until it is released.
-type bench struct {
-	t       *testing.T
-	agent   *Agent
-	client  *link.Client
-	release chan struct{}
-	began   chan struct{}
-	ended   chan struct{}
-	runs    atomic.Int32
-	busy    atomic.Int32
-	most    atomic.Int32
+// agentFixture is an agent with a fake runner that answers once it is released.
+type agentFixture struct {
+	t        *testing.T
+	agent    *Agent
+	client   *link.Client
+	release  chan struct{}
+	runBegan chan struct{}
+	runEnded chan struct{}
+	runs     atomic.Int32
+	busy     atomic.Int32
+	maxBusy  atomic.Int32
 }
 
-func newBench(t *testing.T) *bench {
+func newAgentFixture(t *testing.T) *agentFixture {
 	t.Helper()
-	b := &bench{t: t, release: make(chan struct{}), began: make(chan struct{}, 64), ended: make(chan struct{}, 64)}
-	runner := httptest.NewServer(http.HandlerFunc(b.work))
+	b := &agentFixture{t: t, release: make(chan struct{}), runBegan: make(chan struct{}, 64), runEnded: make(chan struct{}, 64)}
+	runner := httptest.NewServer(http.HandlerFunc(b.serveRunner))
 	t.Cleanup(runner.Close)
 	authority, err := link.NewAuthority(time.Now(), time.Hour)
 	b.must(err)
@@ -95,23 +95,23 @@
 	return roots, signed
 }
 
-func (b *bench) must(err error) {
+func (b *agentFixture) must(err error) {
 	b.t.Helper()
 	if err != nil {
 		b.t.Fatal(err)
 	}
 }
 
-// work is the runner: it answers with the body once it is released.
-func (b *bench) work(w http.ResponseWriter, r *http.Request) {
+// serveRunner is the runner's handler: it echoes the body once it is released.
+func (b *agentFixture) serveRunner(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	b.runs.Add(1)
-	b.most.Store(max(b.most.Load(), b.busy.Add(1)))
+	b.maxBusy.Store(max(b.maxBusy.Load(), b.busy.Add(1)))
 	defer func() {
 		b.busy.Add(-1)
-		b.ended <- struct{}{}
+		b.runEnded <- struct{}{}
 	}()
-	b.began <- struct{}{}
+	b.runBegan <- struct{}{}
 	select {
 	case <-b.release:
 		_, _ = w.Write(body)
@@ -119,7 +119,7 @@
 	}
 }
 
-// reply is what the agent answered.
+// reply is the agent's response.
 type reply struct {
 	status  int
 	outcome string
@@ -127,7 +127,7 @@
 	err     error
 }
 
-func (b *bench) send(ctx context.Context, id string, repeat string, incarnation uint64) reply {
+func (b *agentFixture) send(ctx context.Context, id string, repeat string, incarnation uint64) reply {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+b.agent.Address()+link.PathRequests+"planner/x", strings.NewReader(id))
 	b.must(err)
 	for k, v := range map[string]string{
@@ -145,14 +145,14 @@
 	return reply{resp.StatusCode, resp.Header.Get(link.HeaderOutcome), string(body), err}
 }
 
-func (b *bench) ask(id string, cancelIt bool) string {
-	q := &link.FateQuery{Request: id, Attempt: 1, Incarnation: b.agent.incarnation, Cancel: cancelIt}
+func (b *agentFixture) queryState(id string, cancelAttempt bool) string {
+	q := &link.FateQuery{Request: id, Attempt: 1, Incarnation: b.agent.incarnation, Cancel: cancelAttempt}
 	var out link.FateReply
 	b.must(b.client.CallFresh(context.Background(), b.agent.Address(), link.PathFate, q, &out))
 	return out.Fate
 }
 
-func (b *bench) want(what string, got, want any) {
+func (b *agentFixture) want(what string, got, want any) {
 	b.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		b.t.Errorf("%s: got %v, want %v", what, got, want)
@@ -160,35 +160,35 @@
 }
 
 func TestRepetitionAttaches(t *testing.T) {
-	b := newBench(t)
+	b := newAgentFixture(t)
 	ctx, leave := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { b.send(ctx, "a", "never", b.agent.incarnation) })
-	<-b.began
+	<-b.runBegan
 	leave()
 	group.Wait()
-	b.want("fate of a run without an asker", b.ask("a", false), "running")
+	b.want("state of a run that no request waits for", b.queryState("a", false), "running")
 	var again reply
 	group.Go(func() { again = b.send(context.Background(), "a", "never", b.agent.incarnation) })
 	close(b.release)
 	group.Wait()
-	b.want("answer to the repetition", again.body, "a")
+	b.want("response to the repetition", again.body, "a")
 	b.want("outcome", again.outcome, "run")
-	b.want("answer to a later one", b.send(context.Background(), "a", "never", b.agent.incarnation).body, "a")
+	b.want("response to a later one", b.send(context.Background(), "a", "never", b.agent.incarnation).body, "a")
 	b.want("runs", b.runs.Load(), 1)
 }
 
 func TestFencedAttemptDoesNotRun(t *testing.T) {
-	b := newBench(t)
+	b := newAgentFixture(t)
 	close(b.release)
-	b.want("fate", b.ask("a", false), "not-run")
+	b.want("fate", b.queryState("a", false), "not-run")
 	b.want("outcome of the late attempt", b.send(context.Background(), "a", "", b.agent.incarnation).outcome, "not-run")
 	b.want("outcome for an older agent", b.send(context.Background(), "b", "", b.agent.incarnation-1).outcome, "unknown")
 	b.want("runs", b.runs.Load(), 0)
 }
 
 func TestCeilingsHold(t *testing.T) {
-	b := newBench(t)
+	b := newAgentFixture(t)
 	replies := make(chan reply, testConnections+1)
 	var group sync.WaitGroup
 	for i := range testConnections + 1 {
@@ -201,43 +201,43 @@
 	for range testConnections {
 		b.want("outcome of the others", (<-replies).outcome, "run")
 	}
-	if got := b.most.Load(); got > testSlots {
+	if got := b.maxBusy.Load(); got > testSlots {
 		t.Errorf("requests at once: got %d, want at most %d", got, testSlots)
 	}
 }
 
 func TestCancelWhereSafe(t *testing.T) {
-	b := newBench(t)
+	b := newAgentFixture(t)
 	var group sync.WaitGroup
 	for _, repeat := range []string{"", "never"} {
 		group.Go(func() { b.send(context.Background(), "request"+repeat, repeat, b.agent.incarnation) })
-		<-b.began
+		<-b.runBegan
 	}
 	var waiting reply
 	var waits sync.WaitGroup
 	waits.Go(func() { waiting = b.send(context.Background(), "waiting", "never", b.agent.incarnation) })
-	for b.agent.flying() < 3 {
+	for b.agent.activeCount() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	b.want("fate of a cancelled one that waited", b.ask("waiting", true), "not-run")
+	b.want("state of a cancelled one that waited", b.queryState("waiting", true), "not-run")
 	waits.Wait()
 	b.want("outcome of the one that waited", waiting.outcome, "not-run")
-	b.ask("request", true)
-	<-b.ended
-	b.ask("requestnever", true)
-	b.want("fate of one that must not be repeated", b.ask("requestnever", false), "running")
+	b.queryState("request", true)
+	<-b.runEnded
+	b.queryState("requestnever", true)
+	b.want("state of one that must not be repeated", b.queryState("requestnever", false), "running")
 	close(b.release)
 	group.Wait()
-	b.want("fate in the end", b.ask("requestnever", false), "run")
+	b.want("state in the end", b.queryState("requestnever", false), "run")
 }
 
-func TestLeavingAgentRefuses(t *testing.T) {
-	b := newBench(t)
+func TestDrainingAgentRefuses(t *testing.T) {
+	b := newAgentFixture(t)
 	close(b.release)
 	b.agent.mu.Lock()
-	b.agent.leaving = true
+	b.agent.draining = true
 	b.agent.mu.Unlock()
 	b.want("outcome", b.send(context.Background(), "a", "", b.agent.incarnation).outcome, "not-run")
-	b.want("fate", b.ask("a", false), "not-run")
+	b.want("fate", b.queryState("a", false), "not-run")
 	b.want("runs", b.runs.Load(), 0)
 }
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -9,8 +9,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// listingOf returns the worker's listing in the form that decisions need.
-func listingOf(l *services.Listing) *lease.Listing {
+// leaseListing converts the worker's listing of tasks.
+func leaseListing(l *services.Listing) *lease.Listing {
 	out := &lease.Listing{
 		Incarnation: l.Incarnation,
 		Uptime:      time.Duration(l.UptimeMS) * time.Millisecond,
@@ -20,14 +20,14 @@
 	for i := range l.Tasks {
 		t := &l.Tasks[i]
 		out.Tasks[i] = lease.Task{
-			Hold: t.Hold(), Size: t.Size, State: stateOf(t.State), Ref: t.Ref, Detail: t.Detail,
+			Hold: t.Hold(), Size: t.Size, State: leaseState(t.State), Ref: t.Ref, Detail: t.Detail,
 			Until: time.Duration(t.UntilMS) * time.Millisecond, Terms: lease.TermsFromMS(t.TakeoverMS),
 		}
 	}
 	return out
 }
 
-func stateOf(s services.TaskState) lease.State {
+func leaseState(s services.TaskState) lease.State {
 	switch s {
 	case services.TaskSucceeded:
 		return lease.Succeeded
@@ -40,29 +40,30 @@
 	}
 }
 
-// follow takes in the entries' answers and does what they call for.
-func (a *Agent) follow(ctx context.Context, answers []answer) {
+// applyReplies applies the log readings in the entries' replies and takes the actions that
+// result.
+func (a *Agent) applyReplies(ctx context.Context, replies []entryReply) {
 	a.mu.Lock()
-	leaving := a.leaving
+	draining := a.draining
 	a.mu.Unlock()
-	for _, o := range answers {
-		for _, d := range a.holder.Apply(time.Now(), &o.reading.Lease, leaving) {
+	for _, o := range replies {
+		for _, d := range a.holder.Apply(time.Now(), &o.reply.Lease, draining) {
 			a.log.Info().Str("decision", d.Name()).Str("task", d.Assignment().String()).Str("entry", o.entry).Str("reason", d.Reason()).Msg("")
 		}
 	}
-	a.act(ctx, a.holder.Actions())
+	a.runActions(ctx, a.holder.Actions())
 }
 
-// act calls the worker. A call that fails is repeated in the next round, unless
-// the listing then shows that it took effect.
-func (a *Agent) act(ctx context.Context, actions []lease.Action) {
+// runActions calls the worker for each action. A call that fails is repeated in the next
+// round, unless the listing then shows that it took effect.
+func (a *Agent) runActions(ctx context.Context, actions []lease.Action) {
 	var renewals []services.Renewal
 	for _, c := range actions {
 		if c.Kind() == lease.ActionRenew {
 			renewals = append(renewals, services.Renewal{Key: taskKey(c.Assignment()), UntilMS: c.LeaseEnd().Milliseconds()})
 			continue
 		}
-		if err := a.actOn(ctx, &c); err != nil {
+		if err := a.runAction(ctx, &c); err != nil {
 			a.log.Warn().Err(err).Str("task", taskKey(c.Assignment())).Str("call", c.Kind().String()).Msg("call to the worker failed")
 		}
 	}
@@ -74,14 +75,14 @@
 	}
 }
 
-func (a *Agent) actOn(ctx context.Context, c *lease.Action) error {
+func (a *Agent) runAction(ctx context.Context, c *lease.Action) error {
 	key := taskKey(c.Assignment())
 	switch c.Kind() {
 	case lease.ActionStart:
-		if err := a.worker.Start(ctx, startOrder(c)); err != nil {
+		if err := a.worker.Start(ctx, newStartOrder(c)); err != nil {
 			return err
 		}
-		a.guard.decide.TaskStarted(time.Now(), key)
+		a.guard.policy.TaskStarted(time.Now(), key)
 		return nil
 	case lease.ActionCheckpoint:
 		_, err := a.worker.Checkpoint(ctx, key)
@@ -100,11 +101,11 @@
 }
 
 func (a *Agent) stopTask(ctx context.Context, key string) error {
-	a.log.Info().Str("decision", "stop-task").Str("task", key).Str("reason", "the log says so").Msg("")
+	a.log.Info().Str("decision", "stop-task").Str("task", key).Str("reason", "the log requires it").Msg("")
 	return a.worker.Stop(ctx, key)
 }
 
-func startOrder(c *lease.Action) services.StartOrder {
+func newStartOrder(c *lease.Action) services.StartOrder {
 	o := c.Order()
 	return services.StartOrder{
 		WorkerTask: services.WorkerTask{
@@ -115,5 +116,5 @@
 	}
 }
 
-// taskKey names a task under one epoch on the worker.
+// taskKey returns the worker's key of a task, which includes its epoch.
 func taskKey(h record.AssignmentID) string { return services.TaskKey(h) }
