--- a/internal/services/log.go
+++ b/internal/services/log.go
@@ -1,5 +1,5 @@
-// Package services speaks to the services that the platform provides: the
-// append-only log and the workers.
+// Package services holds the clients of the services that the platform
+// provides: the append-only log and the workers.
 package services
 
 import (
@@ -17,28 +17,28 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// LogPage is the JSON form of a read's result.
+// LogPage is the JSON response to a read.
 type LogPage struct {
 	First   uint64     `json:"first"`
 	Next    uint64     `json:"next"`
 	Batches []LogBatch `json:"batches"`
 }
 
-// LogBatch is the JSON form of one batch.
+// LogBatch is one batch in the JSON response to a read.
 type LogBatch struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// LogOffset is the JSON form of an append's result.
+// LogOffset is the JSON response to an append.
 type LogOffset struct {
 	Offset uint64 `json:"offset"`
 }
 
-// RecordsPath returns the path of a stream's records at the log service.
+// RecordsPath returns the URL path of a stream's records at the log service.
 func RecordsPath(stream string) string { return "/streams/" + url.PathEscape(stream) + "/records" }
 
-// NewLog returns the log port for the service at base.
+// NewLog returns a client of the log service at the base URL.
 func NewLog(client *http.Client, base string) record.Log {
 	l := logClient{client: client, base: base}
 	return record.Log{Append: l.append, Read: l.read}
@@ -59,7 +59,7 @@
 		return 0, errors.Mark(errors.Wrap(err, "append to the log"), record.ErrOutcomeUnknown)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	defer drain(resp.Body)
+	defer discardRest(resp.Body)
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		return 0, errors.Wrapf(record.ErrUnavailable, "append to %s", stream)
 	}
@@ -68,7 +68,7 @@
 	}
 	var out LogOffset
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return 0, errors.Mark(errors.Wrap(err, "read the append's reply"), record.ErrOutcomeUnknown)
+		return 0, errors.Mark(errors.Wrap(err, "decode the response to an append"), record.ErrOutcomeUnknown)
 	}
 	return out.Offset, nil
 }
@@ -84,17 +84,17 @@
 		return record.Page{}, errors.Mark(errors.Wrap(err, "read the log"), record.ErrUnavailable)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	defer drain(resp.Body)
+	defer discardRest(resp.Body)
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return record.Page{}, errors.Wrapf(record.ErrUnavailable, "read %s: status %d", stream, resp.StatusCode)
 	}
 	var in LogPage
 	if err := json.NewDecoder(resp.Body).Decode(&in); err != nil {
-		return record.Page{}, errors.Mark(errors.Wrap(err, "read the log"), record.ErrUnavailable)
+		return record.Page{}, errors.Mark(errors.Wrap(err, "decode the response to a log read"), record.ErrUnavailable)
 	}
 	page := record.Page{FirstOffset: in.First, NextOffset: in.Next}
 	if resp.StatusCode == http.StatusGone {
-		return page, errors.Wrapf(record.ErrExpired, "stream %s offset %d, first kept %d", stream, from, in.First)
+		return page, errors.Wrapf(record.ErrExpired, "stream %s: offset %d is before the first retained offset %d", stream, from, in.First)
 	}
 	for _, b := range in.Batches {
 		page.Batches = append(page.Batches, record.RawBatch{Offset: b.Offset, Data: b.Data})
@@ -102,8 +102,9 @@
 	return page, nil
 }
 
-// maxDrain bounds what is read from a reply that nobody wants, in bytes.
-const maxDrain = 64 << 10
+// maxDiscardBytes is the most that is read from the unused rest of a response.
+const maxDiscardBytes = 64 << 10
 
-// drain reads a short rest, so that the connection can be used again.
-func drain(body io.Reader) { _, _ = io.CopyN(io.Discard, body, maxDrain) }
+// discardRest reads the rest of a short response body, so that the connection
+// can be reused.
+func discardRest(body io.Reader) { _, _ = io.CopyN(io.Discard, body, maxDiscardBytes) }
--- a/internal/services/queue.go
+++ b/internal/services/queue.go
@@ -10,29 +10,28 @@
 
 // Limits of a writer's queue.
 const (
-	// maxQueued is the most records that wait for an append.
-	maxQueued = 16384
-	// maxQueuedBytes is the most bytes that wait for an append.
-	maxQueuedBytes = 8 << 20
-	// maxBatchRecords is the most records in one append.
+	maxQueuedRecords = 16384
+	maxQueuedBytes   = 8 << 20
+	// maxBatchRecords and maxBatchBytes limit a batch of several groups. A
+	// single group that is larger makes up a batch of its own.
 	maxBatchRecords = 2048
-	// maxBatchBytes is the size from which a batch takes in no further group.
-	maxBatchBytes = 1 << 20
+	maxBatchBytes   = 1 << 20
 )
 
 // Errors returned by Writer.
 var (
 	// ErrBackpressure means that the writer's queue is full because the log is slow or down.
-	ErrBackpressure = errors.New("the log is too slow to take more records")
-	// ErrTooLarge means that the messages of one call do not fit into one batch.
-	ErrTooLarge = errors.New("the records do not fit into one batch")
+	ErrBackpressure = errors.New("the log writer's queue is full: the log is slow or unavailable")
+	// ErrTooLarge means that the messages of one call exceed the writer's queue limits.
+	ErrTooLarge = errors.New("the records exceed the limits of the log writer's queue")
 )
 
-// group is the records that go into the same batch, or none of them does.
+// group holds records that are written in the same batch, or not at all.
 type group struct {
-	records []record.EncodedRecord
-	size    int
-	done    chan error
+	records   []record.EncodedRecord
+	sizeBytes int
+	// done receives the result of the append.
+	done chan error
 }
 
 func newGroup(messages []record.Message) (*group, error) {
@@ -42,12 +41,12 @@
 		if g.records[i], err = record.EncodeMessage(m); err != nil {
 			return nil, err
 		}
-		g.size += g.records[i].Size()
+		g.sizeBytes += g.records[i].Size()
 	}
 	return g, nil
 }
 
-// queue holds the groups that wait for an append. The zero value is empty.
+// queue holds the groups that wait for an append. The zero value is an empty queue.
 type queue struct {
 	mu      sync.Mutex
 	groups  []*group
@@ -55,16 +54,16 @@
 	bytes   int
 }
 
-// add puts groups at the end, all or none.
+// add appends all groups to the queue, or none of them if they do not fit.
 func (q *queue) add(groups ...*group) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	records, bytes := q.records, q.bytes
 	for _, g := range groups {
 		records += len(g.records)
-		bytes += g.size
+		bytes += g.sizeBytes
 	}
-	if records > maxQueued || bytes > maxQueuedBytes {
+	if records > maxQueuedRecords || bytes > maxQueuedBytes {
 		return ErrBackpressure
 	}
 	q.groups = append(q.groups, groups...)
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// withdraw removes a group and reports whether it was still waiting.
+// withdraw removes a group and reports whether it was still queued.
 func (q *queue) withdraw(g *group) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -80,25 +79,26 @@
 		if have == g {
 			q.groups = append(q.groups[:i:i], q.groups[i+1:]...)
 			q.records -= len(g.records)
-			q.bytes -= g.size
+			q.bytes -= g.sizeBytes
 			return true
 		}
 	}
 	return false
 }
 
-// take removes the groups of the next batch.
-func (q *queue) take() (groups []*group, records []record.EncodedRecord) {
+// takeBatch removes the groups of the next batch from the queue and returns them
+// with their records.
+func (q *queue) takeBatch() (groups []*group, records []record.EncodedRecord) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	size := 0
 	n := 0
 	for _, g := range q.groups {
-		if n > 0 && (len(records)+len(g.records) > maxBatchRecords || size+g.size > maxBatchBytes) {
+		if n > 0 && (len(records)+len(g.records) > maxBatchRecords || size+g.sizeBytes > maxBatchBytes) {
 			break
 		}
 		records = append(records, g.records...)
-		size += g.size
+		size += g.sizeBytes
 		n++
 	}
 	groups = q.groups[:n:n]
@@ -108,8 +108,8 @@
 	return groups, records
 }
 
-// len returns the number of records waiting.
-func (q *queue) len() int {
+// recordCount returns the number of queued records.
+func (q *queue) recordCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.records
--- a/internal/services/scan.go
+++ b/internal/services/scan.go
@@ -9,9 +9,9 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// End returns the first offset that a stream keeps and that of the next append.
+// End returns the first retained offset of a stream and the offset of the next append.
 func End(ctx context.Context, log record.Log, stream string) (first, next uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
+	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
 	page, err := log.Read(ctx, stream, math.MaxInt64, 0)
 	if errors.Is(err, record.ErrExpired) {
@@ -20,11 +20,11 @@
 	return page.FirstOffset, page.NextOffset, err
 }
 
-// Scan calls fn for every readable record from an offset to the stream's
-// present end.
+// Scan calls fn for each record from an offset to the present end of the stream.
+// It skips batches and records that cannot be decoded.
 func Scan(ctx context.Context, log record.Log, stream string, from uint64, fn func(record.Record)) error {
 	for {
-		call, cancel := context.WithTimeout(ctx, appendTimeout)
+		call, cancel := context.WithTimeout(ctx, logCallTimeout)
 		page, err := log.Read(call, stream, from, 0)
 		cancel()
 		if err != nil {
--- a/internal/services/tail.go
+++ b/internal/services/tail.go
@@ -11,34 +11,37 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Tail follows one stream from its oldest record.
+// Tail reads one stream continuously, by default from its first retained offset.
 type Tail struct {
 	Log    record.Log
 	Stream string
-	// Start, if set, returns the offset to start at; without it that is the
-	// stream's first. It is called until it succeeds.
+	// Start, if set, returns the offset to start at. It is called until it
+	// succeeds. If it is nil, reading starts at offset 0, so that Expired is
+	// called if the log no longer retains the start of the stream.
 	Start func(ctx context.Context) (uint64, error)
-	// Wait is how long a read waits for a record to arrive.
+	// Wait is how long a read at the end of the stream waits for a new record.
 	Wait time.Duration
 	// Deliver is called after each read with its records, the offset of the
 	// next batch to read, and when the read began. The time is zero if the
-	// page did not reach the stream's end: such a read does not show that
-	// nothing newer was in the log when it began.
+	// read did not reach the end of the stream: such a read does not show that
+	// the log held nothing newer when it began.
 	Deliver func(records []record.Record, next uint64, began time.Time)
-	// Skipped is called for each unreadable batch or record.
+	// Skipped is called for each batch that cannot be decoded, in whole or in
+	// part, with the number of records skipped in it.
 	Skipped func(offset uint64, count int, err error)
-	// Observed, if set, is called after each read with the first offset kept and
-	// that of the next append.
+	// Observed, if set, is called after each read with the first retained offset
+	// and the offset of the next append.
 	Observed func(first, next uint64)
-	// Expired is called when the next offset is no longer kept. It returns
-	// where to go on; offsets before the first kept are raised to it.
+	// Expired is called when the log no longer retains the next offset to read.
+	// It returns the offset to continue at, which is raised to the first
+	// retained offset if it lies before it.
 	Expired func(ctx context.Context, page record.Page) uint64
 }
 
 // Run reads until ctx ends.
 func (t *Tail) Run(ctx context.Context) {
-	backoff := retryMin
-	next := t.start(ctx)
+	backoff := minRetryDelay
+	next := t.startOffset(ctx)
 	for ctx.Err() == nil {
 		began := time.Now()
 		page, err := t.read(ctx, next)
@@ -48,10 +51,10 @@
 		}
 		if err != nil {
 			delay.For(ctx, backoff/2+rand.N(backoff))
-			backoff = min(backoff*2, retryMax)
+			backoff = min(backoff*2, maxRetryDelay)
 			continue
 		}
-		backoff = retryMin
+		backoff = minRetryDelay
 		if t.Observed != nil {
 			t.Observed(page.FirstOffset, page.NextOffset)
 		}
@@ -59,20 +62,20 @@
 	}
 }
 
-func (t *Tail) start(ctx context.Context) uint64 {
-	backoff := retryMin
+func (t *Tail) startOffset(ctx context.Context) uint64 {
+	backoff := minRetryDelay
 	for t.Start != nil && ctx.Err() == nil {
 		next, err := t.Start(ctx)
 		if err == nil {
 			return next
 		}
 		delay.For(ctx, backoff/2+rand.N(backoff))
-		backoff = min(backoff*2, retryMax)
+		backoff = min(backoff*2, maxRetryDelay)
 	}
 	return 0
 }
 
-// deliver hands a page on and returns the next offset to read.
+// deliver passes the records of a page to Deliver and returns the next offset to read.
 func (t *Tail) deliver(page record.Page, next uint64, began time.Time) uint64 {
 	records := t.decode(page.Batches)
 	if n := len(page.Batches); n > 0 {
@@ -86,7 +89,7 @@
 }
 
 func (t *Tail) read(ctx context.Context, from uint64) (record.Page, error) {
-	call, cancel := context.WithTimeout(ctx, t.Wait+appendTimeout)
+	call, cancel := context.WithTimeout(ctx, t.Wait+logCallTimeout)
 	defer cancel()
 	return t.Log.Read(call, t.Stream, from, t.Wait)
 }
--- a/internal/services/tail_test.go
+++ b/internal/services/tail_test.go
@@ -10,7 +10,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// scriptedLog answers reads from a list and then ends the test's context.
+// scriptedLog returns the given pages and errors to reads, one each, and then
+// ends the context of the test.
 type scriptedLog struct {
 	pages []record.Page
 	errs  []error
@@ -36,8 +37,8 @@
 	return record.RawBatch{Offset: offset, Data: data}
 }
 
-// TestTailFreshness checks that a read shows the stream's state as of its
-// beginning only if it reached the stream's end.
+// TestTailFreshness checks that only a read that reaches the end of the stream
+// is delivered with the time at which it began.
 func TestTailFreshness(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -59,13 +60,13 @@
 	tail.Run(ctx)
 	for i, w := range want {
 		if i >= len(got) || got[i] != w {
-			t.Fatalf("fresh readings: got %v, want %v", got, want)
+			t.Fatalf("reads delivered with a time: got %v, want %v", got, want)
 		}
 	}
 }
 
-// TestTailStartsWhereExpiredSays checks that a reader whose offset has expired
-// goes on at the offset that its owner chose.
+// TestTailStartsWhereExpiredSays checks that a tail whose next offset is no longer
+// retained continues at the offset that Expired returns.
 func TestTailStartsWhereExpiredSays(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/services/worker.go
+++ b/internal/services/worker.go
@@ -17,8 +17,9 @@
 
 // Errors returned by the functions of Worker.
 var (
-	// ErrWorker means that the worker did not take the call.
-	ErrWorker = errors.New("the worker did not take the call")
+	// ErrWorker means that the worker was not reached, refused the call or sent
+	// a response that cannot be decoded.
+	ErrWorker = errors.New("call to the worker failed")
 	// ErrNoTask means that the worker has no such task.
 	ErrNoTask = errors.New("the worker has no such task")
 )
@@ -29,45 +30,49 @@
 // The states of a task on its worker.
 const (
 	TaskRunning TaskState = "running"
-	// TaskHeld tasks have outlived their lease: they keep their resources and make no progress.
+	// TaskHeld means that the task's lease has expired: the task keeps its
+	// resources and makes no progress until the lease is renewed.
 	TaskHeld      TaskState = "held"
 	TaskSucceeded TaskState = "succeeded"
 	TaskFailed    TaskState = "failed"
 	TaskStopped   TaskState = "stopped"
 )
 
-// Ended reports whether the task makes no progress any more.
+// Ended reports whether the task has ended for good.
 func (s TaskState) Ended() bool {
 	return s == TaskSucceeded || s == TaskFailed || s == TaskStopped
 }
 
-// Listing is what a worker runs.
+// Listing lists the tasks of a worker.
 type Listing struct {
-	// Incarnation changes when the worker has lost its tasks.
+	// Incarnation changes each time the worker loses its tasks.
 	Incarnation string `json:"incarnation"`
 	// UptimeMS is the worker's monotonic clock in milliseconds.
-	UptimeMS int64            `json:"uptime-ms"`
-	Total    worker.Resources `json:"total"`
-	Tasks    []WorkerTask     `json:"tasks"`
+	UptimeMS int64 `json:"uptime-ms"`
+	// Total is the worker's capacity.
+	Total worker.Resources `json:"total"`
+	Tasks []WorkerTask     `json:"tasks"`
 }
 
 // WorkerTask is one task on a worker.
 type WorkerTask struct {
-	Job    string           `json:"job"`
-	Index  uint32           `json:"index"`
-	Epoch  uint64           `json:"epoch"`
-	Size   worker.Resources `json:"size"`
-	State  TaskState        `json:"state"`
-	Ref    string           `json:"ref,omitempty"`
-	Detail string           `json:"detail,omitempty"`
-	// UntilMS is when the lease ends on the worker's clock.
+	Job   string           `json:"job"`
+	Index uint32           `json:"index"`
+	Epoch uint64           `json:"epoch"`
+	Size  worker.Resources `json:"size"`
+	State TaskState        `json:"state"`
+	// Ref refers to the newest checkpoint of the task.
+	Ref    string `json:"ref,omitempty"`
+	Detail string `json:"detail,omitempty"`
+	// UntilMS is when the lease ends on the worker's clock, in milliseconds.
 	UntilMS int64 `json:"until-ms"`
-	// TakeoverMS is the task's takeover time, kept for an agent that restarts.
+	// TakeoverMS is the task's takeover time. The worker stores it for agents
+	// that have restarted.
 	TakeoverMS int64  `json:"takeover-ms"`
 	Class      string `json:"class,omitempty"`
 }
 
-// Hold returns the task's hold.
+// Hold identifies the assignment of the task to this worker.
 func (t *WorkerTask) Hold() record.AssignmentID {
 	return record.AssignmentID{Task: record.TaskID{Job: t.Job, Index: t.Index}, Epoch: record.Position(t.Epoch)}
 }
@@ -80,37 +85,39 @@
 
 // Renewal extends the lease of a task.
 type Renewal struct {
-	Key     string `json:"key"`
-	UntilMS int64  `json:"until-ms"`
+	Key string `json:"key"`
+	// UntilMS is the new end of the lease on the worker's clock, in milliseconds.
+	UntilMS int64 `json:"until-ms"`
 }
 
-// Usage is a worker's measured use, some time ago.
+// Usage is the measured resource use of a worker. The measurement lags behind.
 type Usage struct {
-	Used  worker.Resources            `json:"used"`
+	Used worker.Resources `json:"used"`
+	// Tasks holds the use of each task by its key.
 	Tasks map[string]worker.Resources `json:"tasks"`
 }
 
-// Worker is the port to the platform's worker.
+// Worker calls one worker of the platform.
 type Worker struct {
-	// List returns all tasks, ended ones included until they are removed.
+	// List returns all tasks. Ended tasks are listed until they are removed.
 	List func(ctx context.Context) (Listing, error)
-	// Start begins a task; repeating it for the same key is idempotent.
+	// Start starts a task. It is idempotent for the same task key.
 	Start func(ctx context.Context, order StartOrder) error
-	// Renew sets leases.
+	// Renew extends the leases of tasks.
 	Renew func(ctx context.Context, renewals []Renewal) error
-	// Checkpoint saves a task's progress and returns its reference.
+	// Checkpoint saves a task's progress and returns a reference to the checkpoint.
 	Checkpoint func(ctx context.Context, key string) (string, error)
-	// Throttle limits a task to a percentage of its processors.
+	// Throttle limits a task to a percentage of its processor time.
 	Throttle func(ctx context.Context, key string, percent int) error
-	// Stop ends a task; it stays listed as stopped.
+	// Stop ends a task, which stays listed as stopped.
 	Stop func(ctx context.Context, key string) error
-	// Remove drops an ended task from the list.
+	// Remove removes an ended task from the list.
 	Remove func(ctx context.Context, key string) error
-	// Usage returns lagging measurements.
+	// Usage returns the measured resource use, which lags behind.
 	Usage func(ctx context.Context) (Usage, error)
 }
 
-// NewWorker returns the worker port for the service at base.
+// NewWorker returns a client of the worker at the base URL.
 func NewWorker(client *http.Client, base string) Worker {
 	c := workerClient{client: client, base: base}
 	return Worker{
@@ -145,7 +152,6 @@
 
 func taskPath(key, action string) string { return "/tasks/" + url.PathEscape(key) + action }
 
-// workerTimeout bounds one call to a worker.
 const workerTimeout = 2 * time.Second
 
 type workerClient struct {
@@ -169,7 +175,7 @@
 		return errors.Mark(err, ErrWorker)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	defer drain(resp.Body)
+	defer discardRest(resp.Body)
 	if resp.StatusCode == http.StatusNotFound {
 		return errors.Wrapf(ErrNoTask, "%s %s", method, path)
 	}
@@ -182,6 +188,6 @@
 	return errors.Mark(json.NewDecoder(resp.Body).Decode(out), ErrWorker)
 }
 
-// TaskKey names a task under one epoch, so that two epochs of a task are two
-// tasks to the worker.
+// TaskKey returns the key of an assignment at its worker. The key contains the
+// epoch, so that two assignments of a task are two tasks to the worker.
 func TaskKey(h record.AssignmentID) string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -14,18 +14,19 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// Times of a writer.
+// Retry delays and time-outs of the calls to the log.
 const (
-	retryMin      = 50 * time.Millisecond
-	retryMax      = 2 * time.Second
-	appendTimeout = 5 * time.Second
+	minRetryDelay  = 50 * time.Millisecond
+	maxRetryDelay  = 2 * time.Second
+	logCallTimeout = 5 * time.Second
 )
 
 // Writer appends records to one stream, one batch at a time. Records that
-// arrive while an append is under way share the next one. After an append
-// whose reply was lost it reads the stream for its own batch; only a batch that
-// is not there is appended again, under the same identity, so that readers
-// recognise a copy that was written late.
+// arrive during an append share the next batch. After an append with unknown
+// outcome, such as a lost response, the writer searches the stream for its
+// batch and appends the batch again only if it is not there. The copy has the
+// same writer name and sequence numbers, so that readers drop the duplicate if
+// the first append takes effect late.
 type Writer struct {
 	log    record.Log
 	stream string
@@ -33,38 +34,43 @@
 	wakeup chan struct{}
 	queue  queue
 
-	mu   sync.Mutex
-	pace pace
+	mu    sync.Mutex
+	pacer appendPacer
 
-	// The fields below belong to Run.
+	// The fields below are used by the goroutine of Run only.
+
+	// seq is the sequence number of the newest record in a batch.
 	seq uint64
-	// floor is an offset that no unresolved append of this writer is before.
-	floor uint64
-	known bool
+	// searchFrom is where the search for a batch with unknown outcome starts: no
+	// such batch of this writer lies before it.
+	searchFrom      uint64
+	searchFromKnown bool
 
 	appends  atomic.Uint64
 	resolved atomic.Uint64
 	retries  atomic.Uint64
 }
 
-// NewWriter returns a writer whose records carry name, which must be unique
-// among all processes and restarts. Under load appends are gap apart.
-func NewWriter(log record.Log, stream, name string, gap time.Duration) *Writer {
-	return &Writer{log: log, stream: stream, name: name, pace: pace{gap: gap}, wakeup: make(chan struct{}, 1)}
+// NewWriter returns a writer whose batches carry name, which must be unique
+// among all processes and their restarts. Under load, appends are interval apart
+// on average.
+func NewWriter(log record.Log, stream, name string, interval time.Duration) *Writer {
+	return &Writer{log: log, stream: stream, name: name, pacer: appendPacer{interval: interval}, wakeup: make(chan struct{}, 1)}
 }
 
-// SetGap changes the time between two appends under load.
-func (w *Writer) SetGap(gap time.Duration) {
+// SetGap changes the average time between two appends under load.
+func (w *Writer) SetGap(interval time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pace.gap = gap
+	w.pacer.interval = interval
 }
 
-// Append adds messages to the stream in one batch and waits until they are in
-// the log. If ctx ends before their append has begun, they are withdrawn and
-// the error is marked record.ErrUnavailable: nothing was written, nor will be.
-// If ctx ends later, the error is marked record.ErrOutcomeUnknown and the writer goes
-// on until the batch is in the log.
+// Append writes messages to the stream in one batch and waits until they are in
+// the log. If ctx ends before their append has begun, the messages are removed
+// from the queue and the error is marked record.ErrUnavailable: they have not
+// been and will not be written. If ctx ends later, the error is marked
+// record.ErrOutcomeUnknown and the writer continues until the batch is in the log
+// or Run returns.
 func (w *Writer) Append(ctx context.Context, messages ...record.Message) error {
 	if len(messages) == 0 {
 		return nil
@@ -73,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	if len(g.records) > maxQueued || g.size > maxQueuedBytes {
-		return errors.Wrapf(ErrTooLarge, "%d records, %d bytes", len(g.records), g.size)
+	if len(g.records) > maxQueuedRecords || g.sizeBytes > maxQueuedBytes {
+		return errors.Wrapf(ErrTooLarge, "%d records, %d bytes", len(g.records), g.sizeBytes)
 	}
 	if err := w.enqueue(g); err != nil {
 		return err
@@ -85,13 +91,13 @@
 	case <-ctx.Done():
 	}
 	if w.queue.withdraw(g) {
-		return errors.Mark(errors.Wrap(ctx.Err(), "append not begun"), record.ErrUnavailable)
+		return errors.Mark(errors.Wrap(ctx.Err(), "append not started; records removed from the queue"), record.ErrUnavailable)
 	}
-	return errors.Mark(errors.Wrap(ctx.Err(), "append under way"), record.ErrOutcomeUnknown)
+	return errors.Mark(errors.Wrap(ctx.Err(), "append in progress"), record.ErrOutcomeUnknown)
 }
 
-// Enqueue queues messages without waiting for the log. They keep their order
-// but may be split over batches.
+// Enqueue queues messages without waiting for the log. Their order is kept, but
+// they may be split over several batches.
 func (w *Writer) Enqueue(messages ...record.Message) error {
 	groups := make([]*group, len(messages))
 	for i, m := range messages {
@@ -117,92 +123,95 @@
 // Appends returns the number of batches known to be in the log.
 func (w *Writer) Appends() uint64 { return w.appends.Load() }
 
-// Resolved returns the number of batches found by reading after a lost reply.
+// Resolved returns the number of batches that were found in the log after an
+// append with unknown outcome.
 func (w *Writer) Resolved() uint64 { return w.resolved.Load() }
 
 // Retries returns the number of appends that were repeated.
 func (w *Writer) Retries() uint64 { return w.retries.Load() }
 
-// Queued returns the number of records that wait.
-func (w *Writer) Queued() int { return w.queue.len() }
+// Queued returns the number of records that wait for an append.
+func (w *Writer) Queued() int { return w.queue.recordCount() }
 
-// Run appends queued records until ctx ends, then appends what is left for at most flush.
+// Run appends queued records until ctx ends. It then spends at most flush on the
+// rest and fails the records that are still queued.
 func (w *Writer) Run(ctx context.Context, flush time.Duration) {
 	for {
 		select {
 		case <-w.wakeup:
-			w.drain(ctx)
+			w.appendQueued(ctx)
 		case <-ctx.Done():
 			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), flush)
-			w.drain(last)
+			w.appendQueued(last)
 			cancel()
-			w.abandon()
+			w.failQueued()
 			return
 		}
 	}
 }
 
-// abandon ends the wait of those whose records were not written.
-func (w *Writer) abandon() {
+// failQueued reports to the callers of all queued groups that their records were
+// not written.
+func (w *Writer) failQueued() {
 	for {
-		groups, _ := w.queue.take()
+		groups, _ := w.queue.takeBatch()
 		if len(groups) == 0 {
 			return
 		}
-		finish(groups, errors.Wrap(record.ErrUnavailable, "the writer has ended"))
+		notifyCallers(groups, errors.Wrap(record.ErrUnavailable, "the log writer has shut down"))
 	}
 }
 
-func (w *Writer) drain(ctx context.Context) {
-	for ctx.Err() == nil && w.queue.len() > 0 {
+func (w *Writer) appendQueued(ctx context.Context) {
+	for ctx.Err() == nil && w.queue.recordCount() > 0 {
 		w.mu.Lock()
-		wait := w.pace.wait(time.Now())
+		wait := w.pacer.reserve(time.Now())
 		w.mu.Unlock()
 		if !delay.For(ctx, wait) {
 			return
 		}
-		w.learnFloor(ctx)
-		groups, records := w.queue.take()
+		w.initSearchFrom(ctx)
+		groups, records := w.queue.takeBatch()
 		if len(groups) == 0 {
 			return
 		}
 		first := w.seq + 1
 		w.seq += uint64(len(records))
-		finish(groups, w.appendBatch(ctx, records, first))
+		notifyCallers(groups, w.appendBatch(ctx, records, first))
 	}
 }
 
-func finish(groups []*group, err error) {
+func notifyCallers(groups []*group, err error) {
 	for _, g := range groups {
 		g.done <- err
 	}
 }
 
-// appendBatch goes on until the log has the batch or ctx ends.
+// appendBatch retries until the log has the batch or ctx ends.
 func (w *Writer) appendBatch(ctx context.Context, records []record.EncodedRecord, first uint64) error {
 	data, err := record.EncodeBatch(w.name, first, records)
 	if err != nil {
 		return err
 	}
-	backoff := retryMin
+	backoff := minRetryDelay
 	unknown := false
 	for {
-		offset, err := w.try(ctx, data)
+		offset, err := w.appendOnce(ctx, data)
 		if err == nil {
-			w.floor, w.known = offset+1, true
+			w.searchFrom, w.searchFromKnown = offset+1, true
 			w.appends.Add(1)
 			return nil
 		}
 		unknown = unknown || !errors.Is(err, record.ErrUnavailable)
 		for {
 			if !delay.For(ctx, backoff/2+rand.N(backoff)) {
-				return endOfWait(err, unknown)
+				return abandonedError(err, unknown)
 			}
-			backoff = min(backoff*2, retryMax)
+			backoff = min(backoff*2, maxRetryDelay)
 			if !unknown {
 				break
 			}
-			found, findErr := w.find(ctx, first)
+			found, findErr := w.findBatch(ctx, first)
 			if found {
 				w.resolved.Add(1)
 				w.appends.Add(1)
@@ -216,37 +225,39 @@
 	}
 }
 
-// endOfWait marks what a caller learns about a batch that was given up.
-func endOfWait(err error, unknown bool) error {
+// abandonedError returns the error for a batch that is no longer retried. It is
+// marked record.ErrOutcomeUnknown if the batch may be in the log.
+func abandonedError(err error, unknown bool) error {
 	if unknown {
-		return errors.Wrapf(record.ErrOutcomeUnknown, "append given up: %v", err)
+		return errors.Wrapf(record.ErrOutcomeUnknown, "append no longer retried: %v", err)
 	}
 	return errors.Wrap(err, "append")
 }
 
-func (w *Writer) try(ctx context.Context, data []byte) (uint64, error) {
-	call, cancel := context.WithTimeout(ctx, appendTimeout)
+func (w *Writer) appendOnce(ctx context.Context, data []byte) (uint64, error) {
+	call, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
 	return w.log.Append(call, w.stream, data)
 }
 
-// learnFloor asks for the stream's end once, so that a later search need not
-// read the stream from its start.
-func (w *Writer) learnFloor(ctx context.Context) {
-	if w.known {
+// initSearchFrom sets searchFrom to the end of the stream if it is not known yet,
+// so that a later search need not read the stream from its start.
+func (w *Writer) initSearchFrom(ctx context.Context) {
+	if w.searchFromKnown {
 		return
 	}
 	if _, next, err := End(ctx, w.log, w.stream); err == nil {
-		w.floor, w.known = next, true
+		w.searchFrom, w.searchFromKnown = next, true
 	}
 }
 
-// find reads from the floor to the stream's end for the batch that begins with
-// sequence number first. An error means that the end was not reached.
-func (w *Writer) find(ctx context.Context, first uint64) (bool, error) {
-	from := w.floor
+// findBatch searches the stream from searchFrom to its end for the writer's batch
+// that begins with sequence number first. An error means that the end of the
+// stream was not reached.
+func (w *Writer) findBatch(ctx context.Context, first uint64) (bool, error) {
+	from := w.searchFrom
 	for {
-		call, cancel := context.WithTimeout(ctx, appendTimeout)
+		call, cancel := context.WithTimeout(ctx, logCallTimeout)
 		page, err := w.log.Read(call, w.stream, from, 0)
 		cancel()
 		if errors.Is(err, record.ErrExpired) && page.FirstOffset > from {
@@ -260,12 +271,12 @@
 			from = b.Offset + 1
 			writer, seq, err := record.BatchHeader(b.Data)
 			if err == nil && writer == w.name && seq == first {
-				w.floor, w.known = from, true
+				w.searchFrom, w.searchFromKnown = from, true
 				return true, nil
 			}
 		}
 		if from >= page.NextOffset || len(page.Batches) == 0 {
-			w.floor, w.known = from, true
+			w.searchFrom, w.searchFromKnown = from, true
 			return false, nil
 		}
 	}
--- a/internal/services/writer_test.go
+++ b/internal/services/writer_test.go
@@ -15,19 +15,25 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// faultyLog is one stream in memory whose appends fail as scripted.
+// faultyLog is an in-memory log of one stream whose appends fail as scripted.
 type faultyLog struct {
-	mu          sync.Mutex
-	first       uint64
-	batches     [][]byte
-	script      []string
+	mu      sync.Mutex
+	first   uint64
+	batches [][]byte
+	// script holds the fault of each append; see append.
+	script []string
+	// failedReads is how many reads fail once the stream has a batch.
 	failedReads int
-	expire      bool
-	others      int
-	late        []byte
+	// expireAll drops all batches after an append whose response is lost.
+	expireAll bool
+	// otherBatches is the number of batches that another writer appends after an
+	// append whose response is lost.
+	otherBatches int
+	// delayedBatch is written after the next append.
+	delayedBatch []byte
 }
 
-const faultyPage = 100
+const maxFaultyLogPage = 100
 
 func (l *faultyLog) port() record.Log { return record.Log{Append: l.append, Read: l.read} }
 
@@ -44,21 +50,21 @@
 	case "vanished":
 		return 0, record.ErrOutcomeUnknown
 	case "late":
-		l.late = data
+		l.delayedBatch = data
 		return 0, record.ErrOutcomeUnknown
 	}
 	offset := l.first + uint64(len(l.batches))
 	l.batches = append(l.batches, data)
-	if l.late != nil {
-		l.batches = append(l.batches, l.late)
-		l.late = nil
+	if l.delayedBatch != nil {
+		l.batches = append(l.batches, l.delayedBatch)
+		l.delayedBatch = nil
 	}
 	if fault == "lost" {
-		for range l.others {
+		for range l.otherBatches {
 			other, _ := record.Encode("other", 1, []record.Message{&record.Forget{}})
 			l.batches = append(l.batches, other)
 		}
-		if l.expire {
+		if l.expireAll {
 			l.first += uint64(len(l.batches))
 			l.batches = nil
 		}
@@ -78,14 +84,15 @@
 	if from < l.first {
 		return page, record.ErrExpired
 	}
-	for o := from; o < page.NextOffset && len(page.Batches) < faultyPage; o++ {
+	for o := from; o < page.NextOffset && len(page.Batches) < maxFaultyLogPage; o++ {
 		page.Batches = append(page.Batches, record.RawBatch{Offset: o, Data: l.batches[o-l.first]})
 	}
 	return page, nil
 }
 
-// own returns the batches of writer and the job names that a reader takes in.
-func (l *faultyLog) own(t *testing.T, writer string) (batches int, jobs []string) {
+// acceptedFrom returns the number of batches of writer and the job names in their
+// records, duplicates dropped as a reader does.
+func (l *faultyLog) acceptedFrom(t *testing.T, writer string) (batches int, jobs []string) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +127,8 @@
 	WantRetries  uint64   `json:"want-retries"`
 }
 
-// TestWriterFaults runs the table of append faults.
+// TestWriterFaults checks that faults of appends and reads neither lose nor
+// duplicate records.
 func TestWriterFaults(t *testing.T) {
 	data, err := os.ReadFile("testdata/writer.json")
 	if err != nil {
@@ -139,7 +147,7 @@
 
 func runWriterCase(t *testing.T, c *writerCase) {
 	t.Helper()
-	log := &faultyLog{script: c.Appends, failedReads: c.FailedReads, expire: c.Expire, others: c.Others}
+	log := &faultyLog{script: c.Appends, failedReads: c.FailedReads, expireAll: c.Expire, otherBatches: c.Others}
 	w := NewWriter(log.port(), "jobs", "writer@1", 20*time.Millisecond)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
@@ -154,7 +162,7 @@
 	}
 	cancel()
 	group.Wait()
-	batches, got := log.own(t, "writer@1")
+	batches, got := log.acceptedFrom(t, "writer@1")
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("records read: got %v, want %v", got, want)
 	}
@@ -164,7 +172,8 @@
 	}
 }
 
-// TestAppendWithdrawn checks what a caller is told whose time ends.
+// TestAppendWithdrawn checks the errors of calls that time out: one whose append
+// is in progress and one that is still queued and must not be written.
 func TestAppendWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hang := make(chan struct{})
@@ -197,14 +206,14 @@
 		close(hang)
 		stop()
 		group.Wait()
-		if _, got := log.own(t, "writer@1"); fmt.Sprint(got) != "[first]" {
+		if _, got := log.acceptedFrom(t, "writer@1"); fmt.Sprint(got) != "[first]" {
 			t.Errorf("records written: got %v, want [first]", got)
 		}
 	})
 }
 
-// TestAppendKeepsCallsWhole checks that the records of one call share a batch
-// and that the queue is bounded in records and bytes.
+// TestAppendKeepsCallsWhole checks that the records of one call share a batch, that
+// a batch is limited in records and that the queue is limited in bytes.
 func TestAppendKeepsCallsWhole(t *testing.T) {
 	w := NewWriter(record.Log{}, "jobs", "writer@1", 0)
 	big := make([]byte, maxQueuedBytes/4)
@@ -229,26 +238,26 @@
 			t.Fatal(err)
 		}
 	}
-	if _, records := q.take(); len(records) != maxBatchRecords {
+	if _, records := q.takeBatch(); len(records) != maxBatchRecords {
 		t.Errorf("first batch: got %d records, want %d", len(records), maxBatchRecords)
 	}
-	if _, records := q.take(); len(records) != 2 {
+	if _, records := q.takeBatch(); len(records) != 2 {
 		t.Errorf("second batch: got %d records, want 2", len(records))
 	}
 }
 
-// TestPaceSpacesAppends checks the burst after a quiet time and the gap under load.
+// TestPaceSpacesAppends checks the burst after an idle period and the interval under load.
 func TestPaceSpacesAppends(t *testing.T) {
-	p := pace{gap: 100 * time.Millisecond}
+	p := appendPacer{interval: 100 * time.Millisecond}
 	now := time.Unix(1000, 0)
-	for i := range paceBurst {
-		if got := p.wait(now); got != 0 {
+	for i := range appendBurst {
+		if got := p.reserve(now); got != 0 {
 			t.Errorf("append %d of a burst: got a wait of %s, want none", i, got)
 		}
 	}
 	appends := 0
 	for end := now.Add(10 * time.Second); now.Before(end); appends++ {
-		now = now.Add(p.wait(now))
+		now = now.Add(p.reserve(now))
 	}
 	if appends > 101 {
 		t.Errorf("appends in 10 s of load: got %d, want at most 101", appends)
