--- a/internal/link/certificate.go
+++ b/internal/link/certificate.go
@@ -1,5 +1,6 @@
-// Package link connects the system's own processes: HTTP over QUIC and over
-// TCP, both with mutual TLS.
+// Package link connects the processes of the system, entries and agents, by HTTP
+// over QUIC and over TCP, both with mutual TLS. It holds the messages that they
+// exchange.
 package link
 
 import (
@@ -24,11 +25,12 @@
 var (
 	// ErrCertificate means that a certificate or key could not be read.
 	ErrCertificate = errors.New("the certificate is not valid")
-	// ErrPeer means that a peer's certificate names the wrong role.
+	// ErrPeer means that a peer has no certificate, or one that is not valid or
+	// names a role that is not accepted.
 	ErrPeer = errors.New("the peer's certificate is not accepted")
 )
 
-// Role is the part that a process plays.
+// Role is the role of a process.
 type Role string
 
 // The roles of processes.
@@ -37,14 +39,14 @@
 	RoleAgent Role = "agent"
 )
 
-// Peer is who a certificate says its holder is.
+// Peer is the identity in a certificate.
 type Peer struct {
 	role       Role
 	dataCentre string
 	name       string
 }
 
-// NewPeer returns the peer of the given role, data centre and name.
+// NewPeer returns the identity of the given role, data centre and name.
 func NewPeer(role Role, dataCentre, name string) Peer {
 	return Peer{role: role, dataCentre: dataCentre, name: name}
 }
@@ -67,7 +69,7 @@
 	return &url.URL{Scheme: uriScheme, Host: p.dataCentre, Path: "/" + string(p.role) + "/" + p.name}
 }
 
-// PeerOf returns who a certificate belongs to.
+// PeerOf returns the identity in a certificate's URI.
 func PeerOf(c *x509.Certificate) (Peer, error) {
 	for _, u := range c.URIs {
 		role, name, ok := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
@@ -78,15 +80,15 @@
 	return Peer{}, errors.Wrap(ErrPeer, "no savoryhoist URI in the certificate")
 }
 
-// Identity is a process's certificate and the authorities that it trusts. It
-// can be replaced while in use.
+// Identity holds a process's certificate and the certificate authorities that it
+// trusts. They can be replaced while in use.
 type Identity struct {
-	state   atomic.Pointer[identityState]
-	refused atomic.Pointer[func(error)]
+	state     atomic.Pointer[identityState]
+	onRefused atomic.Pointer[func(error)]
 }
 
-// OnRefused sets what is called with the reason when a peer is refused.
-func (i *Identity) OnRefused(fn func(error)) { i.refused.Store(&fn) }
+// OnRefused sets the function that is called with the reason when a peer is refused.
+func (i *Identity) OnRefused(fn func(error)) { i.onRefused.Store(&fn) }
 
 type identityState struct {
 	certificate tls.Certificate
@@ -94,8 +96,9 @@
 	peer        Peer
 }
 
-// Load reads PEM texts and puts them in use. On an error the old ones stay. A
-// certificate of another role, data centre or name than the one in use is refused.
+// Load parses a certificate, its key and the authorities in PEM and puts them in
+// use. On an error the previous ones stay in use. A certificate of another role,
+// data centre or name than the one in use is refused.
 func (i *Identity) Load(certificate, key, authorities []byte) error {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
@@ -110,19 +113,19 @@
 		return errors.Wrap(ErrCertificate, "authorities: no certificate found")
 	}
 	if old := i.state.Load(); old != nil && old.peer != peer {
-		return errors.Wrapf(ErrPeer, "the new certificate is of %s, this process is %s", peer, old.peer)
+		return errors.Wrapf(ErrPeer, "the new certificate is for %s, but this process is %s", peer, old.peer)
 	}
 	i.state.Store(&identityState{certificate: pair, roots: roots, peer: peer})
 	return nil
 }
 
-// Expires returns when the certificate in use ends.
+// Expires returns when the certificate in use expires.
 func (i *Identity) Expires() time.Time { return i.state.Load().certificate.Leaf.NotAfter }
 
-// Peer returns who this process is.
+// Peer returns the identity of this process.
 func (i *Identity) Peer() Peer { return i.state.Load().peer }
 
-// Text returns s itself if it is PEM text, else the content of the file called s.
+// Text returns s if it is PEM text, otherwise the content of the file named s.
 func Text(s string) ([]byte, error) {
 	if strings.Contains(s, "-----BEGIN ") {
 		return []byte(s), nil
@@ -130,16 +133,17 @@
 	return os.ReadFile(s)
 }
 
-// verify checks a peer and reports a refusal.
+// verify checks a peer and reports a refusal to the function that OnRefused set.
 func (i *Identity) verify(cs tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	err := i.check(cs, usage, roles)
-	if fn := i.refused.Load(); err != nil && fn != nil {
+	if fn := i.onRefused.Load(); err != nil && fn != nil {
 		(*fn)(err)
 	}
 	return err
 }
 
-// check compares a peer's chain with the authorities in use, and its role.
+// check verifies a peer's certificate chain against the authorities in use, and
+// checks its role.
 func (i *Identity) check(cs tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.Wrap(ErrPeer, "no certificate")
@@ -164,7 +168,7 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrPeer, "%s: role %q is not wanted here", peer, peer.role)
+	return errors.Wrapf(ErrPeer, "%s: role %q is not accepted on this connection", peer, peer.role)
 }
 
 func (i *Identity) serverTLS(protocols []string, roles []Role) *tls.Config {
@@ -185,8 +189,8 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: protocols,
-		// The chain and the role are checked by VerifyConnection; peers are
-		// addressed by IP, so there is no host name to compare.
+		// VerifyConnection checks the chain and the role. Peers are addressed by
+		// IP, so there is no host name to verify.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &i.state.Load().certificate, nil
@@ -203,15 +207,16 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority returns a self-signed authority valid from now for the given time.
+// NewAuthority returns an authority with a self-signed certificate that is valid
+// from now for the given time.
 func NewAuthority(now time.Time, valid time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
 	template := &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: "savoryhoist authority"},
-		NotBefore: now.Add(-clockSlack), NotAfter: now.Add(valid),
+		SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: "savoryhoist authority"},
+		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(valid),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
@@ -222,27 +227,28 @@
 	return &Authority{certificate: certificate, key: key}, err
 }
 
-// clockSlack is how far peers' clocks may lag behind the issuer's.
-const clockSlack = 5 * time.Minute
+// maxClockSkew is how far the clocks of peers may be behind the issuer's:
+// certificates are valid from this long before they are issued.
+const maxClockSkew = 5 * time.Minute
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate in PEM.
 func (a *Authority) PEM() []byte { return pemBlock("CERTIFICATE", a.certificate.Raw) }
 
-// KeyPEM returns the authority's private key.
+// KeyPEM returns the authority's private key in PEM.
 func (a *Authority) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(a.key)
 	return pemBlock("PRIVATE KEY", der), err
 }
 
-// Issue returns a certificate and key in PEM for peer.
+// Issue returns a certificate for peer and its private key, both in PEM.
 func (a *Authority) Issue(now time.Time, valid time.Duration, peer Peer) (certificate, key []byte, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
 	template := &x509.Certificate{
-		SerialNumber: serial(), Subject: pkix.Name{CommonName: peer.name},
-		NotBefore: now.Add(-clockSlack), NotAfter: now.Add(valid),
+		SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: peer.name},
+		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(valid),
 		URIs: []*url.URL{peer.uri()}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -258,13 +264,12 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// serialBits is the size of a certificate's serial number.
 const serialBits = 120
 
-func serial() *big.Int {
+func newSerialNumber() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		panic(err) // the system's source of randomness never fails
+		panic(err) // crypto/rand.Reader never returns an error
 	}
 	return n
 }
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -16,21 +16,21 @@
 // ErrCall means that a call between processes failed.
 var ErrCall = errors.New("the call to the peer failed")
 
-// maxMessage bounds a message between processes, in bytes.
-const maxMessage = 16 << 20
+// maxMessageBytes limits a message between processes.
+const maxMessageBytes = 16 << 20
 
-// maxIdlePerPeer is the number of idle TCP connections kept to one peer.
+// maxIdlePerPeer is the most idle TCP connections that are kept open to one peer.
 const maxIdlePerPeer = 64
 
-// Client calls peers.
+// Client calls peers, which are entries or agents.
 type Client struct {
 	control  http.RoundTripper
-	requests *http.Transport
-	fresh    *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 	quic     *http3.Transport
 }
 
-// NewClient returns a client that accepts peers with a certificate of one of roles.
+// NewClient returns a client that accepts peers whose certificate names one of roles.
 func NewClient(id *Identity, roles ...Role) *Client {
 	q := &http3.Transport{TLSClientConfig: id.clientTLS(nil, roles), QUICConfig: quicConfig(), DisableCompression: true}
 	t := &http.Transport{
@@ -43,37 +43,39 @@
 	}
 	fresh := t.Clone()
 	fresh.DisableKeepAlives = true
-	return &Client{control: q, requests: t, fresh: fresh, quic: q}
+	return &Client{control: q, pooled: t, unpooled: fresh, quic: q}
 }
 
-// Requests returns the transport for callers' requests: pooled TCP.
-func (c *Client) Requests() http.RoundTripper { return c.requests }
+// Requests returns the transport for callers' requests, which uses pooled TCP
+// connections.
+func (c *Client) Requests() http.RoundTripper { return c.pooled }
 
-// Fresh returns a transport that opens a connection for each request. It is
-// used after silence, when open connections cannot be trusted.
-func (c *Client) Fresh() http.RoundTripper { return c.fresh }
+// Fresh returns a transport that opens a new TCP connection for each request. It
+// is used after a peer has not responded, when its open connections may be dead.
+func (c *Client) Fresh() http.RoundTripper { return c.unpooled }
 
-// DropIdle closes the idle connections for callers' requests, after one of
-// them was found to be silent.
-func (c *Client) DropIdle() { c.requests.CloseIdleConnections() }
+// DropIdle closes the idle connections for callers' requests. It is called after
+// there was no response on one of them.
+func (c *Client) DropIdle() { c.pooled.CloseIdleConnections() }
 
-// Control returns the transport for messages between processes: QUIC.
+// Control returns the transport for messages between processes, which uses QUIC.
 func (c *Client) Control() http.RoundTripper { return c.control }
 
 // Close closes all connections.
 func (c *Client) Close() error {
-	c.requests.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
 	return c.quic.Close()
 }
 
-// Call sends one message to path at the peer's address and reads the reply into out.
+// Call sends a message over QUIC to path at the peer's address and decodes the
+// reply into out.
 func (c *Client) Call(ctx context.Context, address, path string, in, out any) error {
 	return call(ctx, c.control, address, path, in, out)
 }
 
-// CallFresh is Call over a connection of its own.
+// CallFresh is like Call but opens a new TCP connection for the message.
 func (c *Client) CallFresh(ctx context.Context, address, path string, in, out any) error {
-	return call(ctx, c.fresh, address, path, in, out)
+	return call(ctx, c.unpooled, address, path, in, out)
 }
 
 func call(ctx context.Context, transport http.RoundTripper, address, path string, in, out any) error {
@@ -90,7 +92,7 @@
 		return errors.Mark(errors.Wrapf(err, "call %s%s", address, path), ErrCall)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
 	if err != nil {
 		return errors.Mark(err, ErrCall)
 	}
@@ -100,7 +102,8 @@
 	return errors.Mark(cbor.Unmarshal(data, out), ErrCall)
 }
 
-// Handle returns a handler for messages of type In answered by fn.
+// Handle returns a handler that decodes messages of type In, passes them to fn and
+// sends the reply that fn returns.
 func Handle[In, Out any](fn func(ctx context.Context, peer Peer, in *In) (*Out, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		peer, err := PeerOfRequest(r)
@@ -109,7 +112,7 @@
 			return
 		}
 		in := new(In)
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err == nil {
 			err = cbor.Unmarshal(data, in)
 		}
@@ -127,7 +130,7 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		// These headers would be a third of a short reply.
+		// These headers would make up a third of a short reply.
 		w.Header()["Date"], w.Header()["Content-Type"] = nil, nil
 		_, _ = w.Write(reply)
 	})
--- a/internal/link/compact.go
+++ b/internal/link/compact.go
@@ -8,9 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// split returns the part of a heartbeat that seldom changes, with its digest,
-// and the part that is sent always.
-func split(h *Heartbeat) (stable, volatile Heartbeat, digest uint64, err error) {
+// splitHeartbeat splits a heartbeat into the stable part, which seldom changes, and
+// the volatile part, which every heartbeat carries. The digest is that of the
+// stable part and never 0.
+func splitHeartbeat(h *Heartbeat) (stable, volatile Heartbeat, digest uint64, err error) {
 	stable = *h
 	volatile = Heartbeat{
 		Worker: h.Worker, InFlight: h.InFlight, InFlightLong: h.InFlightLong, Reserved: h.Reserved, Mark: h.Mark,
@@ -23,8 +24,8 @@
 	return stable, volatile, max(1, xxhash.Sum64(data)), err
 }
 
-// join puts the always sent part into a stable part.
-func join(stable Heartbeat, volatile *Heartbeat) *Heartbeat {
+// joinHeartbeat returns the heartbeat made up of a stable and a volatile part.
+func joinHeartbeat(stable Heartbeat, volatile *Heartbeat) *Heartbeat {
 	h := stable
 	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = volatile.InFlight, volatile.InFlightLong, volatile.Reserved, volatile.Mark
 	h.Round, h.Primary, h.Pressure, h.Uses = volatile.Round, volatile.Primary, volatile.Pressure, volatile.Uses
@@ -32,111 +33,115 @@
 	return &h
 }
 
-// Sender remembers at an agent what each entry was told, so that a heartbeat
-// leaves out what has not changed. The zero value has told nothing.
+// Sender shortens an agent's heartbeats: it leaves out the stable part that an
+// entry has already received. The zero value has sent nothing.
 type Sender struct {
-	mu   sync.Mutex
-	told map[string]uint64
-	// entries is the list that each entry sent last.
-	entries map[string][]string
+	mu sync.Mutex
+	// ackedDigests holds, by entry, the digest of the stable part that the entry
+	// received last.
+	ackedDigests map[string]uint64
+	// lastEntries holds, by entry, the list of entries that it sent last.
+	lastEntries map[string][]string
 }
 
-// Compact returns what to send to an entry in place of h, and the digest to
-// give to Sent when the entry has taken it in.
+// Compact returns the heartbeat to send to an entry in place of h, and the digest
+// to pass to Sent with the entry's reply.
 func (s *Sender) Compact(entry string, h *Heartbeat) (*Heartbeat, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	whole := *h
-	whole.EntriesSeen = EntriesDigest(s.entries[entry])
-	_, volatile, digest, err := split(&whole)
+	whole.EntriesSeen = EntriesDigest(s.lastEntries[entry])
+	_, volatile, digest, err := splitHeartbeat(&whole)
 	if err != nil {
 		return nil, 0, err
 	}
-	if s.told[entry] != digest {
+	if s.ackedDigests[entry] != digest {
 		return &whole, digest, nil
 	}
 	volatile.Same = digest
 	return &volatile, digest, nil
 }
 
-// Sent notes an entry's answer and puts the list of entries in that it left
-// out. It reports whether the heartbeat must be sent again, as a whole.
+// Sent takes in an entry's reply to a heartbeat. If the reply leaves out the list
+// of entries, Sent fills in the last one. It reports whether the heartbeat must be
+// sent again as a whole.
 func (s *Sender) Sent(entry string, digest uint64, reading *Reading) (again bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.told == nil {
-		s.told = make(map[string]uint64)
-		s.entries = make(map[string][]string)
+	if s.ackedDigests == nil {
+		s.ackedDigests = make(map[string]uint64)
+		s.lastEntries = make(map[string][]string)
 	}
-	delete(s.told, entry)
+	delete(s.ackedDigests, entry)
 	if reading.Resend {
 		return true
 	}
 	if reading.Compact {
-		s.told[entry] = digest
+		s.ackedDigests[entry] = digest
 	}
 	if len(reading.Entries) == 0 {
-		reading.Entries = s.entries[entry]
+		reading.Entries = s.lastEntries[entry]
 	}
-	s.entries[entry] = reading.Entries
+	s.lastEntries[entry] = reading.Entries
 	return false
 }
 
-// Forget drops what an entry was told, after a call that failed.
+// Forget drops the state about an entry, after a call to it has failed.
 func (s *Sender) Forget(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.told, entry)
-	delete(s.entries, entry)
+	delete(s.ackedDigests, entry)
+	delete(s.lastEntries, entry)
 }
 
-// Receiver remembers at an entry the newest whole heartbeat of each agent. The
-// zero value remembers none.
+// Receiver restores shortened heartbeats at an entry from the newest whole
+// heartbeat of each agent. The zero value has received none.
 type Receiver struct {
-	mu    sync.Mutex
-	known map[string]known
+	mu         sync.Mutex
+	heartbeats map[string]knownHeartbeat
 }
 
-type known struct {
+type knownHeartbeat struct {
 	digest uint64
 	stable Heartbeat
 }
 
-// Expand returns the whole heartbeat that h stands for, or nil if the agent has
-// to send it as a whole.
+// Expand returns the whole heartbeat that h was shortened from, or nil if the
+// agent must send it again as a whole.
 func (r *Receiver) Expand(h *Heartbeat) *Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h.Same != 0 {
-		k, ok := r.known[h.Worker]
+		k, ok := r.heartbeats[h.Worker]
 		if !ok || k.digest != h.Same {
 			return nil
 		}
-		return join(k.stable, h)
+		return joinHeartbeat(k.stable, h)
 	}
-	stable, _, digest, err := split(h)
+	stable, _, digest, err := splitHeartbeat(h)
 	if err != nil {
 		return h
 	}
-	if r.known == nil {
-		r.known = make(map[string]known)
+	if r.heartbeats == nil {
+		r.heartbeats = make(map[string]knownHeartbeat)
 	}
-	r.known[h.Worker] = known{digest: digest, stable: stable}
+	r.heartbeats[h.Worker] = knownHeartbeat{digest: digest, stable: stable}
 	return h
 }
 
-// Keep drops every agent for which keep is false.
+// Keep drops the heartbeats of all agents for whose worker keep returns false.
 func (r *Receiver) Keep(keep func(worker string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name := range r.known {
+	for name := range r.heartbeats {
 		if !keep(name) {
-			delete(r.known, name)
+			delete(r.heartbeats, name)
 		}
 	}
 }
 
-// EntriesDigest names a list of entries; 0 is no list.
+// EntriesDigest returns a digest of a list of entries, which does not depend on
+// their order. It is 0 for an empty list only.
 func EntriesDigest(entries []string) uint64 {
 	if len(entries) == 0 {
 		return 0
--- a/internal/link/compact_test.go
+++ b/internal/link/compact_test.go
@@ -11,8 +11,8 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// overWire encodes and decodes a message.
-func overWire[T any](t *testing.T, in *T) *T {
+// roundTrip encodes a message and decodes it again.
+func roundTrip[T any](t *testing.T, in *T) *T {
 	t.Helper()
 	data, err := cbor.Marshal(in)
 	if err != nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestCompactHeartbeats follows an agent and an entry that is restarted: what
-// the entry takes in always equals what the agent would send as a whole.
+// TestCompactHeartbeats checks that the heartbeat that an entry restores from a
+// shortened one always equals the whole one, also after a restart of the entry.
 func TestCompactHeartbeats(t *testing.T) {
 	var s Sender
 	r := new(Receiver)
@@ -59,27 +59,29 @@
 		if c.restart {
 			r = new(Receiver)
 		}
-		got, resent := exchange(t, &s, r, h, c.wantSame)
+		got, resent := sendHeartbeat(t, &s, r, h, c.wantSame)
 		if resent != c.wantResend {
 			t.Errorf("%s: resent: got %t, want %t", c.name, resent, c.wantResend)
 		}
 		got.EntriesSeen = 0
-		if !reflect.DeepEqual(got, overWire(t, h)) {
+		if !reflect.DeepEqual(got, roundTrip(t, h)) {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, h)
 		}
 	}
 }
 
-func exchange(t *testing.T, s *Sender, r *Receiver, h *Heartbeat, wantSame bool) (got *Heartbeat, resent bool) {
+// sendHeartbeat sends h to r, again if r asks for it, and returns the heartbeat
+// that r restores.
+func sendHeartbeat(t *testing.T, s *Sender, r *Receiver, h *Heartbeat, wantSame bool) (got *Heartbeat, resent bool) {
 	t.Helper()
 	sent, digest, err := s.Compact("entry", h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if same := sent.Same != 0; same != wantSame {
-		t.Errorf("left out what is unchanged: got %t, want %t", same, wantSame)
+		t.Errorf("stable part left out: got %t, want %t", same, wantSame)
 	}
-	got = r.Expand(overWire(t, sent))
+	got = r.Expand(roundTrip(t, sent))
 	if !s.Sent("entry", digest, &Reading{Resend: got == nil, Compact: true}) {
 		return got, false
 	}
@@ -87,14 +89,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got = r.Expand(overWire(t, sent))
+	got = r.Expand(roundTrip(t, sent))
 	if got == nil || s.Sent("entry", digest, &Reading{Compact: true}) {
-		t.Fatal("the whole heartbeat was not taken in")
+		t.Fatal("the whole heartbeat was not accepted")
 	}
 	return got, true
 }
 
-// TestEntriesLeftOut checks that an agent keeps the list that an entry leaves out.
+// TestEntriesLeftOut checks that an agent goes on using the list of entries that
+// an entry leaves out of its reply because the agent has it already.
 func TestEntriesLeftOut(t *testing.T) {
 	var s Sender
 	h := testHeartbeat()
--- a/internal/link/identity_test.go
+++ b/internal/link/identity_test.go
@@ -37,7 +37,7 @@
 	return a
 }
 
-// serveEcho serves a door for agents and returns its address.
+// serveEcho starts a server that accepts agents only and returns its address.
 func serveEcho(t *testing.T, id *Identity) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -104,7 +104,7 @@
 	for _, c := range cases {
 		got, err := callEcho(t, c.id, address, RoleEntry)
 		if ok := err == nil && got == "worker-1: hello"; ok != c.want {
-			t.Errorf("%s: got answer %q, error %v, want accepted %t", c.name, got, err, c.want)
+			t.Errorf("%s: got reply %q, error %v, want accepted %t", c.name, got, err, c.want)
 		}
 		if !c.want && !errors.Is(err, ErrCall) {
 			t.Errorf("%s: got %v, want %v", c.name, err, ErrCall)
@@ -123,11 +123,12 @@
 		}
 	}
 	if _, err := callEcho(t, testIdentity(t, a, now, agent), address, RoleAgent); err == nil {
-		t.Error("a server of another role: got an answer, want a refusal")
+		t.Error("a server of another role: got a reply, want a refusal")
 	}
 }
 
-// TestRotationWhileRunning replaces a server's certificate and authority.
+// TestRotationWhileRunning checks that a server's certificate and authorities can
+// be replaced while it runs, and that a refused replacement changes nothing.
 func TestRotationWhileRunning(t *testing.T) {
 	now := time.Now()
 	old, next := testAuthority(t), testAuthority(t)
@@ -136,7 +137,7 @@
 	address := serveEcho(t, server)
 	client := testIdentity(t, next, now, agent)
 	if _, err := callEcho(t, client, address, RoleEntry); err == nil {
-		t.Fatal("before the rotation: got an answer, want a refusal")
+		t.Fatal("before the rotation: got a reply, want a refusal")
 	}
 	certificate, key, err := next.Issue(now, time.Hour, entry)
 	if err != nil {
@@ -146,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if got, err := callEcho(t, client, address, RoleEntry); err != nil || got != "worker-1: hello" {
-		t.Errorf("after the rotation: got %q, error %v, want an answer", got, err)
+		t.Errorf("after the rotation: got %q, error %v, want a reply", got, err)
 	}
 	if err := server.Load([]byte("not PEM"), key, next.PEM()); !errors.Is(err, ErrCertificate) {
 		t.Errorf("a broken certificate: got %v, want %v", err, ErrCertificate)
@@ -159,6 +160,6 @@
 		t.Errorf("a certificate of another data centre: got %v, want %v", err, ErrPeer)
 	}
 	if got, err := callEcho(t, client, address, RoleEntry); err != nil || got != "worker-1: hello" {
-		t.Errorf("after refused rotations: got %q, error %v, want an answer", got, err)
+		t.Errorf("after refused rotations: got %q, error %v, want a reply", got, err)
 	}
 }
--- a/internal/link/load.go
+++ b/internal/link/load.go
@@ -8,8 +8,9 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// FormatLoad writes a load in the form of HeaderLoad: the requests in flight,
-// the long ones of them, and the reserved slots.
+// FormatLoad formats a load as a value of HeaderLoad: the number of requests in
+// flight, the number of long requests among them, and the number of reserved
+// slots, separated by spaces.
 func FormatLoad(l endpoint.Load) string {
 	b := make([]byte, 0, 16)
 	b = strconv.AppendInt(b, int64(l.InFlight), 10)
@@ -20,7 +21,7 @@
 	return string(b)
 }
 
-// ParseLoad reads the form of FormatLoad.
+// ParseLoad parses a value that FormatLoad returned, and reports whether it is valid.
 func ParseLoad(text string) (endpoint.Load, bool) {
 	inFlight, rest, _ := strings.Cut(text, " ")
 	long, reserved, _ := strings.Cut(rest, " ")
@@ -30,12 +31,12 @@
 	return endpoint.Load{InFlight: n, Long: l, Reserved: r}, err1 == nil && err2 == nil && err3 == nil
 }
 
-// internalHeaders concern entry and agent alone.
+// internalHeaders lists the headers that only entries and agents use.
 var internalHeaders = [...]string{
 	HeaderIncarnation, HeaderMark, HeaderCallerTeam, HeaderRefusal, HeaderLoad, HeaderTook, HeaderAttempt,
 }
 
-// DropInternal removes the headers that are of use to entry and agent alone.
+// DropInternal removes the headers that only entries and agents use.
 func DropInternal(h http.Header) {
 	for _, k := range internalHeaders {
 		delete(h, k)
--- a/internal/link/pack.go
+++ b/internal/link/pack.go
@@ -5,13 +5,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// maxUnpacked bounds a packed bundle after it is unpacked, in bytes.
-const maxUnpacked = 8 << 20
+// maxUnpackedBytes limits the size of a bundle after unpacking.
+const maxUnpackedBytes = 8 << 20
 
-// dictionaryID names the dictionary in a packed bundle.
+// dictionaryID is the identifier of the dictionary in the zstd frame.
 const dictionaryID = 1
 
-// Pack compresses data with base as dictionary; base may be empty.
+// Pack compresses data with zstd and base as dictionary. If base is empty, it uses
+// no dictionary.
 func Pack(data, base []byte) ([]byte, error) {
 	options := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true)}
 	if len(base) > 0 {
@@ -25,10 +26,10 @@
 	return e.EncodeAll(data, nil), nil
 }
 
-// Unpack reverses Pack.
+// Unpack decompresses data that Pack returned for the same base.
 func Unpack(packed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedBytes),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
--- a/internal/link/pack_test.go
+++ b/internal/link/pack_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestPackRefersToBase checks that a small change against a known base is small.
+// TestPackRefersToBase checks that data that differs little from its dictionary is
+// packed into few bytes.
 func TestPackRefersToBase(t *testing.T) {
 	var base []byte
 	for i := range 200 {
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -24,12 +24,13 @@
 		MaxIdleTimeout:       idleTimeout,
 		KeepAlivePeriod:      keepAlivePeriod,
 		HandshakeIdleTimeout: handshakeTimeout,
-		// Control messages fit the smallest packets; probing would cost more.
+		// Control messages fit into the smallest packets, so that MTU probes would
+		// cost more than they save.
 		DisablePathMTUDiscovery: true,
 	}
 }
 
-// Server serves one handler over QUIC and over TCP at the same port.
+// Server serves one handler over QUIC and over TCP on the same port.
 type Server struct {
 	tcp  *http.Server
 	quic *http3.Server
@@ -37,8 +38,8 @@
 	ln   net.Listener
 }
 
-// Listen binds address, an IP and port, for both transports. Peers must show
-// a certificate of one of roles.
+// Listen binds address, an IP and port, for both transports. Peers must present a
+// certificate that names one of roles.
 func Listen(address string, id *Identity, handler http.Handler, roles ...Role) (*Server, error) {
 	ln, udp, err := bind(address)
 	if err != nil {
@@ -51,11 +52,11 @@
 	}, nil
 }
 
-// bindTries is how often a free port is looked for that both transports can use.
-const bindTries = 16
+// maxBindAttempts is how many ports are tried to find one that is free for both transports.
+const maxBindAttempts = 16
 
-// bind binds the same port for TCP and UDP. For port 0 another one is tried if
-// UDP has no room at the port found for TCP.
+// bind binds the same port for TCP and UDP. For port 0, if the port found for TCP
+// is taken for UDP, it tries another one.
 func bind(address string) (net.Listener, net.PacketConn, error) {
 	_, port, _ := net.SplitHostPort(address)
 	var config net.ListenConfig
@@ -69,7 +70,7 @@
 			return ln, udp, nil
 		}
 		_ = ln.Close()
-		if port != "0" || try == bindTries {
+		if port != "0" || try == maxBindAttempts {
 			return nil, nil, err
 		}
 	}
@@ -91,16 +92,16 @@
 	return err
 }
 
-// controlDrain is how long a server waits until peers have closed their
-// connections for control messages.
-const controlDrain = 2 * time.Second
+// controlCloseTimeout is how long a server that shuts down waits for peers to
+// close their QUIC connections.
+const controlCloseTimeout = 2 * time.Second
 
-// Shutdown ends both transports after the requests in flight, or when ctx ends.
-// Peers that do not close their QUIC connections in time are cut off: control
-// messages are short and repeated.
+// Shutdown stops both transports after the requests in flight, or when ctx ends.
+// QUIC connections that peers do not close within controlCloseTimeout are closed by
+// the server, which is harmless: control messages are short and are repeated.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.tcp.Shutdown(ctx)
-	control, cancel := context.WithTimeout(ctx, controlDrain)
+	control, cancel := context.WithTimeout(ctx, controlCloseTimeout)
 	defer cancel()
 	if quicErr := s.quic.Shutdown(control); !errors.Is(quicErr, context.DeadlineExceeded) {
 		err = errors.CombineErrors(err, quicErr)
@@ -109,7 +110,7 @@
 	return errors.CombineErrors(err, s.udp.Close())
 }
 
-// PeerOfRequest returns who sent r.
+// PeerOfRequest returns the identity of the sender of r.
 func PeerOfRequest(r *http.Request) (Peer, error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return Peer{}, errors.Wrap(ErrPeer, "no certificate")
