--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads the clocks that decisions are given as arguments.
+// Package clock reads the system's clocks and waits. Code that decides takes the
+// present time as an argument, which its callers read here.
 package clock
 
 import (
@@ -9,25 +10,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Steady returns the present time on a clock that is never set and goes on
-// while the machine is suspended.
+// Steady returns the present time on a clock that is never set and keeps running
+// while the machine is suspended (CLOCK_BOOTTIME).
 func Steady() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Now() // kernels without this clock: the monotonic reading is the next best
+		// On kernels without this clock, the monotonic reading of time.Now is the
+		// closest substitute.
+		return time.Now()
 	}
 	return time.Unix(ts.Unix())
 }
 
-// WallMS returns the time of day in Unix milliseconds.
+// WallMS returns the wall-clock time in Unix milliseconds.
 func WallMS() int64 { return time.Now().UnixMilli() }
 
-// Incarnation returns a number that tells this process from earlier ones of the
-// same name.
+// Incarnation returns a number that distinguishes this process from earlier ones
+// with the same name.
 func Incarnation() uint64 { return uint64(time.Now().UnixMicro()) }
 
-// Wait returns when a signal arrives, d has passed or ctx ends, and reports
-// whether there was a signal.
+// Wait waits for a signal, until d has passed or ctx ends, and reports whether a
+// signal arrived.
 func Wait(ctx context.Context, signals <-chan os.Signal, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -40,7 +43,8 @@
 	return false
 }
 
-// Pause waits for d, a wake-up or the end of ctx, and reports false at the end.
+// Pause waits for a wake-up, until d has passed or ctx ends, and reports whether it
+// returned before the end of ctx.
 func Pause(ctx context.Context, wake <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
