--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -1,4 +1,4 @@
-// Package delay waits for a time that can be cut short.
+// Package delay waits until a time has passed or a context ends.
 package delay
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx is still live.
+// For waits until d has passed or ctx ends, and reports whether d passed first.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
