--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,4 @@
-// Package metrics serves a go-metrics registry in the text format that common
-// collectors read.
+// Package metrics serves a go-metrics registry in the Prometheus text format.
 package metrics
 
 import (
@@ -12,10 +11,9 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// prefix starts the name of every metric.
 const prefix = "savoryhoist_"
 
-// quantiles are the parts of a distribution that are served.
+// quantiles are the quantiles that are served of each timer.
 var quantiles = []float64{0.5, 0.99, 0.999}
 
 // Handler serves the metrics of registry.
@@ -26,7 +24,7 @@
 	})
 }
 
-// Write writes the metrics of registry in order of their names.
+// Write writes the metrics of registry, sorted by name.
 func Write(w io.Writer, registry gometrics.Registry) {
 	all := make(map[string]any)
 	names := []string{}
@@ -36,11 +34,11 @@
 	})
 	sort.Strings(names)
 	for _, name := range names {
-		writeOne(w, prefix+strings.ReplaceAll(name, "-", "_"), all[name])
+		writeMetric(w, prefix+strings.ReplaceAll(name, "-", "_"), all[name])
 	}
 }
 
-func writeOne(w io.Writer, name string, metric any) {
+func writeMetric(w io.Writer, name string, metric any) {
 	switch m := metric.(type) {
 	case gometrics.Counter:
 		_, _ = fmt.Fprintf(w, "# TYPE %s counter\n%s %d\n", name, name, m.Count())
