--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem writes refusals as application/problem+json and says in a
-// header whether the request was run.
+// Package problem writes error responses as application/problem+json, with a
+// header that says whether the request was run.
 package problem
 
 import (
@@ -22,24 +22,25 @@
 	Unknown Outcome = "unknown"
 )
 
-// Problem is a refusal.
+// Problem is an error response.
 type Problem struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
 	Detail string `json:"detail,omitempty"`
-	// Field names the wrong part of the request.
+	// Field names the invalid part of the request.
 	Field   string  `json:"field,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// RetryAfter is when a repetition may succeed; 0 means that it will not.
+	// RetryAfter is how long to wait before a retry, which may then succeed; 0
+	// means that a retry would fail too.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// New returns a problem of a request that was not run.
+// New returns the error response to a request that was not run.
 func New(status int, field, detail string) Problem {
 	return Problem{Status: status, Title: http.StatusText(status), Field: field, Detail: detail, Outcome: NotRun}
 }
 
-// Write sends the problem.
+// Write sends the response.
 func (p Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
