--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -10,9 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ports that tests listen at. They are below the range from which the system
-// takes ports for outgoing connections, so that none is lost between the check
-// and its use. Each test process begins at a place of its own.
+// Ports that tests listen on. They lie below the range from which the system takes
+// ports for outgoing connections, so that no port is taken between the check and
+// its use. Each test process starts at a port of its own: its process id times
+// portStep, modulo the size of the range.
 const (
 	firstPort = 10000
 	lastPort  = 32000
@@ -24,8 +25,9 @@
 	next int
 }
 
-// FreeAddress returns a loopback address whose port is free for TCP and UDP.
-// It returns each address once.
+// FreeAddress returns a loopback address whose port is free for TCP and UDP. It
+// tries the ports of the range in turn, so that it does not return an address twice
+// until it has tried all of them.
 func FreeAddress() (string, error) {
 	ports.mu.Lock()
 	defer ports.mu.Unlock()
@@ -35,14 +37,14 @@
 	for range lastPort - firstPort {
 		ports.next++
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(firstPort+ports.next%(lastPort-firstPort)))
-		if free(address) {
+		if isFree(address) {
 			return address, nil
 		}
 	}
 	return "", errors.New("no free port")
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	var config net.ListenConfig
 	ln, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
--- a/internal/standin/connections.go
+++ b/internal/standin/connections.go
@@ -5,65 +5,67 @@
 	"sync"
 )
 
-// Connections lets a test make the open connections of a server go silent
-// while new ones work. The zero value silences none.
+// Connections lets a test stall the open connections of a server while new ones
+// work. The zero value stalls none.
 type Connections struct {
-	mu     sync.Mutex
-	seen   map[string]bool
-	silent map[string]bool
+	mu      sync.Mutex
+	used    map[string]bool
+	stalled map[string]bool
 }
 
-// Silence makes every connection that has carried a request so far silent for good.
+// Silence permanently stalls every connection that has carried a request so far.
 func (c *Connections) Silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.silent == nil {
-		c.silent = make(map[string]bool)
+	if c.stalled == nil {
+		c.stalled = make(map[string]bool)
 	}
-	for address := range c.seen {
-		c.silent[address] = true
+	for address := range c.used {
+		c.stalled[address] = true
 	}
-	c.seen = nil
+	c.used = nil
 }
 
-// Wrap returns a handler that neither serves nor answers on silent connections.
+// Wrap returns a handler that passes requests to next, except that it neither serves
+// nor responds to those on stalled connections.
 func (c *Connections) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.isSilent(r.RemoteAddr) {
+		if c.isStalled(r.RemoteAddr) {
 			<-r.Context().Done()
 			return
 		}
-		c.note(r.RemoteAddr)
-		next.ServeHTTP(&silencedWriter{ResponseWriter: w, connections: c, request: r}, r)
+		c.markUsed(r.RemoteAddr)
+		next.ServeHTTP(&stallableWriter{ResponseWriter: w, connections: c, request: r}, r)
 	})
 }
 
-func (c *Connections) note(address string) {
+func (c *Connections) markUsed(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.seen == nil {
-		c.seen = make(map[string]bool)
+	if c.used == nil {
+		c.used = make(map[string]bool)
 	}
-	c.seen[address] = true
+	c.used[address] = true
 }
 
-func (c *Connections) isSilent(address string) bool {
+func (c *Connections) isStalled(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent[address]
+	return c.stalled[address]
 }
 
-// silencedWriter swallows an answer whose connection went silent meanwhile.
-type silencedWriter struct {
+// stallableWriter drops a response if its connection was stalled after the request arrived.
+type stallableWriter struct {
 	http.ResponseWriter
 
 	connections *Connections
 	request     *http.Request
 }
 
-// Write sends data unless the connection is silent; it then waits for the client to give up.
-func (w *silencedWriter) Write(data []byte) (int, error) {
-	if w.connections.isSilent(w.request.RemoteAddr) {
+// Write sends data unless the connection is stalled. It then waits until the client
+// cancels the request.
+func (w *stallableWriter) Write(data []byte) (int, error) {
+	if w.connections.isStalled(w.request.RemoteAddr) {
 		<-w.request.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -1,4 +1,4 @@
-// Package standin holds small stand-ins of the platform's services for tests,
+// Package standin simulates the services of the platform in memory, for tests,
 // benchmarks and the embedded mode.
 package standin
 
@@ -13,25 +13,24 @@
 	"savoryhoist.example/savoryhoist/internal/services"
 )
 
-// maxAppend is the largest batch that the log takes, in bytes.
-const maxAppend = 8 << 20
+const maxAppendBytes = 8 << 20
 
-// maxPage is the most batches that one read returns.
-const maxPage = 1000
+// maxPageBatches is the most batches that one read returns.
+const maxPageBatches = 1000
 
-// LogFaults says how the log misbehaves.
+// LogFaults selects the faults that the log simulates.
 type LogFaults struct {
-	// Down refuses every call.
+	// Down makes every call fail with status 503.
 	Down bool `json:"down"`
-	// DelayMS slows every call.
+	// DelayMS delays every call, in milliseconds.
 	DelayMS int64 `json:"delay-ms"`
-	// LoseReplies is the number of appends whose reply is lost after the write.
+	// LoseReplies is the number of appends whose response is lost after the write.
 	LoseReplies int `json:"lose-replies"`
-	// Keep is the number of batches kept in a stream; 0 keeps all.
+	// Keep is the number of batches that a stream retains; 0 retains all.
 	Keep int `json:"keep"`
 }
 
-// Log is an in-memory append-only log service. The zero value is empty.
+// Log is an in-memory append-only log service. The zero value is an empty log.
 type Log struct {
 	mu      sync.Mutex
 	streams map[string]*logStream
@@ -40,12 +39,12 @@
 }
 
 type logStream struct {
-	first   uint64
-	batches [][]byte
-	changed chan struct{}
+	firstOffset uint64
+	batches     [][]byte
+	changed     chan struct{}
 }
 
-// SetFaults switches the log's faults.
+// SetFaults replaces the faults that the log simulates.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,11 +58,12 @@
 	return l.appends
 }
 
-// Append adds a batch to a stream without faults.
+// Append adds a batch to a stream and returns its offset. Faults do not affect it,
+// except that Keep drops old batches.
 func (l *Log) Append(stream string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.add(stream, data)
+	return l.addBatch(stream, data)
 }
 
 // Handler serves the log over HTTP.
@@ -84,8 +84,9 @@
 	l.SetFaults(f)
 }
 
-// admit applies delay and outage and reports whether the call goes on.
-func (l *Log) admit(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults applies the faults that affect every call and reports whether to
+// carry out the call.
+func (l *Log) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	l.mu.Lock()
 	f := l.faults
 	l.mu.Unlock()
@@ -106,12 +107,12 @@
 }
 
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAppend))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxAppendBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	if !l.admit(w, r) {
+	if !l.applyFaults(w, r) {
 		return
 	}
 	offset, lost := l.append(r.PathValue("stream"), data)
@@ -124,7 +125,7 @@
 func (l *Log) append(name string, data []byte) (offset uint64, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	offset = l.add(name, data)
+	offset = l.addBatch(name, data)
 	if l.faults.LoseReplies > 0 {
 		l.faults.LoseReplies--
 		return offset, true
@@ -132,15 +133,15 @@
 	return offset, false
 }
 
-// add writes a batch; mu is held.
-func (l *Log) add(name string, data []byte) uint64 {
+// addBatch writes a batch. The caller holds mu.
+func (l *Log) addBatch(name string, data []byte) uint64 {
 	s := l.stream(name)
-	offset := s.first + uint64(len(s.batches))
+	offset := s.firstOffset + uint64(len(s.batches))
 	s.batches = append(s.batches, data)
 	if l.faults.Keep > 0 && len(s.batches) > l.faults.Keep {
 		drop := len(s.batches) - l.faults.Keep
 		s.batches = s.batches[drop:]
-		s.first += uint64(drop)
+		s.firstOffset += uint64(drop)
 	}
 	l.appends++
 	close(s.changed)
@@ -161,7 +162,7 @@
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
-	if !l.admit(w, r) {
+	if !l.applyFaults(w, r) {
 		return
 	}
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -173,7 +174,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		page, expired, changed := l.page(r.PathValue("stream"), from)
+		page, expired, changed := l.readPage(r.PathValue("stream"), from)
 		if expired {
 			writeJSON(w, http.StatusGone, page)
 			return
@@ -192,17 +193,17 @@
 	}
 }
 
-func (l *Log) page(name string, from uint64) (page services.LogPage, expired bool, changed chan struct{}) {
+func (l *Log) readPage(name string, from uint64) (page services.LogPage, expired bool, changed chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	page.First = s.first
-	page.Next = s.first + uint64(len(s.batches))
-	if from < s.first {
+	page.First = s.firstOffset
+	page.Next = s.firstOffset + uint64(len(s.batches))
+	if from < s.firstOffset {
 		return page, true, s.changed
 	}
-	for o := from; o < page.Next && len(page.Batches) < maxPage; o++ {
-		page.Batches = append(page.Batches, services.LogBatch{Offset: o, Data: s.batches[o-s.first]})
+	for o := from; o < page.Next && len(page.Batches) < maxPageBatches; o++ {
+		page.Batches = append(page.Batches, services.LogBatch{Offset: o, Data: s.batches[o-s.firstOffset]})
 	}
 	return page, false, s.changed
 }
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -9,64 +9,65 @@
 	"time"
 )
 
-// Headers by which a test tells the stand-in runner how to behave.
+// Headers that control how the simulated runner handles a request.
 const (
-	// HeaderWork is how long the request takes, as a Go duration.
+	// HeaderWork is the service time of the request, as a Go duration.
 	HeaderWork = "Standin-Work"
-	// HeaderSilent makes the runner never answer.
+	// HeaderSilent, if not empty, makes the runner never respond.
 	HeaderSilent = "Standin-Silent"
-	// HeaderRequest is the caller's own name of a request, to count its runs by.
+	// HeaderRequest is the caller's own identifier of a request; see Requests.
 	HeaderRequest = "Standin-Request"
 )
 
-// RunnerFaults says how a runner misbehaves.
+// RunnerFaults selects the faults that a runner simulates.
 type RunnerFaults struct {
-	// FailAll answers every request at once with an error of the service.
+	// FailAll makes every request fail at once with status 500.
 	FailAll bool `json:"fail-all"`
-	// Silent never answers a request that arrives while it is set.
+	// Silent makes the runner never respond to a request that it begins while
+	// Silent is set.
 	Silent bool `json:"silent"`
-	// DelayMS is added to the work of every request.
+	// DelayMS is added to the service time of every request, in milliseconds.
 	DelayMS int64 `json:"delay-ms"`
 }
 
-// Runner is a stand-in of a service's runner: it works on at most slots
-// requests at once and echoes their bodies.
+// Runner simulates the runner of a service: it runs at most slots requests at once
+// and echoes their bodies.
 type Runner struct {
 	slots chan struct{}
 
-	mu       sync.Mutex
-	runs     map[string]int
-	requests map[string]int
-	faults   RunnerFaults
+	mu            sync.Mutex
+	runCounts     map[string]int
+	requestCounts map[string]int
+	faults        RunnerFaults
 }
 
 // NewRunner returns a runner with the given number of slots.
 func NewRunner(slots int) *Runner {
-	return &Runner{slots: make(chan struct{}, slots), runs: make(map[string]int), requests: make(map[string]int)}
+	return &Runner{slots: make(chan struct{}, slots), runCounts: make(map[string]int), requestCounts: make(map[string]int)}
 }
 
-// SetFaults switches the runner's faults.
+// SetFaults replaces the faults that the runner simulates.
 func (r *Runner) SetFaults(f RunnerFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Requests returns how often each request was worked on, by the caller's name of it.
+// Requests returns how often each request was run, by the identifier in HeaderRequest.
 func (r *Runner) Requests() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.requests)
+	return maps.Clone(r.requestCounts)
 }
 
-// Runs returns how often each request id was worked on.
+// Runs returns how often each request was run, by its Savoryhoist-Request-Id.
 func (r *Runner) Runs() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.runs)
+	return maps.Clone(r.runCounts)
 }
 
-// Working returns the number of requests being worked on.
+// Working returns the number of requests that are being run.
 func (r *Runner) Working() int { return len(r.slots) }
 
 // Handler serves the runner over HTTP.
@@ -88,9 +89,9 @@
 		return
 	}
 	defer func() { <-r.slots }()
-	faults := r.count(req)
+	faults := r.countRequest(req)
 	if faults.FailAll {
-		http.Error(w, "the runner fails everything", http.StatusInternalServerError)
+		http.Error(w, "the runner is set to fail every request", http.StatusInternalServerError)
 		return
 	}
 	if faults.Silent || req.Header.Get(HeaderSilent) != "" {
@@ -103,15 +104,15 @@
 	_, _ = w.Write(body)
 }
 
-// count notes that the request is worked on and returns the present faults.
-func (r *Runner) count(req *http.Request) RunnerFaults {
+// countRequest counts a run of the request and returns the present faults.
+func (r *Runner) countRequest(req *http.Request) RunnerFaults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if id := req.Header.Get("Savoryhoist-Request-Id"); id != "" {
-		r.runs[id]++
+		r.runCounts[id]++
 	}
 	if id := req.Header.Get(HeaderRequest); id != "" {
-		r.requests[id]++
+		r.requestCounts[id]++
 	}
 	return r.faults
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -10,14 +10,14 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Parts of a site, as named in paths.
+// Parts of a site, as they appear in URL paths.
 const (
 	PartLog     = "log"
 	PartWorkers = "workers"
 	PartRunners = "runners"
 )
 
-// Site is one platform in one process: a log, and workers with a runner each.
+// Site simulates a platform in one process: a log, and workers with one runner each.
 type Site struct {
 	log         Log
 	workers     []*Worker
@@ -25,7 +25,8 @@
 	connections map[string]*Connections
 }
 
-// NewSite returns a site of count workers of the given size; now is its clock.
+// NewSite returns a site with count workers of the given size, each with a runner
+// of the given number of slots; now is the clock of the workers.
 func NewSite(count, slots int, size worker.Resources, now func() time.Time) *Site {
 	s := &Site{connections: map[string]*Connections{PartLog: {}, PartWorkers: {}, PartRunners: {}}}
 	for range count {
@@ -35,18 +36,20 @@
 	return s
 }
 
-// Counts is what a site has seen; the load tool compares it with what callers saw.
+// Counts records the activity of a site. The load tool compares it with what
+// callers saw.
 type Counts struct {
-	// Requests is how often each request was worked on, over all runners.
+	// Requests is how often each request was run, over all runners.
 	Requests map[string]int `json:"requests"`
 	// Tasks holds the runs of each task, over all workers.
 	Tasks map[string][]Run `json:"tasks"`
-	// Overfull names the workers that were given more than they have.
+	// Overfull holds the names of the workers whose running tasks exceeded their
+	// capacity at any time.
 	Overfull []string `json:"overfull"`
 	Appends  uint64   `json:"appends"`
 }
 
-// Counts returns what the site has seen so far.
+// Counts returns the activity of the site so far.
 func (s *Site) Counts() Counts {
 	c := Counts{Requests: make(map[string]int), Tasks: make(map[string][]Run), Appends: s.log.Appends()}
 	for i, w := range s.workers {
@@ -65,10 +68,10 @@
 	return c
 }
 
-// Handler serves the log under /log, workers and runners under /workers/<number>
-// and /runners/<number>, counted from 1. Faults are switched by PUT
-// /faults/<part> and /faults/<part>/<number>; PUT /silence/<part> makes the
-// open connections of a part go silent.
+// Handler serves the log under /log, and workers and runners under
+// /workers/<number> and /runners/<number>, counted from 1. PUT /faults/log,
+// /faults/workers/<number> and /faults/runners/<number> set the faults of a part.
+// PUT /silence/<part> stalls the open connections of a part.
 func (s *Site) Handler() http.Handler {
 	mux := http.NewServeMux()
 	s.mount(mux, PartLog, "/log", s.log.Handler())
@@ -80,7 +83,7 @@
 		mux.HandleFunc("PUT /faults/runners"+number, faultHandler(s.runners[i].SetFaults))
 	}
 	mux.HandleFunc("PUT /faults/log", faultHandler(s.log.SetFaults))
-	mux.HandleFunc("PUT /silence/{part}", s.serveSilence)
+	mux.HandleFunc("PUT /silence/{part}", s.serveStall)
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Counts()) })
 	return mux
 }
@@ -89,7 +92,7 @@
 	mux.Handle(prefix+"/", http.StripPrefix(prefix, s.connections[part].Wrap(h)))
 }
 
-func (s *Site) serveSilence(w http.ResponseWriter, r *http.Request) {
+func (s *Site) serveStall(w http.ResponseWriter, r *http.Request) {
 	c, ok := s.connections[r.PathValue("part")]
 	if !ok {
 		http.Error(w, "part: want log, workers or runners", http.StatusNotFound)
@@ -98,7 +101,7 @@
 	c.Silence()
 }
 
-// faultHandler reads faults of type F and hands them to set.
+// faultHandler returns a handler that decodes faults of type F and passes them to set.
 func faultHandler[F any](set func(F)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f F
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -13,6 +13,8 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
+// TestSilentConnections checks that only connections that were used before are
+// stalled.
 func TestSilentConnections(t *testing.T) {
 	var c Connections
 	served := 0
@@ -22,7 +24,7 @@
 	}))
 	ask := func(address string) string {
 		ctx, cancel := context.WithCancel(t.Context())
-		cancel() // a silent connection waits for the client to give up
+		cancel() // on a stalled connection, the handler waits until the client cancels
 		r := httptest.NewRequest(http.MethodGet, "/", nil).WithContext(ctx)
 		r.RemoteAddr = address
 		w := httptest.NewRecorder()
@@ -44,8 +46,8 @@
 	}
 }
 
-// TestSpansFollowLease checks that a task makes progress only under its lease
-// and goes on after a renewal.
+// TestSpansFollowLease checks that a task makes progress only during its lease
+// and continues after a renewal.
 func TestSpansFollowLease(t *testing.T) {
 	now := time.UnixMilli(1000)
 	w := NewWorker(worker.Resources{MilliCPU: 1000}, func() time.Time { return now })
@@ -71,7 +73,7 @@
 	}
 }
 
-// TestUsageLags checks that usage reports are as old as the fault says.
+// TestUsageLags checks that usage reports lag by the time set in the faults.
 func TestUsageLags(t *testing.T) {
 	now := time.UnixMilli(0)
 	w := NewWorker(worker.Resources{MilliCPU: 1000}, func() time.Time { return now })
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -9,51 +9,55 @@
 	"savoryhoist.example/savoryhoist/internal/store"
 )
 
-// Store stands in for the platform's store of keyed topics. The zero value is
-// empty and answers at once.
+// Store simulates the platform's store of keyed topics in memory. The zero value is
+// empty. It does not wait for new records in a read.
 type Store struct {
-	// PageSize is the most records of one page of the newest; 0 is 500.
+	// PageSize is the most records in one page of the newest records; 0 means 500.
 	PageSize int
-	// OnPage runs after each page of the newest records was read.
+	// OnPage, if set, is called after each read of a page of the newest records.
 	OnPage func()
 
 	mu     sync.Mutex
 	topics map[store.Topic]*keyedTopic
-	// fault is returned instead of an answer; the write is carried out if done.
-	fault error
-	done  bool
+	// fault, if set, is the error of every call. writeDespiteFault means that
+	// appends still take effect.
+	fault             error
+	writeDespiteFault bool
 }
 
 type keyedTopic struct {
-	records []store.Stored
-	first   uint64
-	end     uint64
-	newest  map[string]store.Stored
-	term    uint64
-	seq     uint64
-	// ends are the ends after the last appends of the term, by sequence number.
-	ends map[uint64]uint64
+	// records holds the records from firstOffset on.
+	records     []store.Stored
+	firstOffset uint64
+	endOffset   uint64
+	// newest holds the newest record of each key.
+	newest map[string]store.Stored
+	term   uint64
+	seq    uint64
+	// endOffsets holds the end offset after each append of the term, by sequence number.
+	endOffsets map[uint64]uint64
 }
 
-// Port returns the calls to the store.
+// Port returns a client of the store.
 func (s *Store) Port() store.Port {
-	return store.Port{Append: s.append, Read: s.read, Newest: s.page}
+	return store.Port{Append: s.append, Read: s.read, Newest: s.readNewest}
 }
 
-// Fail makes every call return err until it is nil; writes are carried out
-// nevertheless if done.
-func (s *Store) Fail(err error, done bool) {
+// Fail makes every call return err until Fail is called with nil. If
+// writeDespiteFault is set, appends still take effect.
+func (s *Store) Fail(err error, writeDespiteFault bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault, s.done = err, done
+	s.fault, s.writeDespiteFault = err, writeDespiteFault
 }
 
-// Trim forgets all but the newest record of each key.
+// Trim drops all records but the newest of each key, which only reads of the newest
+// records still return.
 func (s *Store) Trim() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.topics {
-		t.records, t.first = nil, t.end
+		t.records, t.firstOffset = nil, t.endOffset
 	}
 }
 
@@ -72,50 +76,52 @@
 func (s *Store) append(_ context.Context, a store.Append) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault != nil && !s.done {
+	if s.fault != nil && !s.writeDespiteFault {
 		return 0, s.fault
 	}
 	t := s.topic(a.Topic)
-	if a.AtSet && a.At != t.end {
-		return t.end, s.outcome(store.ErrMoved)
+	if a.AtSet && a.At != t.endOffset {
+		return t.endOffset, s.faultOr(store.ErrMoved)
 	}
 	if a.Term > 0 {
-		if end, again, err := t.follow(&a); again || err != nil {
-			return end, s.outcome(err)
+		if end, repeated, err := t.checkSequence(&a); repeated || err != nil {
+			return end, s.faultOr(err)
 		}
-		defer func() { t.ends[a.Seq] = t.end }()
+		defer func() { t.endOffsets[a.Seq] = t.endOffset }()
 	}
 	for _, r := range a.Records {
-		stored := store.Stored{Record: r, Offset: t.end}
+		stored := store.Stored{Record: r, Offset: t.endOffset}
 		t.records = append(t.records, stored)
 		t.newest[r.Key] = stored
 		if len(r.Value) == 0 {
 			delete(t.newest, r.Key)
 		}
-		t.end++
+		t.endOffset++
 	}
-	return t.end, s.fault
+	return t.endOffset, s.fault
 }
 
-// outcome returns what a caller learns of a call that was carried out.
-func (s *Store) outcome(err error) error {
+// faultOr returns the error that a call which was carried out returns: the fault if
+// one is set, otherwise err.
+func (s *Store) faultOr(err error) error {
 	if s.fault != nil {
 		return s.fault
 	}
 	return err
 }
 
-// repeats is how many of the last appends of a term are answered again.
-const repeats = 5
+// repeatableAppends is the number of newest appends of a term whose repetition
+// gets the first response again.
+const repeatableAppends = 5
 
-// follow takes in the term and the sequence number of an append. Again is set
-// if it was carried out before.
-func (t *keyedTopic) follow(a *store.Append) (end uint64, again bool, err error) {
+// checkSequence checks and records the term and the sequence number of an append.
+// repeated means that the append was carried out before, with the given end offset.
+func (t *keyedTopic) checkSequence(a *store.Append) (end uint64, repeated bool, err error) {
 	switch {
 	case a.Term < t.term:
 		return 0, false, store.ErrFenced
 	case a.Term > t.term:
-		t.term, t.seq, t.ends = a.Term, 0, make(map[uint64]uint64)
+		t.term, t.seq, t.endOffsets = a.Term, 0, make(map[uint64]uint64)
 		if len(a.Records) > 0 {
 			t.seq = a.Seq
 		}
@@ -123,7 +129,7 @@
 	case t.seq == 0 || a.Seq == t.seq+1:
 		t.seq = a.Seq
 	default:
-		if end, ok := t.ends[a.Seq]; ok && a.Seq <= t.seq && a.Seq+repeats > t.seq {
+		if end, ok := t.endOffsets[a.Seq]; ok && a.Seq <= t.seq && a.Seq+repeatableAppends > t.seq {
 			return end, true, nil
 		}
 		return 0, false, &store.SequenceError{Want: t.seq + 1}
@@ -138,25 +144,25 @@
 		return nil, s.fault
 	}
 	t := s.topic(topic)
-	if from < t.first {
+	if from < t.firstOffset {
 		return nil, store.ErrTrimmed
 	}
-	page := &store.Page{End: t.end}
-	if from < t.end {
-		page.Records = append(page.Records, t.records[from-t.first:]...)
+	page := &store.Page{End: t.endOffset}
+	if from < t.endOffset {
+		page.Records = append(page.Records, t.records[from-t.firstOffset:]...)
 	}
 	return page, nil
 }
 
-func (s *Store) page(_ context.Context, topic store.Topic, after string) (*store.Page, error) {
-	page, err := s.newest(topic, after)
+func (s *Store) readNewest(_ context.Context, topic store.Topic, after string) (*store.Page, error) {
+	page, err := s.newestPage(topic, after)
 	if s.OnPage != nil {
 		s.OnPage()
 	}
 	return page, err
 }
 
-func (s *Store) newest(topic store.Topic, after string) (*store.Page, error) {
+func (s *Store) newestPage(topic store.Topic, after string) (*store.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fault != nil {
@@ -174,7 +180,7 @@
 	if size == 0 {
 		size = 500
 	}
-	page := &store.Page{End: t.end, More: len(keys) > size}
+	page := &store.Page{End: t.endOffset, More: len(keys) > size}
 	for _, k := range keys[:min(size, len(keys))] {
 		page.Records = append(page.Records, t.newest[k])
 	}
--- a/internal/standin/taskrunner.go
+++ b/internal/standin/taskrunner.go
@@ -8,130 +8,145 @@
 	"time"
 )
 
-// Listed is one run that a TaskRunner lists.
+// Listed is a run in progress, as a TaskRunner lists it.
 type Listed struct {
 	Task string
 	Run  uint64
 }
 
-// Finished is the end of a run that a TaskRunner lists until it is noted.
+// Finished is the end of a run. A TaskRunner lists it until it is acknowledged.
 type Finished struct {
+	// Number numbers the ends since the runner's start, from 1.
 	Number uint64
 	Task   string
 	Run    uint64
 	How    string
-	// stale is set once the lease was over after the end: noting it counts for nothing.
+	// stale is set if the runner's lease has expired since the end. An
+	// acknowledgement of the end is then not recorded in the history.
 	stale bool
 }
 
-// Reasons for which a TaskRunner refuses a start.
+// Reasons for which a TaskRunner refuses a call.
 const (
+	// ReasonFence means that the call's fencing token is lower than an earlier one.
 	ReasonFence = "fence"
-	ReasonOld   = "old"
-	ReasonLate  = "late"
+	// ReasonOld means that another run of the task is in progress, or that the run
+	// has ended or was stopped, or a later one was.
+	ReasonOld = "old"
+	// ReasonLate means that the lease for the start has ended already.
+	ReasonLate = "late"
 )
 
-// TaskRunner stands in for a runner of tasks with leases, fences and lists. Its
-// tasks take Work and end as done. It notes every start and end in a History.
+// TaskRunner simulates a runner of tasks with a lease, a fencing token and a list
+// of its runs. By default its tasks succeed after Work. It records all starts and
+// ends in History.
 type TaskRunner struct {
 	Name    string
 	Work    time.Duration
 	History *History
-	// Slow is how much slower than true time the runner's clock goes, as one part in so many; 0 is exact.
+	// Slow makes the runner's clock lose 1/Slow of the elapsed time; 0 means that it
+	// is exact.
 	Slow int
 
-	mu       sync.Mutex
-	born     uint64
-	started  time.Time
-	fence    uint64
-	until    int64
-	number   uint64
+	mu sync.Mutex
+	// startedAtMS is startedAt in Unix milliseconds.
+	startedAtMS uint64
+	startedAt   time.Time
+	// fence is the highest fencing token of a call.
+	fence uint64
+	// leaseEndMS is when the lease ends on the runner's clock.
+	leaseEndMS int64
+	// lastEnd is the number of the newest end.
+	lastEnd  uint64
 	running  map[string]*taskRun
 	finished []Finished
-	highest  map[string]uint64
-	changed  chan struct{}
+	// highestRun holds, by task, the highest run that was started or stopped.
+	highestRun map[string]uint64
+	changed    chan struct{}
 }
 
 type taskRun struct {
-	run    uint64
-	endsAt time.Time
-	fate   Fate
+	run       uint64
+	endsAt    time.Time
+	behaviour Fate
 }
 
-// Fate is how a task's runs end if nothing else ends them.
+// Fate is how the runs of a task end if they are not stopped and the lease does
+// not expire.
 type Fate string
 
-// The fates of tasks.
+// The values of Fate.
 const (
 	FateDone      Fate = ""
 	FateFails     Fate = "fails"
 	FateNeverEnds Fate = "lasts"
 )
 
-// Begin starts a life of the runner, in which it runs nothing.
+// Begin starts or restarts the runner: its runs end, and it forgets its lease, its
+// fencing token and its lists.
 func (r *TaskRunner) Begin(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task, t := range r.running {
-		r.History.end(task, t.run)
+		r.History.noteEnd(task, t.run)
 	}
-	r.born, r.started, r.until = uint64(now.UnixMilli()), now, 0
-	r.fence, r.number, r.finished = 0, 0, nil
-	r.running, r.highest = make(map[string]*taskRun), make(map[string]uint64)
-	r.signal()
+	r.startedAtMS, r.startedAt, r.leaseEndMS = uint64(now.UnixMilli()), now, 0
+	r.fence, r.lastEnd, r.finished = 0, 0, nil
+	r.running, r.highestRun = make(map[string]*taskRun), make(map[string]uint64)
+	r.notifyChanged()
 }
 
-// signal wakes those who wait for a change. The caller holds mu.
-func (r *TaskRunner) signal() {
+// notifyChanged closes the channel that Changed returned. The caller holds mu.
+func (r *TaskRunner) notifyChanged() {
 	if r.changed != nil {
 		close(r.changed)
 	}
 	r.changed = make(chan struct{})
 }
 
-// Born returns when the present life began, in Unix milliseconds.
+// Born returns when the runner was started last, in Unix milliseconds.
 func (r *TaskRunner) Born() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.born
+	return r.startedAtMS
 }
 
-// Changed returns a channel that is closed when a run ends or another life begins.
+// Changed returns a channel that is closed when a run ends or the runner restarts.
 func (r *TaskRunner) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Clock returns the runner's clock, in milliseconds of its present life.
+// Clock returns the runner's clock, in milliseconds since its start, plus 1.
 func (r *TaskRunner) Clock(now time.Time) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock(now)
+	return r.clockMS(now)
 }
 
-func (r *TaskRunner) clock(now time.Time) int64 {
-	ms := now.Sub(r.started).Milliseconds()
+func (r *TaskRunner) clockMS(now time.Time) int64 {
+	ms := now.Sub(r.startedAt).Milliseconds()
 	if r.Slow > 0 {
 		ms -= ms / int64(r.Slow)
 	}
 	return ms + 1
 }
 
-// Step ends what is due: work that is done, and everything if the lease is over.
+// Step ends the runs whose time has come, or all runs if the lease has expired.
 func (r *TaskRunner) Step(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	over := r.clock(now) > r.until
+	expired := r.clockMS(now) > r.leaseEndMS
 	for i := range r.finished {
-		r.finished[i].stale = r.finished[i].stale || over
+		r.finished[i].stale = r.finished[i].stale || expired
 	}
 	for task, t := range r.running {
 		switch {
-		case over:
+		case expired:
 			r.finish(task, t, "lapsed")
-		case t.fate == FateNeverEnds || !now.After(t.endsAt):
-		case t.fate == FateFails:
+		case t.behaviour == FateNeverEnds || !now.After(t.endsAt):
+		case t.behaviour == FateFails:
 			r.finish(task, t, "failed")
 		default:
 			r.finish(task, t, "done")
@@ -139,23 +154,23 @@
 	}
 }
 
-func (r *TaskRunner) finish(task string, t *taskRun, how string) {
+func (r *TaskRunner) finish(task string, t *taskRun, outcome string) {
 	delete(r.running, task)
-	r.number++
-	r.finished = append(r.finished, Finished{Number: r.number, Task: task, Run: t.run, How: how})
-	r.highest[task] = max(r.highest[task], t.run)
-	r.History.end(task, t.run)
-	if how == "done" {
-		r.History.worked(task)
+	r.lastEnd++
+	r.finished = append(r.finished, Finished{Number: r.lastEnd, Task: task, Run: t.run, How: outcome})
+	r.highestRun[task] = max(r.highestRun[task], t.run)
+	r.History.noteEnd(task, t.run)
+	if outcome == "done" {
+		r.History.noteCompleted(task)
 	}
-	r.signal()
+	r.notifyChanged()
 }
 
-// longestLeaseMS bounds a lease, in milliseconds from the call that extends it.
-const longestLeaseMS = 6000
+// maxLeaseMS is the longest time from a call to the end of the lease that it sets.
+const maxLeaseMS = 6000
 
-// Admit reports whether a call with a fence is carried out, and takes its
-// lease, a time on the runner's clock. It never shortens.
+// Admit reports whether to carry out a call with the given fencing token. If so, it
+// extends the lease to untilMS on the runner's clock. It never shortens the lease.
 func (r *TaskRunner) Admit(now time.Time, fence uint64, untilMS int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,48 +178,49 @@
 		return false
 	}
 	r.fence = fence
-	r.until = max(r.until, min(untilMS, r.clock(now)+longestLeaseMS))
+	r.leaseEndMS = max(r.leaseEndMS, min(untilMS, r.clockMS(now)+maxLeaseMS))
 	return true
 }
 
-// Start starts a run and returns the reason for which it does not, if any.
+// Start starts a run, or returns the reason for which it refuses to.
 func (r *TaskRunner) Start(now time.Time, task string, run uint64, untilMS int64, fate Fate) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.running[task]
 	switch {
-	case untilMS <= r.clock(now):
+	case untilMS <= r.clockMS(now):
 		return ReasonLate
 	case t != nil && t.run == run:
 		return ""
-	case t != nil || run <= r.highest[task]:
+	case t != nil || run <= r.highestRun[task]:
 		return ReasonOld
 	}
-	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.Work), fate: fate}
-	r.highest[task] = run
-	r.History.start(now, r.Name, task, run)
+	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.Work), behaviour: fate}
+	r.highestRun[task] = run
+	r.History.noteStart(now, r.Name, task, run)
 	return ""
 }
 
-// Stop ends a run, or makes sure that it never starts.
+// Stop ends a run, or prevents its start.
 func (r *TaskRunner) Stop(task string, run uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.highest[task] = max(r.highest[task], run)
+	r.highestRun[task] = max(r.highestRun[task], run)
 	if t := r.running[task]; t != nil && t.run <= run {
 		r.finish(task, t, "stopped")
 	}
 }
 
-// List forgets the ends up to one that is noted and returns what runs and the others.
-func (r *TaskRunner) List(noted uint64) (running []Listed, finished []Finished) {
+// List drops the ends with numbers up to acked, which are acknowledged, and returns
+// the runs in progress and the other ends.
+func (r *TaskRunner) List(acked uint64) (running []Listed, finished []Finished) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finished = slices.DeleteFunc(r.finished, func(e Finished) bool {
-		if e.Number <= noted && !e.stale {
-			r.History.noted(e.Task, e.How)
+		if e.Number <= acked && !e.stale {
+			r.History.noteAck(e.Task, e.How)
 		}
-		return e.Number <= noted
+		return e.Number <= acked
 	})
 	for task, t := range r.running {
 		running = append(running, Listed{task, t.run})
@@ -213,56 +229,59 @@
 	return running, slices.Clone(r.finished)
 }
 
-// History is what all runners saw. The zero value is empty.
+// History records the starts and ends of runs at all runners, and the violations of
+// guarantees. The zero value is empty.
 type History struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs holds, by task and run, the runner of each run in progress.
 	runs map[string]map[uint64]string
-	// done are tasks of which a done end was noted, work those of which a run did all its work.
-	done   map[string]bool
-	work   map[string]bool
-	broken []string
+	// ackedDone holds the tasks of which a successful end was acknowledged,
+	// completed those of which a run has done all its work.
+	ackedDone  map[string]bool
+	completed  map[string]bool
+	violations []string
 }
 
-func (h *History) start(now time.Time, runner, task string, run uint64) {
+func (h *History) noteStart(now time.Time, runner, task string, run uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.runs == nil {
-		h.runs, h.done, h.work = make(map[string]map[uint64]string), make(map[string]bool), make(map[string]bool)
+		h.runs, h.ackedDone, h.completed = make(map[string]map[uint64]string), make(map[string]bool), make(map[string]bool)
 	}
 	if h.runs[task] == nil {
 		h.runs[task] = make(map[uint64]string)
 	}
-	if h.done[task] {
-		h.broken = append(h.broken, fmt.Sprintf("%s: run %d of %s started at %s after a run was noted as done", now.Format(time.StampMilli), run, task, runner))
+	if h.ackedDone[task] {
+		h.violations = append(h.violations, fmt.Sprintf("%s: run %d of %s started at %s after the success of a run was acknowledged", now.Format(time.StampMilli), run, task, runner))
 	}
 	for other, where := range h.runs[task] {
-		h.broken = append(h.broken, fmt.Sprintf("%s: run %d of %s started at %s beside run %d at %s", now.Format(time.StampMilli), run, task, runner, other, where))
+		h.violations = append(h.violations, fmt.Sprintf("%s: run %d of %s started at %s while run %d was in progress at %s", now.Format(time.StampMilli), run, task, runner, other, where))
 	}
 	h.runs[task][run] = runner
 }
 
-func (h *History) end(task string, run uint64) {
+func (h *History) noteEnd(task string, run uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.runs[task], run)
 }
 
-func (h *History) noted(task, how string) {
+func (h *History) noteAck(task, outcome string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if how == "done" {
-		h.done[task] = true
+	if outcome == "done" {
+		h.ackedDone[task] = true
 	}
 }
 
-// Broken returns what went against a promise.
+// Broken returns the violations of guarantees.
 func (h *History) Broken() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.broken)
+	return slices.Clone(h.violations)
 }
 
-// Started reports whether a task of a job was started.
+// Started reports whether a task of a job was ever started.
 func (h *History) Started(job string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -274,15 +293,15 @@
 	return false
 }
 
-func (h *History) worked(task string) {
+func (h *History) noteCompleted(task string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.work[task] = true
+	h.completed[task] = true
 }
 
-// Worked reports whether a run of a task did all its work.
+// Worked reports whether a run of a task has done all its work.
 func (h *History) Worked(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.work[task]
+	return h.completed[task]
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -12,80 +12,83 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// TaskPayload tells the stand-in worker how a task behaves. It is the JSON
-// form of a job's payload.
+// TaskPayload tells the simulated worker how a task behaves. A job's payload holds
+// it in JSON.
 type TaskPayload struct {
+	// RunMS is how long the task runs at full speed, in milliseconds.
 	RunMS int64 `json:"run-ms"`
-	Fail  bool  `json:"fail"`
+	// Fail makes the task fail at its end.
+	Fail bool `json:"fail"`
 }
 
-// defaultRun is how long a task without a payload runs.
-const defaultRun = 100 * time.Millisecond
+// defaultTaskWork is how long a task without a payload runs.
+const defaultTaskWork = 100 * time.Millisecond
 
-// WorkerFaults says how a worker misbehaves.
+// WorkerFaults selects the faults that a worker simulates.
 type WorkerFaults struct {
 	// FailAll makes every task that starts from now on fail at once.
 	FailAll bool `json:"fail-all"`
 	// LoseVM drops every task once, as when the VM is replaced.
 	LoseVM bool `json:"lose-vm"`
-	// UsageLagMS is how old usage reports are.
+	// UsageLagMS is how far usage reports lag behind, in milliseconds.
 	UsageLagMS int64 `json:"usage-lag-ms"`
 }
 
 // Run is one start of a task, for checks after a test.
 type Run struct {
-	Key   string             `json:"key"`
-	Epoch uint64             `json:"epoch"`
+	Key   string `json:"key"`
+	Epoch uint64 `json:"epoch"`
+	// Ended is the state in which the run ended, or "" if it has not.
 	Ended services.TaskState `json:"ended,omitempty"`
 	// Worker is filled in by Site.Counts.
 	Worker string `json:"worker,omitempty"`
-	// Spans are when the task made progress.
+	// Spans holds the periods in which the task made progress.
 	Spans []Span `json:"spans,omitempty"`
 }
 
-// Span is a stretch of time in Unix microseconds.
+// Span is a period of time, with its bounds in Unix microseconds.
 type Span struct {
 	From int64 `json:"from"`
 	To   int64 `json:"to"`
 }
 
-// Worker is an in-memory worker that runs tasks under leases. Progress is
-// computed from the clock when the worker is asked.
+// Worker is an in-memory worker that runs tasks under leases. It computes their
+// progress from its clock at each call.
 type Worker struct {
 	total worker.Resources
 	now   func() time.Time
 
-	mu       sync.Mutex
-	born     time.Time
-	restarts int
-	tasks    map[string]*task
-	runs     []Run
-	overfull bool
-	faults   WorkerFaults
-	usage    []timedUsage
+	mu            sync.Mutex
+	startedAt     time.Time
+	incarnation   int
+	tasks         map[string]*task
+	runs          []Run
+	overcommitted bool
+	faults        WorkerFaults
+	usageReports  []timedUsage
 }
 
-// timedUsage is what the worker used at a moment.
+// timedUsage is the resource use of the worker at a point in time.
 type timedUsage struct {
 	at    time.Time
 	usage services.Usage
 }
 
 type task struct {
-	run     int
-	order   services.StartOrder
-	state   services.TaskState
-	need    time.Duration
-	done    time.Duration
-	saved   time.Duration
-	seen    time.Time
-	percent int64
-	fail    bool
-}
-
-// NewWorker returns a worker of size total; now is its clock.
+	runIndex         int
+	order            services.StartOrder
+	state            services.TaskState
+	requiredWork     time.Duration
+	doneWork         time.Duration
+	checkpointedWork time.Duration
+	advancedTo       time.Time
+	cpuPercent       int64
+	fail             bool
+}
+
+// NewWorker returns a worker with the capacity total; now is its clock.
 func NewWorker(total worker.Resources, now func() time.Time) *Worker {
-	return &Worker{total: total, now: now, born: now(), tasks: make(map[string]*task)}
+	return &Worker{total: total, now: now, startedAt: now(), tasks: make(map[string]*task)}
 }
 
 // LoseVM drops every task, as when the VM is replaced.
@@ -96,9 +99,9 @@
 }
 
 func (w *Worker) loseVM() {
-	w.progress()
-	w.restarts++
-	w.born = w.now()
+	w.advance()
+	w.incarnation++
+	w.startedAt = w.now()
 	w.tasks = make(map[string]*task)
 }
 
@@ -109,7 +112,7 @@
 	w.faults.FailAll = on
 }
 
-// SetFaults switches the worker's faults.
+// SetFaults replaces the faults that the worker simulates.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,11 +122,11 @@
 	w.faults = f
 }
 
-// Runs returns every start so far.
+// Runs returns all runs so far, in the order of their starts.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	out := make([]Run, len(w.runs))
 	for i, r := range w.runs {
 		r.Spans = slices.Clone(r.Spans)
@@ -136,7 +139,7 @@
 func (w *Worker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	n := 0
 	for _, t := range w.tasks {
 		if !t.state.Ended() {
@@ -146,11 +149,11 @@
 	return n
 }
 
-// Overfull reports whether running tasks ever exceeded the worker's size.
+// Overfull reports whether the running tasks exceeded the worker's capacity at any time.
 func (w *Worker) Overfull() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.overfull
+	return w.overcommitted
 }
 
 // Handler serves the worker over HTTP.
@@ -171,9 +174,9 @@
 func (w *Worker) serveList(rw http.ResponseWriter, _ *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	out := services.Listing{
-		Incarnation: fmt.Sprintf("%d", w.restarts),
+		Incarnation: fmt.Sprintf("%d", w.incarnation),
 		UptimeMS:    w.uptime().Milliseconds(),
 		Total:       w.total,
 	}
@@ -197,40 +200,40 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	key := services.TaskKey(order.Hold())
 	if _, ok := w.tasks[key]; ok {
 		return
 	}
 	if order.UntilMS <= w.uptime().Milliseconds() {
-		http.Error(rw, "the lease has ended", http.StatusConflict)
+		http.Error(rw, "the task's lease has already ended", http.StatusConflict)
 		return
 	}
 	w.tasks[key] = w.newTask(order)
 	w.runs = append(w.runs, Run{Key: key, Epoch: order.Epoch})
-	w.checkSize()
+	w.checkOvercommit()
 }
 
 func (w *Worker) newTask(order services.StartOrder) *task {
-	p := TaskPayload{RunMS: defaultRun.Milliseconds()}
+	p := TaskPayload{RunMS: defaultTaskWork.Milliseconds()}
 	if len(order.Payload) > 0 {
 		_ = json.Unmarshal(order.Payload, &p)
 	}
 	t := &task{
-		run: len(w.runs), order: order, state: services.TaskRunning, seen: w.now(), percent: 100,
-		need: time.Duration(p.RunMS) * time.Millisecond, fail: p.Fail || w.faults.FailAll,
+		runIndex: len(w.runs), order: order, state: services.TaskRunning, advancedTo: w.now(), cpuPercent: 100,
+		requiredWork: time.Duration(p.RunMS) * time.Millisecond, fail: p.Fail || w.faults.FailAll,
 	}
 	var ms int64
 	if _, err := fmt.Sscanf(order.Ref, "done-ms=%d", &ms); err == nil {
-		t.done = time.Duration(ms) * time.Millisecond
+		t.doneWork = time.Duration(ms) * time.Millisecond
 	}
 	if w.faults.FailAll {
-		t.need = 0
+		t.requiredWork = 0
 	}
 	return t
 }
 
-func (w *Worker) checkSize() {
+func (w *Worker) checkOvercommit() {
 	var sum worker.Resources
 	for _, t := range w.tasks {
 		if !t.state.Ended() {
@@ -238,41 +241,42 @@
 		}
 	}
 	if !sum.Fits(w.total) {
-		w.overfull = true
+		w.overcommitted = true
 	}
 }
 
-func (w *Worker) uptime() time.Duration { return w.now().Sub(w.born) }
+func (w *Worker) uptime() time.Duration { return w.now().Sub(w.startedAt) }
 
-// progress brings every task up to the present, leases included.
-func (w *Worker) progress() {
+// advance updates the progress and the state of every task to the present time, as
+// far as its lease allows.
+func (w *Worker) advance() {
 	now := w.now()
 	for _, t := range w.tasks {
 		if t.state.Ended() {
 			continue
 		}
-		until := w.born.Add(time.Duration(t.order.UntilMS) * time.Millisecond)
+		until := w.startedAt.Add(time.Duration(t.order.UntilMS) * time.Millisecond)
 		end := now
 		t.state = services.TaskRunning
 		if until.Before(now) {
 			end = until
 			t.state = services.TaskHeld
 		}
-		w.run(t, end)
-		t.seen = now
+		w.advanceTask(t, end)
+		t.advancedTo = now
 	}
 }
 
-// run lets a task make progress until end.
-func (w *Worker) run(t *task, end time.Time) {
-	if end.After(t.seen) && t.percent > 0 {
-		t.done += end.Sub(t.seen) * time.Duration(t.percent) / 100
-		if over := t.done - t.need; over > 0 {
-			end = end.Add(-over * 100 / time.Duration(t.percent))
+// advanceTask adds the progress of a task until end.
+func (w *Worker) advanceTask(t *task, end time.Time) {
+	if end.After(t.advancedTo) && t.cpuPercent > 0 {
+		t.doneWork += end.Sub(t.advancedTo) * time.Duration(t.cpuPercent) / 100
+		if over := t.doneWork - t.requiredWork; over > 0 {
+			end = end.Add(-over * 100 / time.Duration(t.cpuPercent))
 		}
-		w.runs[t.run].extend(t.seen, end)
+		w.runs[t.runIndex].addProgress(t.advancedTo, end)
 	}
-	if t.done < t.need {
+	if t.doneWork < t.requiredWork {
 		return
 	}
 	t.state = services.TaskSucceeded
@@ -280,11 +284,11 @@
 		t.state = services.TaskFailed
 		t.order.Detail = "the task failed"
 	}
-	w.runs[t.run].Ended = t.state
+	w.runs[t.runIndex].Ended = t.state
 }
 
-// extend notes that the task made progress from one moment to another.
-func (r *Run) extend(from, to time.Time) {
+// addProgress records that the task made progress between two points in time.
+func (r *Run) addProgress(from, to time.Time) {
 	if n := len(r.Spans); n > 0 && r.Spans[n-1].To == from.UnixMicro() {
 		r.Spans[n-1].To = to.UnixMicro()
 		return
@@ -300,7 +304,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	for _, n := range renewals {
 		if t, ok := w.tasks[n.Key]; ok && n.UntilMS > t.order.UntilMS {
 			t.order.UntilMS = n.UntilMS
@@ -311,7 +315,7 @@
 func (w *Worker) withTask(rw http.ResponseWriter, r *http.Request, fn func(key string, t *task)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
+	w.advance()
 	key := r.PathValue("key")
 	t, ok := w.tasks[key]
 	if !ok {
@@ -323,8 +327,8 @@
 
 func (w *Worker) serveCheckpoint(rw http.ResponseWriter, r *http.Request) {
 	w.withTask(rw, r, func(_ string, t *task) {
-		t.saved = t.done
-		t.order.Ref = fmt.Sprintf("done-ms=%d", t.saved.Milliseconds())
+		t.checkpointedWork = t.doneWork
+		t.order.Ref = fmt.Sprintf("done-ms=%d", t.checkpointedWork.Milliseconds())
 		writeJSON(rw, http.StatusOK, t.view())
 	})
 }
@@ -332,17 +336,17 @@
 func (w *Worker) serveThrottle(rw http.ResponseWriter, r *http.Request) {
 	var percent int64
 	if err := json.NewDecoder(r.Body).Decode(&percent); err != nil || percent < 0 || percent > 100 {
-		http.Error(rw, "want a percentage", http.StatusBadRequest)
+		http.Error(rw, "want a percentage from 0 to 100", http.StatusBadRequest)
 		return
 	}
-	w.withTask(rw, r, func(_ string, t *task) { t.percent = percent })
+	w.withTask(rw, r, func(_ string, t *task) { t.cpuPercent = percent })
 }
 
 func (w *Worker) serveStop(rw http.ResponseWriter, r *http.Request) {
 	w.withTask(rw, r, func(_ string, t *task) {
 		if !t.state.Ended() {
 			t.state = services.TaskStopped
-			w.runs[t.run].Ended = t.state
+			w.runs[t.runIndex].Ended = t.state
 		}
 	})
 }
@@ -357,25 +361,25 @@
 	})
 }
 
-// usageKeep is the most usage reports that are remembered for the lag.
-const usageKeep = 1024
+// maxUsageReports limits the usage reports that are stored to simulate the lag.
+const maxUsageReports = 1024
 
 func (w *Worker) serveUsage(rw http.ResponseWriter, _ *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress()
-	w.usage = append(w.usage, timedUsage{at: w.now(), usage: w.used()})
-	if len(w.usage) > usageKeep {
-		w.usage = slices.Clone(w.usage[len(w.usage)-usageKeep:])
+	w.advance()
+	w.usageReports = append(w.usageReports, timedUsage{at: w.now(), usage: w.currentUsage()})
+	if len(w.usageReports) > maxUsageReports {
+		w.usageReports = slices.Clone(w.usageReports[len(w.usageReports)-maxUsageReports:])
 	}
 	writeJSON(rw, http.StatusOK, w.laggingUsage())
 }
 
-// laggingUsage returns the newest report that is as old as the lag.
+// laggingUsage returns the newest report that is at least as old as the lag.
 func (w *Worker) laggingUsage() services.Usage {
 	until := w.now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond)
 	out := services.Usage{Tasks: make(map[string]worker.Resources)}
-	for _, u := range w.usage {
+	for _, u := range w.usageReports {
 		if !u.at.After(until) {
 			out = u.usage
 		}
@@ -383,7 +387,7 @@
 	return out
 }
 
-func (w *Worker) used() services.Usage {
+func (w *Worker) currentUsage() services.Usage {
 	out := services.Usage{Tasks: make(map[string]worker.Resources)}
 	for k, t := range w.tasks {
 		if t.state == services.TaskRunning {
