--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -53,7 +53,7 @@
 	if len(lines) == 0 {
 		return errors.Newf("no log line speaks of job %s", job)
 	}
-	for _, l := range story.Order(lines) {
+	for _, l := range story.SortByCause(lines) {
 		if _, err := fmt.Fprintln(out, l.Text()); err != nil {
 			return errors.Wrap(err, "print the story")
 		}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -27,7 +27,7 @@
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
 		text("log-level", "info", "least level of log lines: debug, info, warn or error"),
-		number("log-lines-per-second", lines.DefaultPerSecond, "most log lines below a warning in a second"),
+		number("log-lines-per-second", lines.DefaultMaxInfoLinesPerSecond, "most log lines below a warning in a second"),
 	}
 }
 
@@ -42,7 +42,7 @@
 		}
 		tuneMemory()
 		out := lines.New(os.Stdout)
-		out.PerSecond = budget
+		out.MaxInfoLinesPerSecond = budget
 		writing, stop := context.WithCancel(context.WithoutCancel(ctx))
 		var group sync.WaitGroup
 		group.Go(func() { out.Run(writing) })
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -82,8 +82,8 @@
 	if err := c.storeRecord(ctx, r); err != nil {
 		return err
 	}
-	c.notifyDispatcher(&peer.Message{Admit: &peer.Admit{Submission: *sub}}, func(now time.Time) {
-		c.admitStored(now, &peer.Admit{Submission: *sub})
+	c.notifyDispatcher(&peer.Message{SubmissionStored: &peer.SubmissionStored{Submission: *sub}}, func(now time.Time) {
+		c.admitStored(now, &peer.SubmissionStored{Submission: *sub})
 	})
 	return nil
 }
@@ -100,7 +100,7 @@
 	if err := c.storeRecord(ctx, workflow.CancellationRecord(id)); err != nil {
 		return err
 	}
-	c.notifyDispatcher(&peer.Message{Cancel: &peer.Cancel{ID: id}}, func(now time.Time) { c.cancelStored(now, id) })
+	c.notifyDispatcher(&peer.Message{CancellationStored: &peer.CancellationStored{ID: id}}, func(now time.Time) { c.cancelStored(now, id) })
 	return nil
 }
 
@@ -153,12 +153,12 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+queryTimeout)
 	defer cancel()
 	m, ok := cc.call(ctx, func(seq uint64) *peer.Message {
-		return &peer.Message{Relay: &peer.Relay{Seq: seq, Record: r}}
+		return &peer.Message{RelayAppend: &peer.RelayAppend{Seq: seq, Record: r}}
 	})
 	if !ok {
 		return false, false
 	}
-	return m.Relayed.Stored, m.Relayed.Refused
+	return m.RelayResult.Stored, m.RelayResult.Refused
 }
 
 // storingPeer returns the entry through which to store a record, or nil.
@@ -193,7 +193,7 @@
 }
 
 // admitStored passes a stored submission to the scheduler if this entry is the dispatcher.
-func (c *Coordinator) admitStored(now time.Time, a *peer.Admit) {
+func (c *Coordinator) admitStored(now time.Time, a *peer.SubmissionStored) {
 	c.mu.Lock()
 	if c.term != nil {
 		c.term.scheduler.Admit(now, clock.WallMS(), &a.Submission, nil, false)
@@ -234,9 +234,9 @@
 	} else if cc != nil {
 		ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 		defer cancel()
-		m, ok := cc.call(ctx, func(seq uint64) *peer.Message { return &peer.Message{Query: &peer.Query{Seq: seq, ID: id}} })
-		if ok && m.Answer.Known {
-			return m.Answer.Phase, nil
+		m, ok := cc.call(ctx, func(seq uint64) *peer.Message { return &peer.Message{PhaseQuery: &peer.PhaseQuery{Seq: seq, ID: id}} })
+		if ok && m.PhaseAnswer.Known {
+			return m.PhaseAnswer.Phase, nil
 		}
 	}
 	switch {
--- a/internal/coordinator/changes.go
+++ b/internal/coordinator/changes.go
@@ -47,7 +47,7 @@
 		return
 	}
 	_, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
-		return c.store.Append(ctx, store.Append{Topic: store.TopicWorkers, Records: records})
+		return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicWorkers, Records: records})
 	})
 	if err != nil {
 		c.log.Warn().Err(err).Int("workers", len(records)).Msg("storing the names of workers failed")
@@ -104,7 +104,7 @@
 			continue
 		}
 		if _, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
-			return c.store.Append(ctx, store.Append{Topic: topic, Records: records})
+			return c.store.Append(ctx, store.AppendRequest{Topic: topic, Records: records})
 		}); err != nil {
 			c.log.Warn().Err(err).Int("jobs", len(ids)).Msg("deleting expired jobs from the store failed")
 		}
@@ -135,7 +135,7 @@
 	seq := t.appendSeq + 1
 	for {
 		sent := clock.Steady()
-		a := store.Append{Topic: store.TopicProgress, Records: records, Term: t.number, Seq: seq}
+		a := store.AppendRequest{Topic: store.TopicProgress, Records: records, Term: t.number, Seq: seq}
 		_, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) { return c.store.Append(ctx, a) })
 		var wrong *store.SequenceError
 		switch {
@@ -185,7 +185,7 @@
 	}
 	change.EachAck(func(worker string, life, end uint64) {
 		if a := t.agents[worker]; a != nil && a.conn != nil {
-			a.conn.Send(&peer.Message{Noted: &peer.Noted{Life: life, End: end}})
+			a.conn.Send(&peer.Message{Ack: &peer.RunEndsAck{Life: life, LastAckedEnd: end}})
 		}
 	})
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -63,7 +63,7 @@
 // Coordinator is one running entry.
 type Coordinator struct {
 	settings   Settings
-	store      store.Port
+	store      store.Client
 	log        *log.Logger
 	registry   gometrics.Registry
 	listener   net.Listener
@@ -99,7 +99,7 @@
 }
 
 // New returns an entry that listens for its peers but does not serve them yet.
-func New(s Settings, port store.Port, logger *log.Logger, registry gometrics.Registry) (*Coordinator, error) {
+func New(s Settings, port store.Client, logger *log.Logger, registry gometrics.Registry) (*Coordinator, error) {
 	ln, err := new(net.ListenConfig).Listen(context.Background(), "tcp", s.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
@@ -185,7 +185,7 @@
 func (c *Coordinator) recordStoreResult(began time.Time, err error) {
 	c.mu.Lock()
 	now := clock.Steady()
-	if errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrOutcomeUnknown) {
 		wasUnavailable := c.storeUnavailable(now)
 		if c.storeFailures == 0 {
 			c.firstStoreFailure = began
@@ -233,7 +233,7 @@
 		}
 	case errors.Is(err, store.ErrRefused):
 		c.count("store-calls-refused", 1)
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		c.count("store-calls-unanswered", 1)
 	default:
 		c.count("store-calls-rejected", 1)
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -39,7 +39,7 @@
 	return &workflow.Submission{ID: id, Queue: "plans", Spec: workflow.Spec{Steps: []workflow.Step{{Count: 1, Size: worker.Resources{MilliCPU: 100}}}}}
 }
 
-func mustAppend(t *testing.T, s *standin.Store, a store.Append) {
+func mustAppend(t *testing.T, s *standin.Store, a store.AppendRequest) {
 	t.Helper()
 	if _, err := s.Port().Append(context.Background(), a); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		mustAppend(t, s, store.Append{Topic: store.TopicIntake, Records: []store.Record{r}})
+		mustAppend(t, s, store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{r}})
 	}
 	pages := 0
 	s.OnPage = func() {
@@ -68,7 +68,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			mustAppend(t, s, store.Append{Topic: store.TopicIntake, Records: []store.Record{r}})
+			mustAppend(t, s, store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{r}})
 		}
 	}
 	c := newTestEntry(t, "entry-a", s)
@@ -91,7 +91,7 @@
 	}{
 		{"stored", nil, false, nil},
 		{"a job that the store refused never runs", store.ErrRefused, false, ErrRefused},
-		{"after a lost answer the outcome is unknown", store.ErrUnknown, true, ErrOutcomeUnknown},
+		{"after a lost answer the outcome is unknown", store.ErrOutcomeUnknown, true, ErrOutcomeUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &standin.Store{}
@@ -103,7 +103,7 @@
 			c.group.Go(func() {
 				defer close(writing)
 				for i := range c.intake {
-					_, err := c.store.Append(ctx, store.Append{Topic: store.TopicIntake, Records: []store.Record{i.record}})
+					_, err := c.store.Append(ctx, store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{i.record}})
 					if tc.done {
 						cancel() // no time is left for another attempt
 					}
@@ -171,7 +171,7 @@
 // sent, since it could still take effect later.
 func TestSubmitWhileStoreIsUnavailable(t *testing.T) {
 	s := &standin.Store{}
-	s.Fail(store.ErrUnknown, true)
+	s.Fail(store.ErrOutcomeUnknown, true)
 	c := newTestEntry(t, "entry-a", s)
 	ctx := context.Background()
 	for range unavailableFailures {
@@ -204,15 +204,15 @@
 	}
 	here, there := net.Pipe()
 	conn, other := peer.NewConn(here), peer.NewConn(there)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: "entry-b", Address: "b", Stays: true}
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: "entry-b", Address: "b", Persistent: true}
 	var group sync.WaitGroup
 	group.Go(func() { _ = conn.Run(&group, func(m *peer.Message) { c.handleEntryMessage(ctx, conn, hello, m) }) })
 	stored := make(chan store.Record, 1)
 	group.Go(func() {
 		_ = other.Run(&group, func(m *peer.Message) {
-			if m.Relay != nil {
-				stored <- m.Relay.Record
-				other.Send(&peer.Message{Relayed: &peer.Relayed{Seq: m.Relay.Seq, Stored: true}})
+			if m.RelayAppend != nil {
+				stored <- m.RelayAppend.Record
+				other.Send(&peer.Message{RelayResult: &peer.RelayResult{Seq: m.RelayAppend.Seq, Stored: true}})
 			}
 		})
 	})
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -73,7 +73,7 @@
 	term := c.candidate.Claim().Term
 	c.mu.Unlock()
 	return &peer.Message{Hello: &peer.Hello{
-		Term: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen, Zone: c.settings.Zone, Stays: stays,
+		Term: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen, Zone: c.settings.Zone, Persistent: stays,
 	}}
 }
 
@@ -129,9 +129,9 @@
 	for seq := uint64(1); ; seq++ {
 		c.mu.Lock()
 		now := clock.Steady()
-		p := &peer.Ping{Seq: seq, Term: c.candidate.Claim().Term, StoreMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Leaving: c.leaving}
+		p := &peer.Ping{Seq: seq, Term: c.candidate.Claim().Term, StoreContactAgeMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Draining: c.leaving}
 		if c.config != nil {
-			p.Config = c.config.Version
+			p.ConfigVersion = c.config.Version
 		}
 		current := c.candidate.Claim().Term == term && c.term == nil
 		c.mu.Unlock()
@@ -154,19 +154,19 @@
 		c.mu.Lock()
 		if m.Pong.Term == claim.Term {
 			c.candidate.NoteContact(now, claim.Term)
-			c.pendingByQueue = m.Pong.Pending
+			c.pendingByQueue = m.Pong.PendingByQueue
 		}
 		c.addEntries(m.Pong.Entries)
-		if c.config != nil && m.Pong.Config < c.config.Version {
+		if c.config != nil && m.Pong.ConfigVersion < c.config.Version {
 			cc.conn.Send(&peer.Message{Config: &peer.Config{Version: c.config.Version, Data: c.rawConfig}})
 		}
 		c.mu.Unlock()
-	case m.Answer != nil:
-		cc.answer(m.Answer.Seq, m)
-	case m.Relay != nil:
-		c.group.Go(func() { c.storeForPeer(ctx, cc.conn, m.Relay) })
-	case m.Relayed != nil:
-		cc.answer(m.Relayed.Seq, m)
+	case m.PhaseAnswer != nil:
+		cc.answer(m.PhaseAnswer.Seq, m)
+	case m.RelayAppend != nil:
+		c.group.Go(func() { c.storeForPeer(ctx, cc.conn, m.RelayAppend) })
+	case m.RelayResult != nil:
+		cc.answer(m.RelayResult.Seq, m)
 	case m.Config != nil:
 		c.applyConfig(m.Config.Data, "peer "+claim.Entry)
 	case m.Resigned != nil:
@@ -181,7 +181,7 @@
 	defer c.mu.Unlock()
 	c.addEntries(w.Entries)
 	switch {
-	case w.Dispatches && w.Term == claim.Term:
+	case w.IsDispatcher && w.Term == claim.Term:
 		c.candidate.NoteContact(now, claim.Term)
 		c.dispatcherConn = cc
 		c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("dispatcher connected")
@@ -219,11 +219,11 @@
 func (c *Coordinator) handleResigned(r *peer.Resigned) {
 	c.mu.Lock()
 	c.candidate.NoteResigned(r.Term)
-	if r.Heir != "" && r.Heir != c.settings.Name {
+	if r.Successor != "" && r.Successor != c.settings.Name {
 		c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
 	}
 	c.mu.Unlock()
-	c.log.Info().Uint64("term", r.Term).Str("heir", r.Heir).Msg("dispatcher resigned")
+	c.log.Info().Uint64("term", r.Term).Str("heir", r.Successor).Msg("dispatcher resigned")
 	notify(c.wakeLead)
 }
 
@@ -278,7 +278,7 @@
 				c.candidate.ObserveClaim(clock.Steady(), newer)
 				c.mu.Unlock()
 				hearing++
-			} else if w.Term == claim.Term && w.Term != 0 && !w.Resigned && w.HeardMS < leadership.ElectionTimeout.Milliseconds() {
+			} else if w.Term == claim.Term && w.Term != 0 && !w.NoDispatcher && w.DispatcherContactAgeMS < leadership.ElectionTimeout.Milliseconds() {
 				hearing++
 			}
 		})
@@ -299,7 +299,7 @@
 		return false, ""
 	case w.Incarnation != claim.Incarnation:
 		return true, "another process runs at its address"
-	case !w.Dispatches:
+	case !w.IsDispatcher:
 		return true, "it is no longer the dispatcher"
 	}
 	return false, ""
--- a/internal/coordinator/intake.go
+++ b/internal/coordinator/intake.go
@@ -38,7 +38,7 @@
 	case err := <-item.done:
 		return err
 	case <-ctx.Done():
-		return errors.Mark(ctx.Err(), store.ErrUnknown)
+		return errors.Mark(ctx.Err(), store.ErrOutcomeUnknown)
 	}
 }
 
@@ -58,7 +58,7 @@
 			records[i] = item.record
 		}
 		_, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
-			return c.store.Append(ctx, store.Append{Topic: store.TopicIntake, Records: records})
+			return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicIntake, Records: records})
 		})
 		for _, item := range items {
 			item.done <- err
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -159,7 +159,7 @@
 		return err
 	}
 	_, err = callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
-		return c.store.Append(ctx, store.Append{Topic: store.TopicDispatch, At: end, AtSet: true, Records: []store.Record{record}})
+		return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicLeadership, ExpectedEnd: end, CheckEnd: true, Records: []store.Record{record}})
 	})
 	if err != nil {
 		return errors.Wrap(err, "append the claim") // if it was stored all the same, the next attempt reads it
@@ -193,7 +193,7 @@
 	c.candidate.ObserveClaim(sent, own)
 	c.mu.Unlock()
 	if _, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
-		return c.store.Append(ctx, store.Append{Topic: store.TopicProgress, Term: t.number})
+		return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicProgress, Term: t.number})
 	}); err != nil {
 		c.abandon(own.Term)
 		return errors.Wrap(err, "fence earlier terms")
@@ -243,8 +243,8 @@
 // storedWorkers returns the names of all workers that are registered in the store;
 // they may run tasks of earlier terms.
 func (c *Coordinator) storedWorkers(ctx context.Context) ([]string, error) {
-	records, err := callStore(ctx, c, 0, func(ctx context.Context) ([]store.Stored, error) {
-		records, _, err := c.store.All(ctx, store.TopicWorkers)
+	records, err := callStore(ctx, c, 0, func(ctx context.Context) ([]store.StoredRecord, error) {
+		records, _, err := c.store.AllNewest(ctx, store.TopicWorkers)
 		return records, err
 	})
 	if err != nil {
@@ -291,7 +291,7 @@
 	c.candidate.NoteResigned(t.number)
 	c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
 	successor := c.chooseSuccessor(clock.Steady())
-	m := &peer.Message{Resigned: &peer.Resigned{Term: t.number, Heir: successor}}
+	m := &peer.Message{Resigned: &peer.Resigned{Term: t.number, Successor: successor}}
 	for _, a := range t.agents {
 		if a.conn != nil {
 			a.conn.Send(m)
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -36,7 +36,7 @@
 			}
 			return
 		}
-		peer.Tune(conn)
+		peer.SetTCPUserTimeout(conn)
 		c.group.Go(func() { c.servePeer(ctx, peer.NewConn(conn)) })
 	}
 }
@@ -71,18 +71,18 @@
 	now := clock.Steady()
 	if h.Role == peer.RoleEntry && h.Address != "" {
 		c.entries[h.Address] = h.Name
-		if h.Stays {
+		if h.Persistent {
 			c.links[h.Address] = &entryLink{conn: conn, name: h.Name, lastContact: now, storeAge: time.Hour, calls: newCallConn(conn)}
 		}
 	}
 	c.endTermIfLater(h.Term, h.Name)
 	w := &peer.Welcome{
 		Name: c.settings.Name, Incarnation: c.settings.Incarnation, Claim: c.candidate.Claim(), Term: c.candidate.Claim().Term,
-		Dispatches: c.term != nil, Entries: c.entryAddresses(),
+		IsDispatcher: c.term != nil, Entries: c.entryAddresses(),
 	}
 	if c.term == nil && w.Term != 0 {
-		w.HeardMS = now.Sub(c.candidate.LastContact()).Milliseconds()
-		w.Resigned = c.candidate.NoDispatcher()
+		w.DispatcherContactAgeMS = now.Sub(c.candidate.LastContact()).Milliseconds()
+		w.NoDispatcher = c.candidate.NoDispatcher()
 	}
 	conn.Send(&peer.Message{Welcome: w})
 }
@@ -147,28 +147,28 @@
 		return // the agent has not sent a report on this connection in this term
 	case m.Ping != nil:
 		c.handleAgentPing(now, t, a, m.Ping)
-	case m.Ends != nil:
-		for i := range m.Ends.Ends {
-			e := &m.Ends.Ends[i]
+	case m.RunEnds != nil:
+		for i := range m.RunEnds.Ends {
+			e := &m.RunEnds.Ends[i]
 			c.count("runs-"+e.How.String(), 1)
 			c.log.Info().Str("task", e.Task.String()).Uint64("run", e.Run).Str("worker", h.Name).Str("how", e.How.String()).Msg("run ended")
 		}
-		t.scheduler.ApplyEnds(now, clock.WallMS(), h.Name, m.Ends.Life, m.Ends.Ends)
-	case m.Refused != nil:
+		t.scheduler.ApplyEnds(now, clock.WallMS(), h.Name, m.RunEnds.Life, m.RunEnds.Ends)
+	case m.OrderRefused != nil:
 		c.count("orders-refused", 1)
-		c.log.Info().Str("task", m.Refused.Task.String()).Uint64("run", m.Refused.Run).Str("worker", h.Name).Str("reason", m.Refused.Reason).Msg("agent refused an order")
-		if m.Refused.Ticket {
-			t.scheduler.TicketRefused(h.Name, m.Refused.Task)
+		c.log.Info().Str("task", m.OrderRefused.Task.String()).Uint64("run", m.OrderRefused.Run).Str("worker", h.Name).Str("reason", m.OrderRefused.Reason).Msg("agent refused an order")
+		if m.OrderRefused.TicketRejected {
+			t.scheduler.TicketRefused(h.Name, m.OrderRefused.Task)
 		}
-		t.scheduler.OrderRefused(now, clock.WallMS(), h.Name, m.Refused.Life, m.Refused.Task, m.Refused.Run)
-	case m.Advised != nil:
-		c.handleAnswer(now, t, h.Name, m.Advised)
+		t.scheduler.OrderRefused(now, clock.WallMS(), h.Name, m.OrderRefused.Life, m.OrderRefused.Task, m.OrderRefused.Run)
+	case m.PolicyAnswer != nil:
+		c.handleAnswer(now, t, h.Name, m.PolicyAnswer)
 	}
 	notify(c.wakeLead)
 }
 
 // handleAnswer handles the answer to a placement policy question. The caller holds mu.
-func (c *Coordinator) handleAnswer(now time.Time, t *term, asker string, a *peer.Advised) {
+func (c *Coordinator) handleAnswer(now time.Time, t *term, asker string, a *peer.PolicyAnswer) {
 	if a.Failed {
 		c.count("questions-failed", 1)
 		step, open := t.scheduler.PolicyUnanswered(now, a.Seq)
@@ -192,11 +192,11 @@
 	}
 	pong := &peer.Pong{Seq: p.Seq, Term: t.number, Entries: c.entryAddresses()}
 	if t.leaderLease.Valid(now) {
-		a.lastContact, pong.Granted = now, true
+		a.lastContact, pong.WorkerLeaseRenewed = now, true
 	}
 	if p.Worker != nil {
 		p.Worker.Name = a.name
-		t.scheduler.ApplyPing(now, p.Worker, p.Rows)
+		t.scheduler.ApplyPing(now, p.Worker, p.Runs)
 	}
 	a.conn.Send(&peer.Message{Pong: pong})
 }
@@ -207,23 +207,23 @@
 	switch {
 	case m.Ping != nil:
 		c.handleEntryPing(now, conn, h, m.Ping)
-	case m.Admit != nil:
-		c.admitStored(now, m.Admit)
-	case m.Cancel != nil:
-		c.cancelStored(now, m.Cancel.ID)
-	case m.Query != nil:
-		phase, known := c.localPhase(m.Query.ID)
-		conn.Send(&peer.Message{Answer: &peer.Answer{Seq: m.Query.Seq, Known: known, Phase: phase}})
+	case m.SubmissionStored != nil:
+		c.admitStored(now, m.SubmissionStored)
+	case m.CancellationStored != nil:
+		c.cancelStored(now, m.CancellationStored.ID)
+	case m.PhaseQuery != nil:
+		phase, known := c.localPhase(m.PhaseQuery.ID)
+		conn.Send(&peer.Message{PhaseAnswer: &peer.PhaseAnswer{Seq: m.PhaseQuery.Seq, Known: known, Phase: phase}})
 	case m.Config != nil:
 		c.applyConfig(m.Config.Data, "peer "+h.Name)
-	case m.Relay != nil:
-		c.group.Go(func() { c.storeForPeer(ctx, conn, m.Relay) })
-	case m.Relayed != nil:
+	case m.RelayAppend != nil:
+		c.group.Go(func() { c.storeForPeer(ctx, conn, m.RelayAppend) })
+	case m.RelayResult != nil:
 		c.mu.Lock()
 		l := c.links[h.Address]
 		c.mu.Unlock()
 		if l != nil {
-			l.calls.answer(m.Relayed.Seq, m)
+			l.calls.answer(m.RelayResult.Seq, m)
 		}
 	case m.Resigned != nil:
 		c.handleResigned(m.Resigned)
@@ -236,19 +236,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l := c.links[h.Address]; l != nil {
-		l.lastContact, l.leaving, l.storeAge = now, p.Leaving, time.Duration(p.StoreMS)*time.Millisecond
+		l.lastContact, l.leaving, l.storeAge = now, p.Draining, time.Duration(p.StoreContactAgeMS)*time.Millisecond
 	}
 	pong := &peer.Pong{Seq: p.Seq, Entries: c.entryAddresses()}
 	if c.config != nil {
-		pong.Config = c.config.Version
+		pong.ConfigVersion = c.config.Version
 	}
 	if c.term != nil {
 		pong.Term = c.term.number
-		pong.Pending = c.term.scheduler.PendingJobs()
+		pong.PendingByQueue = c.term.scheduler.PendingJobs()
 	}
 	conn.Send(&peer.Message{Pong: pong})
-	if p.Config < pong.Config {
-		conn.Send(&peer.Message{Config: &peer.Config{Version: pong.Config, Data: c.rawConfig}})
+	if p.ConfigVersion < pong.ConfigVersion {
+		conn.Send(&peer.Message{Config: &peer.Config{Version: pong.ConfigVersion, Data: c.rawConfig}})
 	}
 	c.endTermIfLater(p.Term, h.Name)
 }
@@ -264,7 +264,7 @@
 }
 
 // storeForPeer stores a record for an entry that cannot reach the store.
-func (c *Coordinator) storeForPeer(ctx context.Context, conn *peer.Conn, r *peer.Relay) {
+func (c *Coordinator) storeForPeer(ctx context.Context, conn *peer.Conn, r *peer.RelayAppend) {
 	err := c.storeDirectly(ctx, r.Record)
-	conn.Send(&peer.Message{Relayed: &peer.Relayed{Seq: r.Seq, Stored: err == nil, Refused: isRefused(err)}})
+	conn.Send(&peer.Message{RelayResult: &peer.RelayResult{Seq: r.Seq, Stored: err == nil, Refused: isRefused(err)}})
 }
--- a/internal/coordinator/superseded_test.go
+++ b/internal/coordinator/superseded_test.go
@@ -33,7 +33,7 @@
 }
 
 func reportOf(name string, ends ...dispatch.RunEnd) *peer.Report {
-	return &peer.Report{Worker: dispatch.Worker{Name: name, Life: 1, Service: "bench", Capacity: worker.Resources{MilliCPU: 1000}}, Ends: ends}
+	return &peer.Report{Worker: dispatch.Worker{Name: name, Life: 1, Service: "bench", Capacity: worker.Resources{MilliCPU: 1000}}, RunEnds: ends}
 }
 
 func TestSubmissionRecordsNewestKnownTerm(t *testing.T) {
@@ -76,7 +76,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.applyRecords([]store.Stored{{Record: r}})
+			c.applyRecords([]store.StoredRecord{{Record: r}})
 			if got := len(held.scheduler.Decide(now, clock.WallMS()).Starts()); got != tc.starts {
 				t.Errorf("starts: got %d, want %d", got, tc.starts)
 			}
@@ -98,7 +98,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := &standin.Store{}
 			c, held := newDispatcher(t, s)
-			mustAppend(t, s, store.Append{Topic: store.TopicProgress, Term: max(ownTerm, tc.later)})
+			mustAppend(t, s, store.AppendRequest{Topic: store.TopicProgress, Term: max(ownTerm, tc.later)})
 			held.unregistered["w1"] = reportOf("w1")
 			c.registerWorkers(context.Background(), held)
 			if got := held.registered["w1"]; got != tc.want {
--- a/internal/coordinator/tail.go
+++ b/internal/coordinator/tail.go
@@ -120,11 +120,11 @@
 func (c *Coordinator) reread(ctx context.Context, topic store.Topic, t *tail) error {
 	began := clock.Steady()
 	type all struct {
-		records []store.Stored
+		records []store.StoredRecord
 		end     uint64
 	}
 	got, err := callStore(ctx, c, storeTimeout, func(ctx context.Context) (all, error) {
-		records, end, err := c.store.All(ctx, topic)
+		records, end, err := c.store.AllNewest(ctx, topic)
 		return all{records, end}, err
 	})
 	if err != nil {
@@ -140,7 +140,7 @@
 }
 
 // applyRecords applies records to the job table and passes changes to the scheduler.
-func (c *Coordinator) applyRecords(records []store.Stored) {
+func (c *Coordinator) applyRecords(records []store.StoredRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Steady()
@@ -205,13 +205,13 @@
 	return next, nil
 }
 
-func (c *Coordinator) readAllConfig(ctx context.Context) ([]store.Stored, uint64, error) {
+func (c *Coordinator) readAllConfig(ctx context.Context) ([]store.StoredRecord, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	return c.store.All(ctx, store.TopicConfig)
+	return c.store.AllNewest(ctx, store.TopicConfig)
 }
 
-func (c *Coordinator) applyConfigRecords(records []store.Stored) {
+func (c *Coordinator) applyConfigRecords(records []store.StoredRecord) {
 	for i := range records {
 		if records[i].Key == configKey {
 			c.applyConfig(records[i].Value, "store")
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -103,11 +103,11 @@
 		c.log.Warn().Str("worker", r.Worker.Name).Int("runs", n).Msg("worker has no runner; its runs have ended")
 		return
 	}
-	t.scheduler.ApplyReport(now, clock.WallMS(), &r.Worker, r.Rows, r.Ends)
+	t.scheduler.ApplyReport(now, clock.WallMS(), &r.Worker, r.Runs, r.RunEnds)
 	if a, g := t.agents[r.Worker.Name], t.scheduler.GuardedTasks(r.Worker.Name); a != nil && a.conn != nil && len(g) > 0 {
-		a.conn.Send(&peer.Message{Orders: &peer.Orders{Term: t.number, Guarded: g}})
+		a.conn.Send(&peer.Message{Orders: &peer.Orders{Term: t.number, GuardedTasks: g}})
 	}
-	c.log.Info().Str("worker", r.Worker.Name).Uint64("life", r.Worker.Life).Int("runs", len(r.Rows)).Int("ends", len(r.Ends)).
+	c.log.Info().Str("worker", r.Worker.Name).Uint64("life", r.Worker.Life).Int("runs", len(r.Runs)).Int("ends", len(r.RunEnds)).
 		Uint64("term", t.number).Msg("worker reported")
 }
 
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -95,7 +95,7 @@
 
 // reachableStore returns the store, or one that refuses every call while the entry is
 // isolated.
-func (e *entry) reachableStore() *store.Port {
+func (e *entry) reachableStore() *store.Client {
 	if e.w.now < e.isolatedUntil {
 		return &e.w.unreachable
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return
 	}
-	a := store.Append{Topic: store.TopicDispatch, At: end, AtSet: true, Records: []store.Record{record}}
+	a := store.AppendRequest{Topic: store.TopicLeadership, ExpectedEnd: end, CheckEnd: true, Records: []store.Record{record}}
 	if e.w.random.IntN(10) == 0 { // the write takes effect late and is not answered
 		e.w.schedule(e.w.randomUpTo(4*time.Second), func() { _, _ = e.w.port.Append(context.Background(), a) })
 		return
@@ -162,12 +162,12 @@
 func (e *entry) beginTerm(now time.Time, own, previous leadership.Claim) {
 	e.candidate.ObserveClaim(now, own)
 	t := &dispatcherState{number: own.Term, previousClaim: previous, agents: make(map[string]*agentLink), storedWorkers: make(map[string]bool)}
-	if _, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number}); err != nil {
+	if _, err := e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicProgress, Term: t.number}); err != nil {
 		e.candidate.NoteResigned(own.Term)
 		return
 	}
 	t.leaderLease.Renew(now)
-	stored, _, err := e.reachableStore().All(context.Background(), store.TopicWorkers)
+	stored, _, err := e.reachableStore().AllNewest(context.Background(), store.TopicWorkers)
 	jobTable, readErr := e.readJobTable()
 	if err != nil || readErr != nil {
 		e.candidate.NoteResigned(own.Term)
@@ -199,7 +199,7 @@
 func (e *entry) readJobTable() (*workflow.JobTable, error) {
 	jobTable := new(workflow.JobTable)
 	for _, topic := range []store.Topic{store.TopicIntake, store.TopicProgress} {
-		records, _, err := e.reachableStore().All(context.Background(), topic)
+		records, _, err := e.reachableStore().AllNewest(context.Background(), topic)
 		if err != nil {
 			return nil, err
 		}
@@ -321,7 +321,7 @@
 		return
 	}
 	t.needsWrite = false
-	_, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Records: t.records, Term: t.number, Seq: t.seq + 1})
+	_, err := e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicProgress, Records: t.records, Term: t.number, Seq: t.seq + 1})
 	switch {
 	case err == nil:
 		t.leaderLease.Renew(now)
--- a/internal/explore/term/messages.go
+++ b/internal/explore/term/messages.go
@@ -19,9 +19,9 @@
 	now := e.clock()
 	if !t.storedWorkers[w.Name] && !e.w.rules.NoWorkers {
 		record := store.Record{Key: w.Name, Value: []byte{1}}
-		_, err := e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicWorkers, Records: []store.Record{record}})
+		_, err := e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicWorkers, Records: []store.Record{record}})
 		if err == nil && !e.w.rules.UnprovenWorkers {
-			_, err = e.reachableStore().Append(context.Background(), store.Append{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
+			_, err = e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
 		}
 		if err != nil {
 			e.w.schedule(observeInterval, func() { c.deliver(&e.process, 0, func() { e.handleReport(c, w, rows, ends) }) })
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -106,9 +106,9 @@
 	now       time.Duration
 	scheduled []event
 	store     standin.Store
-	port      store.Port
+	port      store.Client
 	// unreachable refuses every call, as the store seems to do to an isolated entry.
-	unreachable store.Port
+	unreachable store.Client
 	history     standin.History
 	entries     []*entry
 	agents      []*agent
@@ -195,7 +195,7 @@
 	}}}
 	record, err := workflow.SubmissionRecord(sub)
 	if err == nil {
-		_, err = w.port.Append(context.Background(), store.Append{Topic: store.TopicIntake, Records: []store.Record{record}})
+		_, err = w.port.Append(context.Background(), store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{record}})
 	}
 	if err != nil {
 		w.schedule(tick, func() { w.submit(i) }) // the caller retries
@@ -208,7 +208,7 @@
 // checkJobs returns an error if a job is not completed, or is completed although no
 // run of one of its tasks did its work.
 func (w *world) checkJobs() error {
-	records, _, err := w.port.All(context.Background(), store.TopicProgress)
+	records, _, err := w.port.AllNewest(context.Background(), store.TopicProgress)
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 		w.store.Fail(store.ErrRefused, false)
 		w.schedule(duration, func() { w.store.Fail(nil, false) })
 	case 8:
-		w.store.Fail(store.ErrUnknown, true)
+		w.store.Fail(store.ErrOutcomeUnknown, true)
 		w.schedule(w.randomUpTo(time.Second), func() { w.store.Fail(nil, false) })
 	case 10:
 		e.isolatedUntil = w.now + 3*duration
--- a/internal/lines/lines.go
+++ b/internal/lines/lines.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// DefaultPerSecond is the default limit of debug and info lines per second. Each task
+	// DefaultMaxInfoLinesPerSecond is the default limit of debug and info lines per second. Each task
 	// logs two, at its start and at its end, and 300 tasks start per second at the target
 	// size of an installation.
-	DefaultPerSecond = 1000
+	DefaultMaxInfoLinesPerSecond = 1000
 	// maxPendingBytes bounds the buffer of lines that wait to be written.
 	maxPendingBytes = 1 << 20
 	// batchDelay is how long a line waits for others to be written with it, since each
@@ -31,9 +31,9 @@
 type Writer struct {
 	// Out receives the lines.
 	Out io.Writer
-	// PerSecond is the limit of debug and info lines per second. Warnings and errors are
+	// MaxInfoLinesPerSecond is the limit of debug and info lines per second. Warnings and errors are
 	// dropped only while the buffer is full, because Out does not keep up.
-	PerSecond int
+	MaxInfoLinesPerSecond int
 	// Now returns the current time.
 	Now func() time.Time
 
@@ -52,7 +52,7 @@
 
 // New returns a Writer to out with the default limit.
 func New(out io.Writer) *Writer {
-	return &Writer{Out: out, PerSecond: DefaultPerSecond, Now: time.Now, ready: make(chan struct{}, 1)}
+	return &Writer{Out: out, MaxInfoLinesPerSecond: DefaultMaxInfoLinesPerSecond, Now: time.Now, ready: make(chan struct{}, 1)}
 }
 
 // Write buffers a line or drops it. It never blocks and never returns an error.
@@ -85,7 +85,7 @@
 		w.budgetSecond, w.budgetUsed = s, 0
 	}
 	w.budgetUsed++
-	return w.budgetUsed <= w.PerSecond
+	return w.budgetUsed <= w.MaxInfoLinesPerSecond
 }
 
 // Run writes buffered lines until ctx ends, and then those that remain.
--- a/internal/lines/lines_test.go
+++ b/internal/lines/lines_test.go
@@ -29,7 +29,7 @@
 	w := New(&out)
 	now := time.Unix(1000, 0)
 	w.Now = func() time.Time { return now }
-	w.PerSecond = 10
+	w.MaxInfoLinesPerSecond = 10
 	for range 100 {
 		mustWrite(t, w, info)
 	}
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -20,9 +20,9 @@
 	dialTimeout = 600 * time.Millisecond
 	// writeTimeout bounds one write, since a peer that does not read blocks it.
 	writeTimeout = 2 * time.Second
-	// SilentAfter is how long a connection may go without received data before it is
+	// ReceiveTimeout is how long a connection may go without received data before it is
 	// closed: three ping intervals of half a second each, since every ping is answered.
-	SilentAfter = 1500 * time.Millisecond
+	ReceiveTimeout = 1500 * time.Millisecond
 	// queueLength bounds the number of messages that wait to be written to one peer.
 	queueLength      = 4096
 	writeBufferBytes = 8 << 10
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "connect to %s", address)
 	}
-	Tune(c)
+	SetTCPUserTimeout(c)
 	return NewConn(c), nil
 }
 
@@ -52,8 +52,8 @@
 	return &Conn{conn: c, sendQueue: make(chan *Message, queueLength), done: make(chan struct{})}
 }
 
-// Remote returns the IP address and port of the peer.
-func (c *Conn) Remote() string { return c.conn.RemoteAddr().String() }
+// RemoteAddress returns the IP address and port of the peer.
+func (c *Conn) RemoteAddress() string { return c.conn.RemoteAddr().String() }
 
 // Done is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
@@ -104,7 +104,7 @@
 type deadlineReader struct{ conn net.Conn }
 
 func (r *deadlineReader) Read(p []byte) (int, error) {
-	if err := r.conn.SetReadDeadline(time.Now().Add(SilentAfter)); err != nil {
+	if err := r.conn.SetReadDeadline(time.Now().Add(ReceiveTimeout)); err != nil {
 		return 0, err
 	}
 	return r.conn.Read(p)
--- a/internal/peer/tcptimeout.go
+++ b/internal/peer/tcptimeout.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Tune sets the TCP user timeout: the connection ends if sent data is not
+// SetTCPUserTimeout sets the TCP user timeout: the connection ends if sent data is not
 // acknowledged for 1500 ms, the limit that also applies to received data.
 // It does nothing if c is not a TCP connection.
-func Tune(c net.Conn) {
+func SetTCPUserTimeout(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -20,6 +20,6 @@
 		return // the read deadline still ends a connection that receives nothing
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(SilentAfter/time.Millisecond))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ReceiveTimeout/time.Millisecond))
 	})
 }
--- a/internal/runneragent/agent.go
+++ b/internal/runneragent/agent.go
@@ -73,7 +73,7 @@
 type Agent struct {
 	settings Settings
 	runner   Runner
-	store    store.Port
+	store    store.Client
 	log      *log.Logger
 	registry gometrics.Registry
 	group    sync.WaitGroup
@@ -119,7 +119,7 @@
 }
 
 // New returns an agent.
-func New(s Settings, runner Runner, port store.Port, logger *log.Logger, registry gometrics.Registry) *Agent {
+func New(s Settings, runner Runner, port store.Client, logger *log.Logger, registry gometrics.Registry) *Agent {
 	a := &Agent{
 		settings: s, runner: runner, store: port, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
 		lastRunLeaseEnd: clock.Steady().Add(leadership.WorkerLeaseDuration), // an earlier agent process may have renewed run leases up to then
@@ -393,16 +393,16 @@
 			unsent = append(unsent, e)
 		}
 	}
-	if len(unsent) > 0 && a.conn.Send(&peer.Message{Ends: &peer.Ends{Life: a.life, Ends: unsent}}) {
+	if len(unsent) > 0 && a.conn.Send(&peer.Message{RunEnds: &peer.RunEnds{Life: a.life, Ends: unsent}}) {
 		a.reportedEnd = a.lastEndNumber()
 	}
 }
 
 // newReport returns a report of the worker's whole state. The caller holds mu.
 func (a *Agent) newReport() *peer.Report {
-	r := &peer.Report{Worker: a.describeWorker(), Rows: append([]dispatch.RunStatus(nil), a.runs...), Ends: append([]dispatch.RunEnd(nil), a.runEnds...)}
+	r := &peer.Report{Worker: a.describeWorker(), Runs: append([]dispatch.RunStatus(nil), a.runs...), RunEnds: append([]dispatch.RunEnd(nil), a.runEnds...)}
 	for k := range a.unlistedStarts {
-		r.Rows = append(r.Rows, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
+		r.Runs = append(r.Runs, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
 	}
 	return r
 }
--- a/internal/runneragent/agent_test.go
+++ b/internal/runneragent/agent_test.go
@@ -96,7 +96,7 @@
 	t.Helper()
 	s := &fixture{runner: &fakeRunner{listing: Listing{ClockMS: 1000, StartedAtMS: 7}}, received: make(chan *peer.Message, 64)}
 	logger := &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
-	s.agent = New(Settings{Name: "w1"}, s.runner.port(), store.Port{}, logger, gometrics.NewRegistry())
+	s.agent = New(Settings{Name: "w1"}, s.runner.port(), store.Client{}, logger, gometrics.NewRegistry())
 	here, there := net.Pipe()
 	conn, dispatcher := peer.NewConn(here), peer.NewConn(there)
 	var group sync.WaitGroup
@@ -146,9 +146,9 @@
 	s := newFixture(t)
 	s.runner.startErr = ErrNoAnswer
 	s.agent.handleOrders(context.Background(), startOrders(3))
-	m := s.next(t, func(m *peer.Message) bool { return m.Refused != nil })
-	if m.Refused.Task != task || m.Refused.Run != 2 {
-		t.Errorf("refused: got %+v, want run 2 of %s", m.Refused, task)
+	m := s.next(t, func(m *peer.Message) bool { return m.OrderRefused != nil })
+	if m.OrderRefused.Task != task || m.OrderRefused.Run != 2 {
+		t.Errorf("refused: got %+v, want run 2 of %s", m.OrderRefused, task)
 	}
 	s.runner.mu.Lock()
 	defer s.runner.mu.Unlock()
@@ -184,7 +184,7 @@
 			o := startOrders(3)
 			tc.change(s, o)
 			s.agent.handleOrders(context.Background(), o)
-			s.next(t, func(m *peer.Message) bool { return m.Refused != nil })
+			s.next(t, func(m *peer.Message) bool { return m.OrderRefused != nil })
 			s.agent.group.Wait()
 			if len(s.runner.listing.Runs) != 0 {
 				t.Errorf("runs: got %v, want none", s.runner.listing.Runs)
@@ -325,12 +325,12 @@
 			t.Fatal(err)
 		}
 	}
-	m := s.next(t, func(m *peer.Message) bool { return m.Ends != nil })
-	if len(m.Ends.Ends) != 1 {
-		t.Errorf("ends: got %v, want one", m.Ends.Ends)
+	m := s.next(t, func(m *peer.Message) bool { return m.RunEnds != nil })
+	if len(m.RunEnds.Ends) != 1 {
+		t.Errorf("ends: got %v, want one", m.RunEnds.Ends)
 	}
-	s.agent.handleAck(&peer.Noted{Life: 6, End: 9})
-	s.agent.handleAck(&peer.Noted{Life: 7, End: 1})
+	s.agent.handleAck(&peer.RunEndsAck{Life: 6, LastAckedEnd: 9})
+	s.agent.handleAck(&peer.RunEndsAck{Life: 7, LastAckedEnd: 1})
 	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -339,8 +339,8 @@
 	}
 	select {
 	case m := <-s.received:
-		if m.Ends != nil {
-			t.Errorf("got %v again, want it sent once", m.Ends)
+		if m.RunEnds != nil {
+			t.Errorf("got %v again, want it sent once", m.RunEnds)
 		}
 	default:
 	}
--- a/internal/runneragent/ask.go
+++ b/internal/runneragent/ask.go
@@ -10,7 +10,7 @@
 // answerQuestion forwards a question of the dispatcher to the placement policy
 // service and sends the answer back.
 func (a *Agent) answerQuestion(ctx context.Context, q *dispatch.Question) {
-	answer := &peer.Advised{Seq: q.Seq}
+	answer := &peer.PolicyAnswer{Seq: q.Seq}
 	advice, err := a.askPolicy(ctx, q)
 	if err != nil {
 		a.count("questions-failed")
@@ -23,7 +23,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		a.conn.Send(&peer.Message{Advised: answer})
+		a.conn.Send(&peer.Message{PolicyAnswer: answer})
 	}
 }
 
--- a/internal/runneragent/link.go
+++ b/internal/runneragent/link.go
@@ -93,13 +93,13 @@
 	term := a.term
 	a.mu.Unlock()
 	conn.Send(&peer.Message{Hello: &peer.Hello{
-		Role: peer.RoleAgent, Name: a.settings.Name, Incarnation: a.settings.Incarnation, Zone: a.settings.Zone, Stays: true, Term: term,
+		Role: peer.RoleAgent, Name: a.settings.Name, Incarnation: a.settings.Incarnation, Zone: a.settings.Zone, Persistent: true, Term: term,
 	}})
 	err = conn.Run(&a.group, func(m *peer.Message) {
 		switch {
 		case m.Welcome != nil:
 			a.AddEntries(m.Welcome.Entries)
-			if m.Welcome.Dispatches && a.joinTerm(live, conn, m.Welcome.Term) {
+			if m.Welcome.IsDispatcher && a.joinTerm(live, conn, m.Welcome.Term) {
 				stayed = true
 				a.log.Info().Str("dispatcher", m.Welcome.Name).Uint64("term", m.Welcome.Term).Msg("dispatcher connected")
 				return
@@ -110,8 +110,8 @@
 			a.handlePong(conn, m.Pong)
 		case m.Orders != nil:
 			a.handleOrders(ctx, m.Orders)
-		case m.Noted != nil:
-			a.handleAck(m.Noted)
+		case m.Ack != nil:
+			a.handleAck(m.Ack)
 		case m.Resigned != nil:
 			hint = ""
 			conn.Close()
@@ -213,7 +213,7 @@
 	}
 	a.pingSentAt[a.pingSeq] = now
 	w := a.describeWorker()
-	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.pingSeq, Worker: &w, Rows: append([]dispatch.RunStatus(nil), a.runs...)}})
+	a.conn.Send(&peer.Message{Ping: &peer.Ping{Seq: a.pingSeq, Worker: &w, Runs: append([]dispatch.RunStatus(nil), a.runs...)}})
 }
 
 // handlePong handles the answer to a ping, which may renew the worker lease.
@@ -225,18 +225,18 @@
 		conn.Close()
 		return
 	}
-	if sent, ok := a.pingSentAt[p.Seq]; ok && p.Granted {
+	if sent, ok := a.pingSentAt[p.Seq]; ok && p.WorkerLeaseRenewed {
 		a.workerLease.Renew(sent)
 	}
 	delete(a.pingSentAt, p.Seq)
 }
 
 // handleAck handles the dispatcher's message up to which number it has stored run ends.
-func (a *Agent) handleAck(n *peer.Noted) {
+func (a *Agent) handleAck(n *peer.RunEndsAck) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if n.Life == a.life {
-		a.ackedEnd = max(a.ackedEnd, n.End)
+		a.ackedEnd = max(a.ackedEnd, n.LastAckedEnd)
 	}
 }
 
--- a/internal/runneragent/lives_test.go
+++ b/internal/runneragent/lives_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	m := s.next(t, func(m *peer.Message) bool { return m.Report != nil })
-	if m.Report.Worker.Life != 8 || len(m.Report.Rows) != 0 {
+	if m.Report.Worker.Life != 8 || len(m.Report.Runs) != 0 {
 		t.Errorf("report: got %+v, want life 8 without runs", m.Report)
 	}
 	s.agent.group.Wait()
@@ -100,7 +100,7 @@
 // numbered from the beginning.
 func TestAcknowledgementIsOnlyForTheSameLife(t *testing.T) {
 	s := newFixture(t)
-	s.agent.handleAck(&peer.Noted{Life: 7, End: 57})
+	s.agent.handleAck(&peer.RunEndsAck{Life: 7, LastAckedEnd: 57})
 	last := func() uint64 {
 		s.runner.mu.Lock()
 		defer s.runner.mu.Unlock()
--- a/internal/runneragent/orders.go
+++ b/internal/runneragent/orders.go
@@ -21,7 +21,7 @@
 		return
 	}
 	now := clock.Steady()
-	a.guard.addTasks(o.Guarded)
+	a.guard.addTasks(o.GuardedTasks)
 	for i := range o.Starts {
 		s := o.Starts[i]
 		k := runKey{s.Task, s.Run}
@@ -59,7 +59,7 @@
 	a.count("orders-refused")
 	a.log.Info().Str("task", k.task.String()).Uint64("run", k.run).Str("reason", reason.Error()).Msg("order refused")
 	if a.conn != nil {
-		a.conn.Send(&peer.Message{Refused: &peer.Refused{Life: life, Task: k.task, Run: k.run, Reason: reason.Error(), Ticket: errors.Is(reason, ErrTicket)}})
+		a.conn.Send(&peer.Message{OrderRefused: &peer.OrderRefused{Life: life, Task: k.task, Run: k.run, Reason: reason.Error(), TicketRejected: errors.Is(reason, ErrTicket)}})
 	}
 }
 
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -27,11 +27,11 @@
 
 type keyedTopic struct {
 	// records holds the records from firstOffset on.
-	records     []store.Stored
+	records     []store.StoredRecord
 	firstOffset uint64
 	endOffset   uint64
 	// newest holds the newest record of each key.
-	newest map[string]store.Stored
+	newest map[string]store.StoredRecord
 	term   uint64
 	seq    uint64
 	// endOffsets holds the end offset after each append of the term, by sequence number.
@@ -39,8 +39,8 @@
 }
 
 // Port returns a client of the store.
-func (s *Store) Port() store.Port {
-	return store.Port{Append: s.append, Read: s.read, Newest: s.readNewest}
+func (s *Store) Port() store.Client {
+	return store.Client{Append: s.append, Read: s.read, ReadNewest: s.readNewest}
 }
 
 // Fail makes every call return err until Fail is called with nil. If
@@ -67,21 +67,21 @@
 	}
 	t := s.topics[name]
 	if t == nil {
-		t = &keyedTopic{newest: make(map[string]store.Stored)}
+		t = &keyedTopic{newest: make(map[string]store.StoredRecord)}
 		s.topics[name] = t
 	}
 	return t
 }
 
-func (s *Store) append(_ context.Context, a store.Append) (uint64, error) {
+func (s *Store) append(_ context.Context, a store.AppendRequest) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fault != nil && !s.writeDespiteFault {
 		return 0, s.fault
 	}
 	t := s.topic(a.Topic)
-	if a.AtSet && a.At != t.endOffset {
-		return t.endOffset, s.faultOr(store.ErrMoved)
+	if a.CheckEnd && a.ExpectedEnd != t.endOffset {
+		return t.endOffset, s.faultOr(store.ErrEndMismatch)
 	}
 	if a.Term > 0 {
 		if end, repeated, err := t.checkSequence(&a); repeated || err != nil {
@@ -90,7 +90,7 @@
 		defer func() { t.endOffsets[a.Seq] = t.endOffset }()
 	}
 	for _, r := range a.Records {
-		stored := store.Stored{Record: r, Offset: t.endOffset}
+		stored := store.StoredRecord{Record: r, Offset: t.endOffset}
 		t.records = append(t.records, stored)
 		t.newest[r.Key] = stored
 		if len(r.Value) == 0 {
@@ -116,7 +116,7 @@
 
 // checkSequence checks and records the term and the sequence number of an append.
 // repeated means that the append was carried out before, with the given end offset.
-func (t *keyedTopic) checkSequence(a *store.Append) (end uint64, repeated bool, err error) {
+func (t *keyedTopic) checkSequence(a *store.AppendRequest) (end uint64, repeated bool, err error) {
 	switch {
 	case a.Term < t.term:
 		return 0, false, store.ErrFenced
--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -21,8 +21,8 @@
 // NewestClaim returns the newest leadership claim, and the offset after the last record
 // of its topic. The term of a claim is one more than the offset of its record. skipped is
 // the number of records in the topic that are not claims.
-func (p *Port) NewestClaim(ctx context.Context) (newest leadership.Claim, end uint64, skipped int, err error) {
-	records, end, err := p.All(ctx, TopicDispatch)
+func (p *Client) NewestClaim(ctx context.Context) (newest leadership.Claim, end uint64, skipped int, err error) {
+	records, end, err := p.AllNewest(ctx, TopicLeadership)
 	if err != nil {
 		return leadership.Claim{}, 0, 0, errors.Wrap(err, "read leadership claims")
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,12 +16,12 @@
 var (
 	// ErrRefused means that the call has not been and will not be carried out.
 	ErrRefused = errors.New("the store did not carry out the call")
-	// ErrUnknown means that the call may have been carried out, or may still be.
-	ErrUnknown = errors.New("outcome of the call to the store unknown")
+	// ErrOutcomeUnknown means that the call may have been carried out, or may still be.
+	ErrOutcomeUnknown = errors.New("outcome of the call to the store unknown")
 	// ErrFenced means that a writer of a later leadership term has written to the topic.
 	ErrFenced = errors.New("a later term has written to the store")
-	// ErrMoved means that the topic does not end at the offset that the append requires.
-	ErrMoved = errors.New("the topic does not end at the expected offset")
+	// ErrEndMismatch means that the topic does not end at the offset that the append requires.
+	ErrEndMismatch = errors.New("the topic does not end at the expected offset")
 	// ErrTrimmed means that the store has deleted records from the requested offset on.
 	ErrTrimmed = errors.New("the store no longer has the requested records")
 )
@@ -36,8 +36,8 @@
 	// TopicProgress holds the progress of jobs. It is a topic of its own so that appends to
 	// it do not wait for appends of submissions.
 	TopicProgress Topic = "progress"
-	// TopicDispatch holds the leadership claims.
-	TopicDispatch Topic = "dispatch"
+	// TopicLeadership holds the leadership claims.
+	TopicLeadership Topic = "dispatch"
 	// TopicWorkers holds the names of the workers that may run tasks.
 	TopicWorkers Topic = "workers"
 	// TopicConfig holds the operators' configuration. The scheduler only reads it.
@@ -47,14 +47,14 @@
 // Record is a keyed record. A record without a value deletes its key.
 type Record = workflow.Record
 
-// Append is a call that appends records to a topic.
-type Append struct {
+// AppendRequest is a call that appends records to a topic.
+type AppendRequest struct {
 	Topic   Topic
 	Records []Record
-	// At is the offset at which the topic must end before the append.
-	At uint64
-	// AtSet is set if the end of the topic is to be checked.
-	AtSet bool
+	// ExpectedEnd is the offset at which the topic must end before the append.
+	ExpectedEnd uint64
+	// CheckEnd is set if the end of the topic is to be checked.
+	CheckEnd bool
 	// Term is the leadership term of the writer, a fencing token: the store refuses appends
 	// of earlier terms. 0 is an append without a term.
 	Term uint64
@@ -63,40 +63,40 @@
 	Seq uint64
 }
 
-// Stored is a record with its offset in the topic.
-type Stored struct {
+// StoredRecord is a record with its offset in the topic.
+type StoredRecord struct {
 	Record
 	Offset uint64
 }
 
 // Page is the result of a read.
 type Page struct {
-	Records []Stored
+	Records []StoredRecord
 	// End is the offset after the last record of the topic.
 	End uint64
 	// More is set if more pages of newest records follow.
 	More bool
 }
 
-// Port holds the functions that call the store.
-type Port struct {
+// Client holds the functions that call the store.
+type Client struct {
 	// Append appends records and returns the offset after the last one.
-	Append func(ctx context.Context, a Append) (uint64, error)
+	Append func(ctx context.Context, a AppendRequest) (uint64, error)
 	// Read returns records from an offset on. If there are none yet, it waits for up to wait.
 	Read func(ctx context.Context, topic Topic, from uint64, wait time.Duration) (*Page, error)
-	// Newest returns a page with the newest record of each key, from the first key after
+	// ReadNewest returns a page with the newest record of each key, from the first key after
 	// the key named after; an empty one begins with the first page.
-	Newest func(ctx context.Context, topic Topic, after string) (*Page, error)
+	ReadNewest func(ctx context.Context, topic Topic, after string) (*Page, error)
 }
 
-// All returns the newest record of every key, and an offset from which to read on. It
+// AllNewest returns the newest record of every key, and an offset from which to read on. It
 // misses no record before that offset; some records may have later offsets, since the
 // topic may grow while the pages are read.
-func (p *Port) All(ctx context.Context, topic Topic) ([]Stored, uint64, error) {
-	var out []Stored
+func (p *Client) AllNewest(ctx context.Context, topic Topic) ([]StoredRecord, uint64, error) {
+	var out []StoredRecord
 	end, after := uint64(0), ""
 	for first := true; ; first = false {
-		page, err := p.Newest(ctx, topic, after)
+		page, err := p.ReadNewest(ctx, topic, after)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -83,10 +83,10 @@
 	return f.Job == job || strings.HasPrefix(f.Task, job+".") || strings.HasPrefix(f.Step, job+".")
 }
 
-// Order returns the lines sorted by cause first and time second, since the clocks of
+// SortByCause returns the lines sorted by cause first and time second, since the clocks of
 // processes differ: lines of an agent about a run are sorted after the dispatcher's line
 // that orders its start, and before the dispatcher's line that reports its end.
-func Order(lines []Line) []Line {
+func SortByCause(lines []Line) []Line {
 	type key struct {
 		task string
 		run  uint64
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range Order(lines) {
+	for _, l := range SortByCause(lines) {
 		got = append(got, l.Process()+": "+l.message)
 	}
 	want := []string{
