--- a/internal/agent/active_attempt.go
+++ b/internal/agent/active_attempt.go
@@ -61,7 +61,7 @@
 	case endpoint.Shed:
 		a.finish(now, att, endpoint.AttemptNotRun, nil)
 		if a.draining {
-			return att, admission, link.RefusalLeaving
+			return att, admission, link.RefusalDraining
 		}
 		return att, admission, link.RefusalFull
 	}
@@ -231,19 +231,19 @@
 	})
 }
 
-func (a *Agent) handleAttemptQuery(_ context.Context, _ link.Peer, q *link.FateQuery) (*link.FateReply, error) {
+func (a *Agent) handleAttemptQuery(_ context.Context, _ link.Peer, q *link.AttemptStateQuery) (*link.AttemptStateReply, error) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if q.Incarnation != a.incarnation {
-		return &link.FateReply{Fate: endpoint.AttemptUnknown.String()}, nil
+		return &link.AttemptStateReply{State: endpoint.AttemptUnknown.String()}, nil
 	}
 	id := endpoint.AttemptID{Request: q.Request, Attempt: q.Attempt}
 	state := a.dedupTable.QueryOrFence(now, id, q.Mark)
 	if att := a.activeAttempts[id]; att != nil && q.Cancel {
 		state = a.cancelAttempt(now, att)
 	}
-	return &link.FateReply{Fate: state.String()}, nil
+	return &link.AttemptStateReply{State: state.String()}, nil
 }
 
 // cancelAttempt cancels an attempt if it still waits or is repeatable, and returns its state; mu
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -60,7 +60,7 @@
 
 	// heartbeatCalls counts the heartbeats in progress.
 	heartbeatCalls  sync.WaitGroup
-	heartbeatSender link.Sender
+	heartbeatSender link.HeartbeatSender
 
 	// mu guards what requests and heartbeats share.
 	mu              sync.Mutex
@@ -194,7 +194,7 @@
 func (a *Agent) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.PathRequests+"{service}/", a.serveRequest)
-	mux.Handle("POST "+link.PathFate, link.Handle(a.handleAttemptQuery))
+	mux.Handle("POST "+link.PathAttemptState, link.Handle(a.handleAttemptQuery))
 	mux.Handle("POST "+link.PathBundle, link.Handle(a.handleBundleQuery))
 	return mux
 }
--- a/internal/agent/bundle.go
+++ b/internal/agent/bundle.go
@@ -16,7 +16,7 @@
 		a.mu.Lock()
 		have, version := a.chain.Digest(), a.chain.Version()
 		a.mu.Unlock()
-		if o.reply.Bundle == "" || o.reply.Bundle == have {
+		if o.reply.BundleDigest == "" || o.reply.BundleDigest == have {
 			continue
 		}
 		if o.reply.BundleVersion != 0 && o.reply.BundleVersion <= version {
@@ -38,7 +38,7 @@
 		return &link.BundleReply{}, nil
 	}
 	signed, operatorChanges, err := proof.Encode()
-	return &link.BundleReply{Signed: signed, Lineage: operatorChanges, Covers: proof.EndOffset()}, err
+	return &link.BundleReply{Signed: signed, OperatorChanges: operatorChanges, EndOffset: proof.EndOffset()}, err
 }
 
 // fetchBundle asks an entry for the bundle in force and adopts it if it is
@@ -47,14 +47,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply link.BundleReply
-	if err := a.entryClient.Call(ctx, entry, link.PathBundle, &link.BundleQuery{Have: have}, &reply); err != nil {
+	if err := a.entryClient.Call(ctx, entry, link.PathBundle, &link.BundleQuery{HaveDigest: have}, &reply); err != nil {
 		return err
 	}
 	signed, err := a.unpack(&reply)
 	if err != nil || len(signed) == 0 {
 		return err
 	}
-	proof, err := bundle.DecodeProof(signed, reply.Lineage, reply.Covers)
+	proof, err := bundle.DecodeProof(signed, reply.OperatorChanges, reply.EndOffset)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	}
 	var base []byte
 	a.mu.Lock()
-	if reply.Base != "" && reply.Base == a.chain.Digest() {
+	if reply.BaseDigest != "" && reply.BaseDigest == a.chain.Digest() {
 		base = a.chain.Signed().Content()
 	}
 	a.mu.Unlock()
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -38,7 +38,7 @@
 
 // runGuard makes the guard's decisions about the running tasks and carries them out; tasksMu is
 // held.
-func (a *Agent) runGuard(ctx context.Context, now time.Time, listing *services.Listing) {
+func (a *Agent) runGuard(ctx context.Context, now time.Time, listing *services.TaskList) {
 	if now.Sub(a.guard.lastDecisionAt) < guardInterval {
 		return
 	}
@@ -72,7 +72,7 @@
 	return r
 }
 
-func (a *Agent) guardTasks(listing *services.Listing) []worker.GuardTask {
+func (a *Agent) guardTasks(listing *services.TaskList) []worker.GuardTask {
 	a.mu.Lock()
 	document := a.chain.Document()
 	a.mu.Unlock()
@@ -82,7 +82,7 @@
 		if t.State != services.TaskRunning {
 			continue
 		}
-		g := worker.GuardTask{Key: taskKey(t.Hold()), Class: t.Class, Share: t.Size.DominantShare(worker.Resources{MilliCPU: listing.Total.MilliCPU})}
+		g := worker.GuardTask{Key: taskKey(t.Assignment()), Class: t.Class, Share: t.Size.DominantShare(worker.Resources{MilliCPU: listing.Total.MilliCPU})}
 		if document != nil {
 			if class, ok := document.BatchClass(t.Class); ok {
 				g.Urgent = class.Urgent
@@ -94,12 +94,12 @@
 }
 
 // sumClassUses sums, by class, the resources granted to running tasks and those they use.
-func sumClassUses(listing *services.Listing, usage *services.Usage) []link.ClassUse {
+func sumClassUses(listing *services.TaskList, usage *services.Usage) []link.ClassUse {
 	var out []link.ClassUse
 	index := make(map[string]int)
 	for i := range listing.Tasks {
 		t := &listing.Tasks[i]
-		used, ok := usage.Tasks[taskKey(t.Hold())]
+		used, ok := usage.Tasks[taskKey(t.Assignment())]
 		if !ok || t.State != services.TaskRunning {
 			continue
 		}
--- a/internal/agent/guard_test.go
+++ b/internal/agent/guard_test.go
@@ -41,7 +41,7 @@
 	agent   *Agent
 	calls   []string
 	failing string
-	listing services.Listing
+	listing services.TaskList
 	now     time.Time
 }
 
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -66,7 +66,7 @@
 // entryReply is one entry's reply to a heartbeat; reply is nil if the call failed.
 type entryReply struct {
 	entry string
-	reply *link.Reading
+	reply *link.HeartbeatReply
 }
 
 // sendHeartbeat sends the heartbeat to a few entries in parallel and returns the replies that
@@ -132,18 +132,18 @@
 
 // callHeartbeat sends a heartbeat, without the parts that the entry knows already, and returns
 // the reply.
-func (a *Agent) callHeartbeat(ctx context.Context, address string, h *link.Heartbeat) (*link.Reading, error) {
+func (a *Agent) callHeartbeat(ctx context.Context, address string, h *link.Heartbeat) (*link.HeartbeatReply, error) {
 	for range maxHeartbeatSends {
 		sent, digest, err := a.heartbeatSender.Compact(address, h)
 		if err != nil {
 			return nil, err
 		}
-		reply := new(link.Reading)
+		reply := new(link.HeartbeatReply)
 		if err := a.entryClient.Call(ctx, address, link.PathHeartbeat, sent, reply); err != nil {
 			a.heartbeatSender.Forget(address)
 			return nil, err
 		}
-		if !a.heartbeatSender.Sent(address, digest, reply) {
+		if !a.heartbeatSender.HandleReply(address, digest, reply) {
 			return reply, nil
 		}
 	}
@@ -180,16 +180,16 @@
 	var known []string
 	var newest uint64
 	for _, o := range replies {
-		newest = max(newest, o.reply.Lease.HeartbeatRound)
+		newest = max(newest, o.reply.LogReading.HeartbeatRound)
 	}
 	for _, o := range replies {
-		requested := time.Duration(o.reply.PaceMS) * time.Millisecond
+		requested := time.Duration(o.reply.HeartbeatIntervalMS) * time.Millisecond
 		a.requestedInterval = max(a.requestedInterval, min(requested, lease.MaxHeartbeatInterval))
-		if o.reply.Leaving {
+		if o.reply.Draining {
 			continue
 		}
 		known = append(known, o.reply.Entries...)
-		if o.reply.Lease.HeartbeatRound+maxPrimaryLagRounds < newest {
+		if o.reply.LogReading.HeartbeatRound+maxPrimaryLagRounds < newest {
 			continue
 		}
 		if a.primary == "" || o.entry == previous {
@@ -201,14 +201,14 @@
 
 // newHeartbeat returns the heartbeat for the current state; a nil listing means that the worker
 // did not answer.
-func (a *Agent) newHeartbeat(listing *services.Listing) link.Heartbeat {
+func (a *Agent) newHeartbeat(listing *services.TaskList) link.Heartbeat {
 	h := link.Heartbeat{
 		Worker: a.settings.Name, Rack: a.settings.Rack, Service: a.settings.Service, Address: a.Address(),
 		Incarnation: a.incarnation, Round: a.holder.Round(), Ready: listing != nil && a.holder.Ledger().Ready(),
-		Total: a.holder.Ledger().Total(), Free: a.holder.Ledger().Free(), Pressure: a.guard.pressure, Uses: a.guard.classUses,
+		Total: a.holder.Ledger().Total(), Free: a.holder.Ledger().Free(), Pressure: a.guard.pressure, ClassUses: a.guard.classUses,
 	}
 	a.mu.Lock()
-	h.Leaving, h.Bundle, h.BundleVersion = a.draining, a.chain.Digest(), a.chain.Version()
+	h.Draining, h.BundleDigest, h.BundleVersion = a.draining, a.chain.Digest(), a.chain.Version()
 	load := a.load()
 	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.dedupTable.NextMark()
 	if s, ok := a.service(); ok {
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -37,7 +37,7 @@
 					case after < 0:
 						replies <- entryReply{}
 					case after > 0:
-						time.AfterFunc(after, func() { replies <- entryReply{reply: new(link.Reading)} })
+						time.AfterFunc(after, func() { replies <- entryReply{reply: new(link.HeartbeatReply)} })
 					}
 				}
 				began := time.Now()
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -100,11 +100,11 @@
 	case endpoint.Replay:
 		a.replay(w, in.id)
 	case endpoint.RefuseNotRun:
-		a.refuse(w, in.id, link.RefusalFate, problem.NotRun, "the attempt has ended without being run")
+		a.refuse(w, in.id, link.RefusalAttemptState, problem.NotRun, "the attempt has ended without being run")
 	case endpoint.RefuseRun:
-		a.refuse(w, in.id, link.RefusalFate, problem.Run, "the attempt was run and its response is not kept")
+		a.refuse(w, in.id, link.RefusalAttemptState, problem.Run, "the attempt was run and its response is not kept")
 	case endpoint.RefuseUnknown:
-		a.refuse(w, in.id, link.RefusalFate, problem.Unknown, "the attempt may have been run before")
+		a.refuse(w, in.id, link.RefusalAttemptState, problem.Unknown, "the attempt may have been run before")
 	}
 }
 
@@ -179,7 +179,7 @@
 // for it.
 func (a *Agent) forwardResponse(w http.ResponseWriter, att *activeAttempt, resp *http.Response, took time.Duration) {
 	header := resp.Header.Clone()
-	header.Set(link.HeaderTook, strconv.FormatInt(took.Microseconds(), 10))
+	header.Set(link.HeaderServiceTime, strconv.FormatInt(took.Microseconds(), 10))
 	a.writeHeader(w, att.id, resp.StatusCode, header)
 	buffer := &responseBuffer{client: w}
 	if err := buffer.readFrom(resp); err != nil {
@@ -239,7 +239,7 @@
 	state := a.dedupTable.QueryOrFence(time.Now(), id, 0)
 	a.mu.Unlock()
 	if response == nil {
-		a.refuse(w, id, link.RefusalFate, outcomeOf(state), "the response of the attempt is not kept")
+		a.refuse(w, id, link.RefusalAttemptState, outcomeOf(state), "the response of the attempt is not kept")
 		return
 	}
 	a.writeHeader(w, id, response.Status(), response.Header())
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -136,7 +136,7 @@
 	} {
 		req.Header.Set(k, v)
 	}
-	resp, err := b.client.Fresh().RoundTrip(req)
+	resp, err := b.client.UnpooledTransport().RoundTrip(req)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -146,10 +146,10 @@
 }
 
 func (b *agentFixture) queryState(id string, cancelAttempt bool) string {
-	q := &link.FateQuery{Request: id, Attempt: 1, Incarnation: b.agent.incarnation, Cancel: cancelAttempt}
-	var out link.FateReply
-	b.must(b.client.CallFresh(context.Background(), b.agent.Address(), link.PathFate, q, &out))
-	return out.Fate
+	q := &link.AttemptStateQuery{Request: id, Attempt: 1, Incarnation: b.agent.incarnation, Cancel: cancelAttempt}
+	var out link.AttemptStateReply
+	b.must(b.client.CallUnpooled(context.Background(), b.agent.Address(), link.PathAttemptState, q, &out))
+	return out.State
 }
 
 func (b *agentFixture) want(what string, got, want any) {
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -10,7 +10,7 @@
 )
 
 // leaseListing converts the worker's listing of tasks.
-func leaseListing(l *services.Listing) *lease.Listing {
+func leaseListing(l *services.TaskList) *lease.Listing {
 	out := &lease.Listing{
 		Incarnation: l.Incarnation,
 		Uptime:      time.Duration(l.UptimeMS) * time.Millisecond,
@@ -20,8 +20,8 @@
 	for i := range l.Tasks {
 		t := &l.Tasks[i]
 		out.Tasks[i] = lease.Task{
-			Hold: t.Hold(), Size: t.Size, State: leaseState(t.State), Ref: t.Ref, Detail: t.Detail,
-			Until: time.Duration(t.UntilMS) * time.Millisecond, Terms: lease.TermsFromMS(t.TakeoverMS),
+			Hold: t.Assignment(), Size: t.Size, State: leaseState(t.State), Ref: t.CheckpointRef, Detail: t.Detail,
+			Until: time.Duration(t.LeaseEndMS) * time.Millisecond, Terms: lease.TermsFromMS(t.TakeoverMS),
 		}
 	}
 	return out
@@ -47,7 +47,7 @@
 	draining := a.draining
 	a.mu.Unlock()
 	for _, o := range replies {
-		for _, d := range a.holder.Apply(time.Now(), &o.reply.Lease, draining) {
+		for _, d := range a.holder.Apply(time.Now(), &o.reply.LogReading, draining) {
 			a.log.Info().Str("decision", d.Name()).Str("task", d.Assignment().String()).Str("entry", o.entry).Str("reason", d.Reason()).Msg("")
 		}
 	}
@@ -57,10 +57,10 @@
 // runActions calls the worker for each action. A call that fails is repeated in the next
 // round, unless the listing then shows that it took effect.
 func (a *Agent) runActions(ctx context.Context, actions []lease.Action) {
-	var renewals []services.Renewal
+	var renewals []services.LeaseRenewal
 	for _, c := range actions {
 		if c.Kind() == lease.ActionRenew {
-			renewals = append(renewals, services.Renewal{Key: taskKey(c.Assignment()), UntilMS: c.LeaseEnd().Milliseconds()})
+			renewals = append(renewals, services.LeaseRenewal{Key: taskKey(c.Assignment()), LeaseEndMS: c.LeaseEnd().Milliseconds()})
 			continue
 		}
 		if err := a.runAction(ctx, &c); err != nil {
@@ -109,8 +109,8 @@
 	o := c.Order()
 	return services.StartOrder{
 		WorkerTask: services.WorkerTask{
-			Job: o.Hold.Task.Job, Index: o.Hold.Task.Index, Epoch: uint64(o.Hold.Epoch), Size: o.Spec.Size, Ref: o.Checkpoint,
-			UntilMS: c.LeaseEnd().Milliseconds(), TakeoverMS: o.Spec.TakeoverMS, Class: o.Spec.Class,
+			Job: o.Hold.Task.Job, Index: o.Hold.Task.Index, Epoch: uint64(o.Hold.Epoch), Size: o.Spec.Size, CheckpointRef: o.Checkpoint,
+			LeaseEndMS: c.LeaseEnd().Milliseconds(), TakeoverMS: o.Spec.TakeoverMS, Class: o.Spec.Class,
 		},
 		Payload: o.Spec.Payload,
 	}
--- a/internal/bench/capacity/wire.go
+++ b/internal/bench/capacity/wire.go
@@ -104,13 +104,13 @@
 func (w *wire) heartbeat(ctx context.Context, round uint64, tasks int) error {
 	h := &link.Heartbeat{
 		Worker: workerName(0), Rack: "rack-1", Service: "lastbench", Address: "127.0.0.1:8444", Incarnation: 1, Slots: 8,
-		Ready: true, Total: workerSize, Free: workerSize, Round: round, Bundle: fmt.Sprintf("%064x", 1), BundleVersion: 1,
+		Ready: true, Total: workerSize, Free: workerSize, Round: round, BundleDigest: fmt.Sprintf("%064x", 1), BundleVersion: 1,
 	}
 	for i := range tasks {
 		task := record.TaskID{Job: fmt.Sprintf("%020x", i), Index: 0}
 		h.Tasks = append(h.Tasks, lease.Report{Hold: record.AssignmentID{Task: task, Epoch: record.NewPosition(uint64(1000+i), 1)}, State: lease.Running})
 	}
-	return w.client.Call(ctx, w.counter.address(), link.PathHeartbeat, h, new(link.Reading))
+	return w.client.Call(ctx, w.counter.address(), link.PathHeartbeat, h, new(link.HeartbeatReply))
 }
 
 // measureHeartbeats returns the bytes of a heartbeat and its answer, in both
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -228,7 +228,7 @@
 func (c *controlSite) beat(ctx context.Context, i int, address string, beats, failed *atomic.Int64) {
 	delay.For(ctx, rand.N(controlPeriod))
 	h := *c.heartbeats[i]
-	var sender link.Sender
+	var sender link.HeartbeatSender
 	for ctx.Err() == nil {
 		h.Round++
 		if err := c.call(ctx, i, address, &sender, &h); err == nil {
@@ -241,17 +241,17 @@
 }
 
 // call sends one heartbeat as an agent does.
-func (c *controlSite) call(ctx context.Context, i int, address string, sender *link.Sender, h *link.Heartbeat) error {
+func (c *controlSite) call(ctx context.Context, i int, address string, sender *link.HeartbeatSender, h *link.Heartbeat) error {
 	sent, digest, err := sender.Compact(address, h)
 	if err != nil {
 		return err
 	}
-	var reading link.Reading
+	var reading link.HeartbeatReply
 	if err := c.clients[i].Call(ctx, address, link.PathHeartbeat, sent, &reading); err != nil {
 		return err
 	}
-	sender.Sent(address, digest, &reading)
-	if len(reading.Lease.Stop)+len(reading.Lease.Start) > 0 {
+	sender.HandleReply(address, digest, &reading)
+	if len(reading.LogReading.Stop)+len(reading.LogReading.Start) > 0 {
 		return errors.Wrap(ErrBroken, "the entry does not know the tasks that were reported")
 	}
 	return nil
--- a/internal/bench/request/links.go
+++ b/internal/bench/request/links.go
@@ -85,9 +85,9 @@
 func callLink(ctx context.Context, id *link.Identity, transport, address string, calls int) ([]time.Duration, error) {
 	client := link.NewClient(id, link.RoleAgent)
 	defer func() { _ = client.Close() }()
-	way := client.Requests()
+	way := client.RequestTransport()
 	if transport == "quic" {
-		way = client.Control()
+		way = client.ControlTransport()
 	}
 	body := bytes.Repeat([]byte("x"), hopBody)
 	var times []time.Duration
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -29,9 +29,9 @@
 // with the same name.
 func Incarnation() uint64 { return uint64(time.Now().UnixMicro()) }
 
-// Wait waits for a signal, until d has passed or ctx ends, and reports whether a
+// WaitForSignal waits for a signal, until d has passed or ctx ends, and reports whether a
 // signal arrived.
-func Wait(ctx context.Context, signals <-chan os.Signal, d time.Duration) bool {
+func WaitForSignal(ctx context.Context, signals <-chan os.Signal, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -43,9 +43,9 @@
 	return false
 }
 
-// Pause waits for a wake-up, until d has passed or ctx ends, and reports whether it
+// WaitForWake waits for a wake-up, until d has passed or ctx ends, and reports whether it
 // returned before the end of ctx.
-func Pause(ctx context.Context, wake <-chan struct{}, d time.Duration) bool {
+func WaitForWake(ctx context.Context, wake <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/command/bad_input_test.go
+++ b/internal/command/bad_input_test.go
@@ -121,7 +121,7 @@
 	if got := s.jobsOf(base); got != before {
 		t.Errorf("jobs: got %s, want %s", got, before)
 	}
-	if got, want := len(s.runners[0].Runs()), 0; got != want {
+	if got, want := len(s.runners[0].RunCounts()), 0; got != want {
 		t.Errorf("requests run: got %d, want %d", got, want)
 	}
 }
--- a/internal/command/drain_test.go
+++ b/internal/command/drain_test.go
@@ -46,7 +46,7 @@
 func (s *site) working() int {
 	n := 0
 	for _, r := range s.runners {
-		n += r.Working()
+		n += r.InFlight()
 	}
 	return n
 }
--- a/internal/command/killed_test.go
+++ b/internal/command/killed_test.go
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, w := range s.workers {
-		if w.Overfull() {
+		if w.Overcommitted() {
 			t.Error("a worker was given more than it has")
 		}
 	}
--- a/internal/command/reload.go
+++ b/internal/command/reload.go
@@ -55,7 +55,7 @@
 	var texts [3][]byte
 	for i, flag := range []string{"certificate", "key", "authorities"} {
 		var err error
-		if texts[i], err = link.Text(cmd.String(flag)); err != nil {
+		if texts[i], err = link.ReadPEM(cmd.String(flag)); err != nil {
 			logger.Error().Err(err).Str("setting", flag).Msg("reading the certificate again failed; the old one stays in use")
 			return
 		}
--- a/internal/command/restart_test.go
+++ b/internal/command/restart_test.go
@@ -133,7 +133,7 @@
 	l.s.eventually("every job succeeded", l.allSucceeded)
 	runs := make(map[string]int)
 	for _, w := range l.s.workers {
-		if w.Overfull() {
+		if w.Overcommitted() {
 			t.Error("a worker was given more than it has")
 		}
 		for _, r := range w.Runs() {
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -134,7 +134,7 @@
 	if v == "" {
 		return nil
 	}
-	data, err := link.Text(v)
+	data, err := link.ReadPEM(v)
 	if err != nil {
 		c.wrong(flag, err.Error())
 	}
--- a/internal/command/urgent_test.go
+++ b/internal/command/urgent_test.go
@@ -37,7 +37,7 @@
 	if got, want := fmt.Sprint(runs[load.jobs[0]+".0"], runs[quick+".0"]), "2 1"; got != want {
 		t.Errorf("got runs of the long and the urgent task %s, want %s", got, want)
 	}
-	if s.workers[0].Overfull() {
+	if s.workers[0].Overcommitted() {
 		t.Error("the worker was given more than it has")
 	}
 }
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -123,7 +123,7 @@
 			c.log.Warn().Err(err).Str("key", r.Key).Msg("store refused a record")
 			return errors.Mark(err, ErrRefused)
 		}
-		if !clock.Pause(ctx, nil, appendRetry) {
+		if !clock.WaitForWake(ctx, nil, appendRetry) {
 			return errors.Mark(err, ErrOutcomeUnknown)
 		}
 	}
--- a/internal/coordinator/changes.go
+++ b/internal/coordinator/changes.go
@@ -23,7 +23,7 @@
 
 // writeChanges stores the changes of the scheduler, and then acknowledges run ends to their workers.
 func (c *Coordinator) writeChanges(ctx context.Context) {
-	for clock.Pause(ctx, c.wakeWriter, flushEvery) {
+	for clock.WaitForWake(ctx, c.wakeWriter, flushEvery) {
 		c.mu.Lock()
 		t := c.term
 		c.mu.Unlock()
@@ -159,7 +159,7 @@
 		c.mu.Lock()
 		current := c.term == t
 		c.mu.Unlock()
-		if !current || !clock.Pause(ctx, nil, changeRetry) {
+		if !current || !clock.WaitForWake(ctx, nil, changeRetry) {
 			return false
 		}
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -27,7 +27,7 @@
 func newTestEntry(t *testing.T, name string, s *standin.Store) *Coordinator {
 	t.Helper()
 	logger := &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
-	c, err := New(Settings{Name: name, Listen: "127.0.0.1:0", Incarnation: 1}, s.Port(), logger, gometrics.NewRegistry())
+	c, err := New(Settings{Name: name, Listen: "127.0.0.1:0", Incarnation: 1}, s.Client(), logger, gometrics.NewRegistry())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 
 func mustAppend(t *testing.T, s *standin.Store, a store.AppendRequest) {
 	t.Helper()
-	if _, err := s.Port().Append(context.Background(), a); err != nil {
+	if _, err := s.Client().Append(context.Background(), a); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -95,7 +95,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &standin.Store{}
-			s.Fail(tc.fault, tc.done)
+			s.SetFault(tc.fault, tc.done)
 			c := newTestEntry(t, "entry-a", s)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -171,7 +171,7 @@
 // sent, since it could still take effect later.
 func TestSubmitWhileStoreIsUnavailable(t *testing.T) {
 	s := &standin.Store{}
-	s.Fail(store.ErrOutcomeUnknown, true)
+	s.SetFault(store.ErrOutcomeUnknown, true)
 	c := newTestEntry(t, "entry-a", s)
 	ctx := context.Background()
 	for range unavailableFailures {
@@ -182,7 +182,7 @@
 	if got := c.Submit(ctx, submission("a")); !errors.Is(got, ErrRefused) {
 		t.Errorf("got %v, want %v", got, ErrRefused)
 	}
-	s.Fail(nil, false)
+	s.SetFault(nil, false)
 	if err := c.catchUp(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -226,7 +226,7 @@
 	c.links["b"].storeAge = 0
 	c.lastStoreSuccess = clock.Steady().Add(-2 * unavailableAfter)
 	c.mu.Unlock()
-	s.Fail(store.ErrRefused, false)
+	s.SetFault(store.ErrRefused, false)
 	for range unavailableFailures {
 		_ = c.catchUp(ctx) // counts one failure
 	}
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -79,7 +79,7 @@
 
 // follow keeps a connection to the dispatcher while that is another entry.
 func (c *Coordinator) follow(ctx context.Context) {
-	for clock.Pause(ctx, nil, tickEvery) {
+	for clock.WaitForWake(ctx, nil, tickEvery) {
 		c.mu.Lock()
 		claim, own := c.candidate.Claim(), c.term != nil
 		c.mu.Unlock()
@@ -138,7 +138,7 @@
 		if !current || !cc.conn.Send(&peer.Message{Ping: p}) {
 			return
 		}
-		if !clock.Pause(ctx, cc.conn.Done(), pingEvery) {
+		if !clock.WaitForWake(ctx, cc.conn.Done(), pingEvery) {
 			return
 		}
 	}
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -36,7 +36,7 @@
 // lead claims leadership when no entry holds it, and makes scheduling decisions while
 // this entry is the dispatcher.
 func (c *Coordinator) lead(ctx context.Context) {
-	for clock.Pause(ctx, c.wakeLead, tickEvery) {
+	for clock.WaitForWake(ctx, c.wakeLead, tickEvery) {
 		now := clock.Steady()
 		c.mu.Lock()
 		t := c.term
@@ -50,7 +50,7 @@
 			continue
 		}
 		c.considerResigning(now, t)
-		clock.Pause(ctx, nil, decideGap)
+		clock.WaitForWake(ctx, nil, decideGap)
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 	if err := c.claim(ctx, reason); err != nil {
 		c.log.Warn().Err(err).Str("reason", reason).Msg("claiming leadership failed")
-		clock.Pause(ctx, nil, tickEvery)
+		clock.WaitForWake(ctx, nil, tickEvery)
 	}
 }
 
@@ -276,7 +276,7 @@
 			c.log.Info().Uint64("term", previous.Term).Str("entry", previous.Entry).Str("reason", why).Msg("the earlier dispatcher has stopped")
 			return
 		}
-		clock.Pause(ctx, nil, pingEvery)
+		clock.WaitForWake(ctx, nil, pingEvery)
 	}
 }
 
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			if ctx.Err() == nil {
 				c.log.Error().Err(err).Msg("accepting a peer connection failed")
-				clock.Pause(ctx, nil, tickEvery)
+				clock.WaitForWake(ctx, nil, tickEvery)
 				continue
 			}
 			return
--- a/internal/coordinator/tail.go
+++ b/internal/coordinator/tail.go
@@ -34,7 +34,7 @@
 
 // tailJobs keeps the job table up to date.
 func (c *Coordinator) tailJobs(ctx context.Context) {
-	for clock.Pause(ctx, nil, c.tailPause()) {
+	for clock.WaitForWake(ctx, nil, c.tailPause()) {
 		if err := c.catchUp(ctx); err != nil {
 			c.log.Warn().Err(err).Msg("reading jobs from the store failed")
 		}
@@ -176,7 +176,7 @@
 		}
 		if err != nil {
 			c.log.Warn().Err(err).Msg("reading the configuration failed")
-			clock.Pause(ctx, nil, configRetry)
+			clock.WaitForWake(ctx, nil, configRetry)
 			continue
 		}
 		next, known = end, true
--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &link.BundleReply{Packed: packed, Base: have, Lineage: operatorChanges, Covers: proof.EndOffset()}
+	r := &link.BundleReply{Packed: packed, BaseDigest: have, OperatorChanges: operatorChanges, EndOffset: proof.EndOffset()}
 	b.replies[have] = r
 	return r, nil
 }
@@ -91,7 +91,7 @@
 func (e *Entry) handleBundleQuery(_ context.Context, _ link.Peer, q *link.BundleQuery) (*link.BundleReply, error) {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
-	return e.bundle.reply(q.Have)
+	return e.bundle.reply(q.HaveDigest)
 }
 
 // deliverBundles processes records read from the bundles stream.
--- a/internal/entry/bundle_fetch.go
+++ b/internal/entry/bundle_fetch.go
@@ -58,7 +58,7 @@
 	if len(reply.Signed) == 0 {
 		return
 	}
-	proof, err := bundle.DecodeProof(reply.Signed, reply.Lineage, reply.Covers)
+	proof, err := bundle.DecodeProof(reply.Signed, reply.OperatorChanges, reply.EndOffset)
 	if err != nil {
 		e.log.Warn().Err(err).Str("decision", "refuse-bundle").Str("source", address).Msg("")
 		return
--- a/internal/entry/carry_forward.go
+++ b/internal/entry/carry_forward.go
@@ -106,7 +106,7 @@
 func (e *Entry) carryForward(ctx context.Context) {
 	for delay.For(ctx, carryForwardInterval) {
 		now := time.Now()
-		e.localJobsWriter.SetGap(StreamGap * time.Duration(max(1, len(e.localEntries(now)))))
+		e.localJobsWriter.SetInterval(StreamGap * time.Duration(max(1, len(e.localEntries(now)))))
 		if e.bundlesWriter.Queued() == 0 {
 			e.carryBundleForward(now)
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -90,7 +90,7 @@
 	remoteWriters     remoteJobsWriters
 	remoteLoad        remoteLoad
 	carriedForward    carryForwardState
-	heartbeatReceiver link.Receiver
+	heartbeatReceiver link.HeartbeatReceiver
 	// newerBundleAgents holds the address of an agent that has a newer bundle in force than
 	// this entry.
 	newerBundleAgents chan string
--- a/internal/entry/failover.go
+++ b/internal/entry/failover.go
@@ -64,7 +64,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	f := &failover{dataCentre: name, stop: stop}
 	tail := e.newStreamReader(JobsStream(name), f.deliver)
-	tail.Expired = func(ctx context.Context, page record.Page) uint64 {
+	tail.OnExpired = func(ctx context.Context, page record.Page) uint64 {
 		return e.recoverStream(ctx, JobsStream(name), page, f.restore)
 	}
 	group.Go(func() { tail.Run(ctx) })
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -16,21 +16,21 @@
 func (e *Entry) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+link.PathHeartbeat, link.Handle(e.handleHeartbeat))
-	mux.Handle("POST "+link.PathSilence, link.Handle(e.handleSilenceQuery))
+	mux.Handle("POST "+link.PathLastContact, link.Handle(e.handleSilenceQuery))
 	mux.Handle("POST "+link.PathBundle, link.Handle(e.handleBundleQuery))
 	mux.Handle("POST "+link.PathJobs, link.Handle(e.handleJobsQuery))
-	mux.Handle("POST "+link.PathSums, link.Handle(e.handleLoadQuery))
+	mux.Handle("POST "+link.PathDataCentreLoad, link.Handle(e.handleLoadQuery))
 	mux.HandleFunc("/services/{service}/", e.serveRequest)
 	return mux
 }
 
-func (e *Entry) handleHeartbeat(_ context.Context, peer link.Peer, sent *link.Heartbeat) (*link.Reading, error) {
+func (e *Entry) handleHeartbeat(_ context.Context, peer link.Peer, sent *link.Heartbeat) (*link.HeartbeatReply, error) {
 	if peer.Role() != link.RoleAgent || peer.Name() != sent.Worker || peer.DataCentre() != e.settings.DataCentre {
-		return nil, errors.Wrapf(link.ErrPeer, "certificate of %s in %s does not match heartbeat of %s", peer.Name(), peer.DataCentre(), sent.Worker)
+		return nil, errors.Wrapf(link.ErrPeerRejected, "certificate of %s in %s does not match heartbeat of %s", peer.Name(), peer.DataCentre(), sent.Worker)
 	}
 	h := e.heartbeatReceiver.Expand(sent)
 	if h == nil {
-		return &link.Reading{Resend: true, Compact: true}, nil
+		return &link.HeartbeatReply{ResendWhole: true, AcceptsCompact: true}, nil
 	}
 	now := time.Now()
 	e.routes.applyHeartbeat(now, peer.DataCentre(), h)
@@ -47,20 +47,20 @@
 
 // heartbeatReply returns the reply to a heartbeat, without what the log says about the
 // worker's tasks. It omits what the agent knows already.
-func (e *Entry) heartbeatReply(now time.Time, h *link.Heartbeat) *link.Reading {
-	reply := &link.Reading{Leaving: e.draining.Load(), Compact: true}
+func (e *Entry) heartbeatReply(now time.Time, h *link.Heartbeat) *link.HeartbeatReply {
+	reply := &link.HeartbeatReply{Draining: e.draining.Load(), AcceptsCompact: true}
 	e.bundleMu.Lock()
 	digest, version := e.bundle.chain.Digest(), e.bundle.chain.Version()
 	e.bundleMu.Unlock()
 	e.noteNewerBundle(h, version)
-	if digest != h.Bundle {
-		reply.Bundle, reply.BundleVersion = digest, version
+	if digest != h.BundleDigest {
+		reply.BundleDigest, reply.BundleVersion = digest, version
 	}
 	var addresses []string
 	for _, m := range e.localEntries(now) {
 		addresses = append(addresses, m.Address)
 	}
-	if link.EntriesDigest(addresses) != h.EntriesSeen {
+	if link.EntriesDigest(addresses) != h.EntriesDigest {
 		reply.Entries = addresses
 	}
 	return reply
@@ -74,7 +74,7 @@
 // applyHeartbeat updates the state from a heartbeat, sets in reply what the log says about
 // the worker and how often to send heartbeats, and returns the records to append for the
 // heartbeat's reports.
-func (j *jobState) applyHeartbeat(now time.Time, h *link.Heartbeat, reply *link.Reading) []record.Message {
+func (j *jobState) applyHeartbeat(now time.Time, h *link.Heartbeat, reply *link.HeartbeatReply) []record.Message {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.workers == nil {
@@ -84,12 +84,12 @@
 	workerReport, uses := schedulerReport(h)
 	j.scheduler.ApplyReport(now, workerReport, uses)
 	j.reclaimer.NoteContact(h.Worker, now)
-	reply.PaceMS = lease.HeartbeatInterval(j.liveWorkers(now)).Milliseconds()
+	reply.HeartbeatIntervalMS = lease.HeartbeatInterval(j.liveWorkers(now)).Milliseconds()
 	logReading, records := j.responder.Respond(now, &j.state, &job.Heartbeat{
 		Worker: h.Worker, Incarnation: h.Incarnation, Round: h.Round,
 		Ready: h.Ready, Primary: h.Primary, Reports: h.Tasks,
 	})
-	reply.Lease = logReading
+	reply.LogReading = logReading
 	return records
 }
 
--- a/internal/entry/recover.go
+++ b/internal/entry/recover.go
@@ -11,7 +11,7 @@
 // jobsStartOffset returns the offset at which to begin reading the jobs stream. If the stream
 // is long, it first restores the newest snapshot.
 func (e *Entry) jobsStartOffset(ctx context.Context) (uint64, error) {
-	first, next, err := services.End(ctx, e.logService, JobsStream(e.settings.DataCentre))
+	first, next, err := services.StreamBounds(ctx, e.logService, JobsStream(e.settings.DataCentre))
 	if err != nil || (first == 0 && next <= maxBatchesAfterSnapshot/4) {
 		return 0, err
 	}
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -127,7 +127,7 @@
 // to retention knows all jobs from the newest usable snapshot and the records after it.
 func TestEntryStartsAtSnapshot(t *testing.T) {
 	b := newEntryFixture(t)
-	b.log.SetFaults(standin.LogFaults{Keep: 20})
+	b.log.SetFaults(standin.LogFaults{MaxBatches: 20})
 	var state job.StateMachine
 	var seq uint64
 	for i := range 40 {
@@ -193,10 +193,10 @@
 		_ = server.Shutdown(ctx)
 		group.Wait()
 	})
-	h := &link.Heartbeat{Worker: name, Address: server.Address(), Incarnation: 1, Bundle: bundle.Digest(s.Content()), BundleVersion: 2}
+	h := &link.Heartbeat{Worker: name, Address: server.Address(), Incarnation: 1, BundleDigest: bundle.Digest(s.Content()), BundleVersion: 2}
 	b.eventually("the entry asks "+name, func() bool {
 		h.Round++
-		b.must(client.Call(b.t.Context(), e.PeerAddress(), link.PathHeartbeat, h, new(link.Reading)))
+		b.must(client.Call(b.t.Context(), e.PeerAddress(), link.PathHeartbeat, h, new(link.HeartbeatReply)))
 		select {
 		case <-asked:
 			return true
--- a/internal/entry/remote.go
+++ b/internal/entry/remote.go
@@ -101,7 +101,7 @@
 
 func (e *Entry) handleJobsQuery(_ context.Context, peer link.Peer, q *link.JobsQuery) (*link.JobsReply, error) {
 	if peer.Role() != link.RoleEntry {
-		return nil, link.ErrPeer
+		return nil, link.ErrPeerRejected
 	}
 	views, movedTo := e.localJobs(q.Team, q.ID)
 	data, err := json.Marshal(views)
--- a/internal/entry/request_attempt.go
+++ b/internal/entry/request_attempt.go
@@ -68,7 +68,7 @@
 // makeAttempt makes one attempt. If a connection fails or stalls, it queries the agent over a
 // new one for the state of the attempt, and resends the request to get the response.
 func (e *Entry) makeAttempt(ctx context.Context, r *http.Request, q *request, t target) attemptOutcome {
-	transport := e.agentClient.Requests()
+	transport := e.agentClient.RequestTransport()
 	n := q.tracker.Attempt()
 	for {
 		a, connected, err := e.exchange(ctx, transport, r, q, t, n)
@@ -86,7 +86,7 @@
 		if step == endpoint.StepEnd {
 			return e.interpretNoResponse(ctx, q.tracker.State(), err)
 		}
-		transport = e.agentClient.Fresh()
+		transport = e.agentClient.UnpooledTransport()
 	}
 }
 
@@ -204,7 +204,7 @@
 	out := attemptOutcome{result: attemptResult{refusal: a.header.Get(link.HeaderRefusal)}}
 	out.result.load, out.result.hasLoad = link.ParseLoad(a.header.Get(link.HeaderLoad))
 	if out.result.refusal == "" && a.outcome == problem.Run {
-		took, _ := strconv.ParseInt(a.header.Get(link.HeaderTook), 10, 64)
+		took, _ := strconv.ParseInt(a.header.Get(link.HeaderServiceTime), 10, 64)
 		out.result.serviceTime = time.Duration(took) * time.Microsecond
 		out.result.succeeded = a.status < http.StatusInternalServerError
 		out.result.failed = !out.result.succeeded
@@ -266,10 +266,10 @@
 func (e *Entry) queryAttemptOnce(ctx context.Context, q *request, t target, n uint32, cancelAttempt bool) (endpoint.AttemptState, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptQueryTimeout)
 	defer cancel()
-	in := &link.FateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelAttempt}
-	var out link.FateReply
-	if err := e.agentClient.CallFresh(ctx, t.address, link.PathFate, in, &out); err != nil {
+	in := &link.AttemptStateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelAttempt}
+	var out link.AttemptStateReply
+	if err := e.agentClient.CallUnpooled(ctx, t.address, link.PathAttemptState, in, &out); err != nil {
 		return endpoint.AttemptUnknown, err
 	}
-	return endpoint.ParseAttemptState(out.Fate), nil
+	return endpoint.ParseAttemptState(out.State), nil
 }
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -104,12 +104,12 @@
 	}
 }
 
-func (a *scriptedAgent) handleAttemptQuery(context.Context, link.Peer, *link.FateQuery) (*link.FateReply, error) {
+func (a *scriptedAgent) handleAttemptQuery(context.Context, link.Peer, *link.AttemptStateQuery) (*link.AttemptStateReply, error) {
 	fate := a.take(&a.script.Fates)
 	if fate == "lost" {
 		return nil, link.ErrCall
 	}
-	return &link.FateReply{Fate: fate}, nil
+	return &link.AttemptStateReply{State: fate}, nil
 }
 
 // requestFixture is an entry with scripted agents.
@@ -176,7 +176,7 @@
 	id := c.identity(link.RoleAgent, name)
 	mux := http.NewServeMux()
 	mux.HandleFunc(link.PathRequests+"{service}/", a.serveRequest)
-	mux.Handle("POST "+link.PathFate, link.Handle(a.handleAttemptQuery))
+	mux.Handle("POST "+link.PathAttemptState, link.Handle(a.handleAttemptQuery))
 	server, err := link.Listen("127.0.0.1:0", id, mux, link.RoleEntry)
 	c.must(err)
 	var group sync.WaitGroup
@@ -193,7 +193,7 @@
 	heartbeat := &link.Heartbeat{Worker: name, Service: "planner", Address: server.Address(), Incarnation: 1, Mark: 1, Slots: 8}
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	c.must(client.Call(ctx, c.entry.PeerAddress(), link.PathHeartbeat, heartbeat, &link.Reading{}))
+	c.must(client.Call(ctx, c.entry.PeerAddress(), link.PathHeartbeat, heartbeat, &link.HeartbeatReply{}))
 	return server
 }
 
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -171,7 +171,7 @@
 	ejected := false
 	switch {
 	case !current:
-	case res.refusal == link.RefusalLeaving:
+	case res.refusal == link.RefusalDraining:
 		table.SetDraining(t.endpoint)
 	case res.refusal == link.RefusalFull:
 		table.RecordRefusal(t.endpoint)
@@ -216,7 +216,7 @@
 	p := r.router(h.Service)
 	p.Table().Observe(now, endpoint.Report{
 		Name: h.Worker, DataCentre: dataCentre, Service: h.Service, Address: h.Address,
-		Incarnation: h.Incarnation, Mark: h.Mark, Slots: h.Slots, Draining: h.Leaving,
+		Incarnation: h.Incarnation, Mark: h.Mark, Slots: h.Slots, Draining: h.Draining,
 		Load: endpoint.Load{InFlight: h.InFlight, Long: h.InFlightLong, Reserved: h.Reserved},
 	})
 	p.Table().Prune(now)
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -203,14 +203,14 @@
 // schedulerReport returns the parts of a heartbeat that the scheduler uses.
 func schedulerReport(h *link.Heartbeat) (*worker.Report, []queue.ClassUse) {
 	r := &worker.Report{
-		Name: h.Worker, Rack: h.Rack, Service: h.Service, Total: h.Total, Free: h.Free, Ready: h.Ready, Draining: h.Leaving,
+		Name: h.Worker, Rack: h.Rack, Service: h.Service, Total: h.Total, Free: h.Free, Ready: h.Ready, Draining: h.Draining,
 		Pressure: h.Pressure,
 	}
 	if h.Slots > 0 {
 		r.Load = min(float64(h.InFlight)/float64(h.Slots), 1)
 	}
-	uses := make([]queue.ClassUse, len(h.Uses))
-	for i, u := range h.Uses {
+	uses := make([]queue.ClassUse, len(h.ClassUses))
+	for i, u := range h.ClassUses {
 		uses[i] = queue.ClassUse{Class: u.Class, Granted: u.Granted, Used: u.Used}
 	}
 	return r, uses
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -55,11 +55,11 @@
 
 // queryLastContacts asks all other entries of the data centre in parallel for their last
 // contacts with workers; complete means that all of them answered.
-func (e *Entry) queryLastContacts(ctx context.Context, workers []string) (contacts []link.HeardWorker, complete bool) {
+func (e *Entry) queryLastContacts(ctx context.Context, workers []string) (contacts []link.WorkerContact, complete bool) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	entries := e.localEntries(time.Now())
-	replies := make([]link.SilenceReply, len(entries))
+	replies := make([]link.LastContactReply, len(entries))
 	errs := make([]error, len(entries))
 	var group sync.WaitGroup
 	for i, m := range entries {
@@ -70,14 +70,14 @@
 	group.Wait()
 	complete = true
 	for i := range replies {
-		contacts = append(contacts, replies[i].Heard...)
+		contacts = append(contacts, replies[i].Contacts...)
 		complete = complete && errs[i] == nil
 	}
 	return contacts, complete
 }
 
-func (e *Entry) queryLastContactsAt(ctx context.Context, m record.Member, workers []string, reply *link.SilenceReply) error {
-	err := e.entryClient.Call(ctx, m.Address, link.PathSilence, &link.SilenceQuery{Workers: workers}, reply)
+func (e *Entry) queryLastContactsAt(ctx context.Context, m record.Member, workers []string, reply *link.LastContactReply) error {
+	err := e.entryClient.Call(ctx, m.Address, link.PathLastContact, &link.LastContactQuery{Workers: workers}, reply)
 	if err != nil {
 		e.log.Warn().Err(err).Str("entry", m.Name).Msg("query about silent workers failed")
 	}
@@ -87,9 +87,9 @@
 // handleSilenceQuery returns to another entry which workers this one had contact with
 // recently. An entry that cannot read the log cannot pass its contents on to a worker, so it
 // returns none.
-func (e *Entry) handleSilenceQuery(_ context.Context, _ link.Peer, q *link.SilenceQuery) (*link.SilenceReply, error) {
+func (e *Entry) handleSilenceQuery(_ context.Context, _ link.Peer, q *link.LastContactQuery) (*link.LastContactReply, error) {
 	now := time.Now()
-	reply := new(link.SilenceReply)
+	reply := new(link.LastContactReply)
 	e.jobs.mu.Lock()
 	defer e.jobs.mu.Unlock()
 	if now.Sub(e.jobs.responder.LastReadBegan()) > job.LostAfter {
@@ -98,7 +98,7 @@
 	for _, name := range q.Workers {
 		v, ok := e.jobs.workers[name]
 		if ok && now.Sub(v.lastContact) <= job.LostAfter {
-			reply.Heard = append(reply.Heard, link.HeardWorker{Worker: name, AgoMS: now.Sub(v.lastContact).Milliseconds()})
+			reply.Contacts = append(reply.Contacts, link.WorkerContact{Worker: name, AgoMS: now.Sub(v.lastContact).Milliseconds()})
 		}
 	}
 	return reply, nil
--- a/internal/entry/spill.go
+++ b/internal/entry/spill.go
@@ -74,8 +74,8 @@
 	ctx, cancel := context.WithTimeout(ctx, loadQueryTimeout)
 	defer cancel()
 	askedAt := time.Now()
-	var reply link.SumsReply
-	if err := e.entryClient.Call(ctx, address, link.PathSums, &link.SumsQuery{}, &reply); err != nil {
+	var reply link.DataCentreLoadReply
+	if err := e.entryClient.Call(ctx, address, link.PathDataCentreLoad, &link.DataCentreLoadQuery{}, &reply); err != nil {
 		e.log.Debug().Err(err).Str("data-centre", dataCentre).Msg("load query failed")
 		return
 	}
@@ -91,7 +91,7 @@
 	return members[rand.IntN(len(members))].Address, true
 }
 
-func (s *remoteLoad) applyReply(now time.Time, dataCentre string, took time.Duration, reply *link.SumsReply) {
+func (s *remoteLoad) applyReply(now time.Time, dataCentre string, took time.Duration, reply *link.DataCentreLoadReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.services == nil {
@@ -107,7 +107,7 @@
 			s.services[v.Service] = new(endpoint.RemoteDataCentres)
 		}
 		s.services[v.Service].Observe(now, endpoint.DataCentreLoad{
-			DataCentre: dataCentre, Slots: v.Slots, InFlight: v.InFlight, Entries: reply.Askers, RoundTrip: shortest,
+			DataCentre: dataCentre, Slots: v.Slots, InFlight: v.InFlight, Entries: reply.RemoteEntryCount, RoundTrip: shortest,
 		})
 	}
 }
@@ -119,14 +119,14 @@
 }
 
 // handleLoadQuery returns the load of the services here to an entry of another data centre.
-func (e *Entry) handleLoadQuery(_ context.Context, _ link.Peer, _ *link.SumsQuery) (*link.SumsReply, error) {
+func (e *Entry) handleLoadQuery(_ context.Context, _ link.Peer, _ *link.DataCentreLoadQuery) (*link.DataCentreLoadReply, error) {
 	now := time.Now()
-	reply := &link.SumsReply{Askers: e.countRemoteEntries(now)}
+	reply := &link.DataCentreLoadReply{RemoteEntryCount: e.countRemoteEntries(now)}
 	e.routes.mu.Lock()
 	defer e.routes.mu.Unlock()
 	for name, r := range e.routes.routers {
 		slots, inFlight := r.TotalLoad(now)
-		reply.Services = append(reply.Services, link.ServiceSum{Service: name, Slots: slots, InFlight: inFlight})
+		reply.Services = append(reply.Services, link.ServiceLoad{Service: name, Slots: slots, InFlight: inFlight})
 	}
 	return reply, nil
 }
@@ -195,7 +195,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		out.Header.Set(link.HeaderDeadline, time.Until(deadline).String())
 	}
-	resp, err := e.entryClient.Control().RoundTrip(out)
+	resp, err := e.entryClient.ControlTransport().RoundTrip(out)
 	if err != nil {
 		q.tracker.Abandon()
 		e.log.Warn().Err(err).Str("request-id", q.id).Str("data-centre", dataCentre).Msg("spilling a request to another data centre failed")
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -52,8 +52,8 @@
 	})
 	for name, v := range e.jobs.workers {
 		s.Workers = append(s.Workers, WorkerStatus{
-			Name: name, Ready: v.heartbeat.Ready, Leaving: v.heartbeat.Leaving,
-			SilentMS: now.Sub(v.lastContact).Milliseconds(), Bundle: v.heartbeat.Bundle,
+			Name: name, Ready: v.heartbeat.Ready, Leaving: v.heartbeat.Draining,
+			SilentMS: now.Sub(v.lastContact).Milliseconds(), Bundle: v.heartbeat.BundleDigest,
 		})
 	}
 	e.jobs.mu.Unlock()
--- a/internal/entry/tail.go
+++ b/internal/entry/tail.go
@@ -17,12 +17,12 @@
 // streamReaders returns the readers of the streams that an entry follows.
 func (e *Entry) streamReaders() []*services.Tail {
 	jobs := e.newStreamReader(JobsStream(e.settings.DataCentre), e.deliverJobs)
-	jobs.Observed = e.carriedForward.observer(&e.carriedForward.jobs)
-	jobs.Start = e.jobsStartOffset
-	jobs.Expired = e.recoverJobs
+	jobs.OnBounds = e.carriedForward.observer(&e.carriedForward.jobs)
+	jobs.StartOffset = e.jobsStartOffset
+	jobs.OnExpired = e.recoverJobs
 	bundles := e.newStreamReader(StreamBundles, e.deliverBundles)
-	bundles.Expired = e.bundlesExpired
-	bundles.Observed = e.carriedForward.observer(&e.carriedForward.bundle)
+	bundles.OnExpired = e.bundlesExpired
+	bundles.OnBounds = e.carriedForward.observer(&e.carriedForward.bundle)
 	members := e.newStreamReader(StreamMembers, e.deliverMembers)
 	return []*services.Tail{jobs, bundles, members}
 }
@@ -30,12 +30,12 @@
 func (e *Entry) newStreamReader(stream string, deliver func([]record.Record, uint64, time.Time)) *services.Tail {
 	skipped := gometrics.GetOrRegisterCounter("records-skipped", e.registry)
 	return &services.Tail{
-		Log: e.logService, Stream: stream, Wait: maxReadWait, Deliver: deliver,
-		Skipped: func(offset uint64, count int, err error) {
+		Log: e.logService, Stream: stream, MaxWait: maxReadWait, Deliver: deliver,
+		OnSkipped: func(offset uint64, count int, err error) {
 			skipped.Inc(int64(max(1, count)))
 			e.log.Warn().Err(err).Str("stream", stream).Uint64("offset", offset).Int("records", count).Msg("skipped unreadable records")
 		},
-		Expired: func(_ context.Context, page record.Page) uint64 {
+		OnExpired: func(_ context.Context, page record.Page) uint64 {
 			// Records that still matter have been carried forward in this stream.
 			e.log.Info().Str("stream", stream).Uint64("first", page.FirstOffset).Msg("the log's retention dropped the next offset; reading on at the first offset kept")
 			return page.FirstOffset
--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -82,8 +82,8 @@
 func newAgent(w *world, i int) *agent {
 	a := &agent{process: newProcess(w), name: fmt.Sprintf("w%d", i)}
 	a.namesReused = i%2 == 0
-	a.runner = &standin.TaskRunner{Name: a.name, Work: 700 * time.Millisecond, History: &w.history, Slow: 50 + w.random.IntN(200)}
-	a.runner.Begin(w.trueTime())
+	a.runner = &standin.TaskRunner{Name: a.name, TaskDuration: 700 * time.Millisecond, History: &w.history, ClockLagDivisor: 50 + w.random.IntN(200)}
+	a.runner.Restart(w.trueTime())
 	a.forget()
 	return a
 }
@@ -189,7 +189,7 @@
 		return false
 	}
 	runs, ends := a.runner.List(ackedEnd)
-	if life := a.runner.Born(); life != a.life {
+	if life := a.runner.StartedAtMS(); life != a.life {
 		a.life, a.reportedEnd, a.ackedEnd, a.sameLifeUntil = life, 0, 0, time.Time{}
 		clear(a.fenceAt)
 		if !a.w.rules.NoStrays {
@@ -216,8 +216,8 @@
 }
 
 // applyListing replaces what the agent knows of the runner's runs.
-func (a *agent) applyListing(now time.Time, runs []standin.Listed, ends []standin.Finished) {
-	a.runnerClockMS, a.runnerClockReadAt, a.sameLifeUntil = a.runner.Clock(a.w.trueTime()), now, now.Add(sameLifeFor)
+func (a *agent) applyListing(now time.Time, runs []standin.RunStatus, ends []standin.RunEnd) {
+	a.runnerClockMS, a.runnerClockReadAt, a.sameLifeUntil = a.runner.ClockMS(a.w.trueTime()), now, now.Add(sameLifeFor)
 	a.runs, a.runEnds = nil, nil
 	for _, r := range runs {
 		id, _ := workflow.ParseTaskID(r.Task)
@@ -229,7 +229,7 @@
 		id, _ := workflow.ParseTaskID(e.Task)
 		delete(a.unlistedStarts, runKey{id, e.Run})
 		if e.Number > a.ackedEnd {
-			a.runEnds = append(a.runEnds, dispatch.RunEnd{Number: e.Number, Task: id, Run: e.Run, How: outcomes[e.How]})
+			a.runEnds = append(a.runEnds, dispatch.RunEnd{Number: e.Number, Task: id, Run: e.Run, How: outcomes[e.Outcome]})
 		}
 	}
 }
@@ -284,10 +284,10 @@
 		// A known limit of the protocol: a start that takes effect in a later life of a
 		// runner with the same name, before the agent has seen that life or after the
 		// agent has restarted, is fenced by nobody. The simulation leaves it out.
-		fenced := a.generation == generation && a.life == a.runner.Born()
-		reached := a.runner.Born() == life || a.namesReused && fenced
+		fenced := a.generation == generation && a.life == a.runner.StartedAtMS()
+		reached := a.runner.StartedAtMS() == life || a.namesReused && fenced
 		return reached && a.runner.Admit(a.w.trueTime(), term, leaseEndMS) &&
-			a.runner.Start(a.w.trueTime(), k.task.String(), k.run, leaseEndMS, standin.FateDone) == ""
+			a.runner.Start(a.w.trueTime(), k.task.String(), k.run, leaseEndMS, standin.TaskSucceeds) == ""
 	}
 	if a.w.now >= a.startsDelayedUntil {
 		if !call() {
@@ -309,7 +309,7 @@
 func (a *agent) fenceDueRuns(now time.Time) {
 	for _, k := range sortedKeys(a.fenceAt) {
 		due := a.fenceAt[k]
-		if now.Before(due) || a.runner.Born() != a.life || !a.runner.Admit(a.w.trueTime(), a.term, 0) {
+		if now.Before(due) || a.runner.StartedAtMS() != a.life || !a.runner.Admit(a.w.trueTime(), a.term, 0) {
 			continue
 		}
 		delete(a.fenceAt, k)
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -124,10 +124,10 @@
 func run(seed uint64, rules Rules) error {
 	rules.setDefaults()
 	w := &world{rules: rules, random: rand.New(rand.NewPCG(seed, 1))}
-	w.port = w.store.Port()
+	w.port = w.store.Client()
 	refusing := new(standin.Store)
-	refusing.Fail(store.ErrRefused, false)
-	w.unreachable = refusing.Port()
+	refusing.SetFault(store.ErrRefused, false)
+	w.unreachable = refusing.Client()
 	for i := range entries {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
@@ -144,7 +144,7 @@
 			w.injectFault()
 		}
 		for _, a := range w.agents {
-			a.runner.Step(w.trueTime())
+			a.runner.EndDueRuns(w.trueTime())
 		}
 		for _, e := range w.entries {
 			e.runIfUp(e.tick)
@@ -152,7 +152,7 @@
 		for _, a := range w.agents {
 			a.runIfUp(a.tick)
 		}
-		if broken := w.history.Broken(); len(broken) > 0 {
+		if broken := w.history.Violations(); len(broken) > 0 {
 			return errors.Newf("at %s: %s", w.now, broken[0])
 		}
 	}
@@ -224,7 +224,7 @@
 			return errors.Newf("%s is not completed %s after the last fault", jobName(i), runFor-faultDuration)
 		}
 		for _, task := range []string{"0.0.0", "0.0.1", "0.1.0"} {
-			if name := jobName(i) + "." + task; !w.history.Worked(name) {
+			if name := jobName(i) + "." + task; !w.history.Completed(name) {
 				return errors.Newf("%s is completed, but no run of %s did its work", jobName(i), name)
 			}
 		}
@@ -251,13 +251,13 @@
 	case 5:
 		a.cutUntil = w.now + duration
 	case 6:
-		a.runner.Begin(w.trueTime())
+		a.runner.Restart(w.trueTime())
 	case 7:
-		w.store.Fail(store.ErrRefused, false)
-		w.schedule(duration, func() { w.store.Fail(nil, false) })
+		w.store.SetFault(store.ErrRefused, false)
+		w.schedule(duration, func() { w.store.SetFault(nil, false) })
 	case 8:
-		w.store.Fail(store.ErrOutcomeUnknown, true)
-		w.schedule(w.randomUpTo(time.Second), func() { w.store.Fail(nil, false) })
+		w.store.SetFault(store.ErrOutcomeUnknown, true)
+		w.schedule(w.randomUpTo(time.Second), func() { w.store.SetFault(nil, false) })
 	case 10:
 		e.isolatedUntil = w.now + 3*duration
 	case 9:
--- a/internal/link/certificate.go
+++ b/internal/link/certificate.go
@@ -25,9 +25,9 @@
 var (
 	// ErrCertificate means that a certificate or key could not be read.
 	ErrCertificate = errors.New("the certificate is not valid")
-	// ErrPeer means that a peer has no certificate, or one that is not valid or
+	// ErrPeerRejected means that a peer has no certificate, or one that is not valid or
 	// names a role that is not accepted.
-	ErrPeer = errors.New("the peer's certificate is not accepted")
+	ErrPeerRejected = errors.New("the peer's certificate is not accepted")
 )
 
 // Role is the role of a process.
@@ -77,7 +77,7 @@
 			return NewPeer(Role(role), u.Host, name), nil
 		}
 	}
-	return Peer{}, errors.Wrap(ErrPeer, "no savoryhoist URI in the certificate")
+	return Peer{}, errors.Wrap(ErrPeerRejected, "no savoryhoist URI in the certificate")
 }
 
 // Identity holds a process's certificate and the certificate authorities that it
@@ -113,7 +113,7 @@
 		return errors.Wrap(ErrCertificate, "authorities: no certificate found")
 	}
 	if old := i.state.Load(); old != nil && old.peer != peer {
-		return errors.Wrapf(ErrPeer, "the new certificate is for %s, but this process is %s", peer, old.peer)
+		return errors.Wrapf(ErrPeerRejected, "the new certificate is for %s, but this process is %s", peer, old.peer)
 	}
 	i.state.Store(&identityState{certificate: pair, roots: roots, peer: peer})
 	return nil
@@ -125,8 +125,8 @@
 // Peer returns the identity of this process.
 func (i *Identity) Peer() Peer { return i.state.Load().peer }
 
-// Text returns s if it is PEM text, otherwise the content of the file named s.
-func Text(s string) ([]byte, error) {
+// ReadPEM returns s if it is PEM text, otherwise the content of the file named s.
+func ReadPEM(s string) ([]byte, error) {
 	if strings.Contains(s, "-----BEGIN ") {
 		return []byte(s), nil
 	}
@@ -146,7 +146,7 @@
 // checks its role.
 func (i *Identity) check(cs tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	if len(cs.PeerCertificates) == 0 {
-		return errors.Wrap(ErrPeer, "no certificate")
+		return errors.Wrap(ErrPeerRejected, "no certificate")
 	}
 	leaf := cs.PeerCertificates[0]
 	pool := x509.NewCertPool()
@@ -157,7 +157,7 @@
 		Roots: i.state.Load().roots, Intermediates: pool, KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 	if err != nil {
-		return errors.Mark(errors.Wrapf(err, "certificate of %q", leaf.Subject.CommonName), ErrPeer)
+		return errors.Mark(errors.Wrapf(err, "certificate of %q", leaf.Subject.CommonName), ErrPeerRejected)
 	}
 	peer, err := PeerOf(leaf)
 	if err != nil {
@@ -168,7 +168,7 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrPeer, "%s: role %q is not accepted on this connection", peer, peer.role)
+	return errors.Wrapf(ErrPeerRejected, "%s: role %q is not accepted on this connection", peer, peer.role)
 }
 
 func (i *Identity) serverTLS(protocols []string, roles []Role) *tls.Config {
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -46,20 +46,20 @@
 	return &Client{control: q, pooled: t, unpooled: fresh, quic: q}
 }
 
-// Requests returns the transport for callers' requests, which uses pooled TCP
+// RequestTransport returns the transport for callers' requests, which uses pooled TCP
 // connections.
-func (c *Client) Requests() http.RoundTripper { return c.pooled }
+func (c *Client) RequestTransport() http.RoundTripper { return c.pooled }
 
-// Fresh returns a transport that opens a new TCP connection for each request. It
+// UnpooledTransport returns a transport that opens a new TCP connection for each request. It
 // is used after a peer has not responded, when its open connections may be dead.
-func (c *Client) Fresh() http.RoundTripper { return c.unpooled }
+func (c *Client) UnpooledTransport() http.RoundTripper { return c.unpooled }
 
 // DropIdle closes the idle connections for callers' requests. It is called after
 // there was no response on one of them.
 func (c *Client) DropIdle() { c.pooled.CloseIdleConnections() }
 
-// Control returns the transport for messages between processes, which uses QUIC.
-func (c *Client) Control() http.RoundTripper { return c.control }
+// ControlTransport returns the transport for messages between processes, which uses QUIC.
+func (c *Client) ControlTransport() http.RoundTripper { return c.control }
 
 // Close closes all connections.
 func (c *Client) Close() error {
@@ -73,8 +73,8 @@
 	return call(ctx, c.control, address, path, in, out)
 }
 
-// CallFresh is like Call but opens a new TCP connection for the message.
-func (c *Client) CallFresh(ctx context.Context, address, path string, in, out any) error {
+// CallUnpooled is like Call but opens a new TCP connection for the message.
+func (c *Client) CallUnpooled(ctx context.Context, address, path string, in, out any) error {
 	return call(ctx, c.unpooled, address, path, in, out)
 }
 
@@ -137,7 +137,7 @@
 }
 
 func statusOf(err error) int {
-	if errors.Is(err, ErrPeer) {
+	if errors.Is(err, ErrPeerRejected) {
 		return http.StatusForbidden
 	}
 	return http.StatusServiceUnavailable
--- a/internal/link/compact.go
+++ b/internal/link/compact.go
@@ -15,11 +15,11 @@
 	stable = *h
 	volatile = Heartbeat{
 		Worker: h.Worker, InFlight: h.InFlight, InFlightLong: h.InFlightLong, Reserved: h.Reserved, Mark: h.Mark,
-		Round: h.Round, Primary: h.Primary, Pressure: h.Pressure, Uses: h.Uses, EntriesSeen: h.EntriesSeen,
+		Round: h.Round, Primary: h.Primary, Pressure: h.Pressure, ClassUses: h.ClassUses, EntriesDigest: h.EntriesDigest,
 	}
 	stable.InFlight, stable.InFlightLong, stable.Reserved, stable.Mark = 0, 0, 0, 0
-	stable.Round, stable.Primary, stable.Pressure, stable.Uses = 0, false, 0, nil
-	stable.EntriesSeen = 0
+	stable.Round, stable.Primary, stable.Pressure, stable.ClassUses = 0, false, 0, nil
+	stable.EntriesDigest = 0
 	data, err := cbor.Marshal(&stable)
 	return stable, volatile, max(1, xxhash.Sum64(data)), err
 }
@@ -28,14 +28,14 @@
 func joinHeartbeat(stable Heartbeat, volatile *Heartbeat) *Heartbeat {
 	h := stable
 	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = volatile.InFlight, volatile.InFlightLong, volatile.Reserved, volatile.Mark
-	h.Round, h.Primary, h.Pressure, h.Uses = volatile.Round, volatile.Primary, volatile.Pressure, volatile.Uses
-	h.EntriesSeen = volatile.EntriesSeen
+	h.Round, h.Primary, h.Pressure, h.ClassUses = volatile.Round, volatile.Primary, volatile.Pressure, volatile.ClassUses
+	h.EntriesDigest = volatile.EntriesDigest
 	return &h
 }
 
-// Sender shortens an agent's heartbeats: it leaves out the stable part that an
+// HeartbeatSender shortens an agent's heartbeats: it leaves out the stable part that an
 // entry has already received. The zero value has sent nothing.
-type Sender struct {
+type HeartbeatSender struct {
 	mu sync.Mutex
 	// ackedDigests holds, by entry, the digest of the stable part that the entry
 	// received last.
@@ -45,12 +45,12 @@
 }
 
 // Compact returns the heartbeat to send to an entry in place of h, and the digest
-// to pass to Sent with the entry's reply.
-func (s *Sender) Compact(entry string, h *Heartbeat) (*Heartbeat, uint64, error) {
+// to pass to HandleReply with the entry's reply.
+func (s *HeartbeatSender) Compact(entry string, h *Heartbeat) (*Heartbeat, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	whole := *h
-	whole.EntriesSeen = EntriesDigest(s.lastEntries[entry])
+	whole.EntriesDigest = EntriesDigest(s.lastEntries[entry])
 	_, volatile, digest, err := splitHeartbeat(&whole)
 	if err != nil {
 		return nil, 0, err
@@ -58,14 +58,14 @@
 	if s.ackedDigests[entry] != digest {
 		return &whole, digest, nil
 	}
-	volatile.Same = digest
+	volatile.UnchangedDigest = digest
 	return &volatile, digest, nil
 }
 
-// Sent takes in an entry's reply to a heartbeat. If the reply leaves out the list
-// of entries, Sent fills in the last one. It reports whether the heartbeat must be
+// HandleReply takes in an entry's reply to a heartbeat. If the reply leaves out the list
+// of entries, HandleReply fills in the last one. It reports whether the heartbeat must be
 // sent again as a whole.
-func (s *Sender) Sent(entry string, digest uint64, reading *Reading) (again bool) {
+func (s *HeartbeatSender) HandleReply(entry string, digest uint64, reading *HeartbeatReply) (again bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ackedDigests == nil {
@@ -73,10 +73,10 @@
 		s.lastEntries = make(map[string][]string)
 	}
 	delete(s.ackedDigests, entry)
-	if reading.Resend {
+	if reading.ResendWhole {
 		return true
 	}
-	if reading.Compact {
+	if reading.AcceptsCompact {
 		s.ackedDigests[entry] = digest
 	}
 	if len(reading.Entries) == 0 {
@@ -87,16 +87,16 @@
 }
 
 // Forget drops the state about an entry, after a call to it has failed.
-func (s *Sender) Forget(entry string) {
+func (s *HeartbeatSender) Forget(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.ackedDigests, entry)
 	delete(s.lastEntries, entry)
 }
 
-// Receiver restores shortened heartbeats at an entry from the newest whole
+// HeartbeatReceiver restores shortened heartbeats at an entry from the newest whole
 // heartbeat of each agent. The zero value has received none.
-type Receiver struct {
+type HeartbeatReceiver struct {
 	mu         sync.Mutex
 	heartbeats map[string]knownHeartbeat
 }
@@ -108,12 +108,12 @@
 
 // Expand returns the whole heartbeat that h was shortened from, or nil if the
 // agent must send it again as a whole.
-func (r *Receiver) Expand(h *Heartbeat) *Heartbeat {
+func (r *HeartbeatReceiver) Expand(h *Heartbeat) *Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h.Same != 0 {
+	if h.UnchangedDigest != 0 {
 		k, ok := r.heartbeats[h.Worker]
-		if !ok || k.digest != h.Same {
+		if !ok || k.digest != h.UnchangedDigest {
 			return nil
 		}
 		return joinHeartbeat(k.stable, h)
@@ -130,7 +130,7 @@
 }
 
 // Keep drops the heartbeats of all agents for whose worker keep returns false.
-func (r *Receiver) Keep(keep func(worker string) bool) {
+func (r *HeartbeatReceiver) Keep(keep func(worker string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name := range r.heartbeats {
--- a/internal/link/compact_test.go
+++ b/internal/link/compact_test.go
@@ -28,7 +28,7 @@
 func testHeartbeat() *Heartbeat {
 	return &Heartbeat{
 		Worker: "worker-1", Rack: "rack-1", Service: "planner", Address: "10.0.0.1:8443", Incarnation: 7, Ready: true,
-		Total: worker.Resources{MilliCPU: 16000}, Bundle: "digest", BundleVersion: 4,
+		Total: worker.Resources{MilliCPU: 16000}, BundleDigest: "digest", BundleVersion: 4,
 		Tasks: []lease.Report{{Hold: record.AssignmentID{Task: record.TaskID{Job: "job"}, Epoch: 9}, State: lease.Running}},
 	}
 }
@@ -36,8 +36,8 @@
 // TestCompactHeartbeats checks that the heartbeat that an entry restores from a
 // shortened one always equals the whole one, also after a restart of the entry.
 func TestCompactHeartbeats(t *testing.T) {
-	var s Sender
-	r := new(Receiver)
+	var s HeartbeatSender
+	r := new(HeartbeatReceiver)
 	cases := []struct {
 		name       string
 		change     func(h *Heartbeat)
@@ -51,19 +51,19 @@
 		{"a task starts", func(h *Heartbeat) { h.Tasks = testHeartbeat().Tasks }, false, false, false},
 		{"unchanged again", func(h *Heartbeat) { h.Round++; h.Primary = true }, false, true, false},
 		{"the entry was restarted", func(h *Heartbeat) { h.Round++ }, true, true, true},
-		{"leaving", func(h *Heartbeat) { h.Leaving = true }, false, false, false},
+		{"leaving", func(h *Heartbeat) { h.Draining = true }, false, false, false},
 	}
 	h := testHeartbeat()
 	for _, c := range cases {
 		c.change(h)
 		if c.restart {
-			r = new(Receiver)
+			r = new(HeartbeatReceiver)
 		}
 		got, resent := sendHeartbeat(t, &s, r, h, c.wantSame)
 		if resent != c.wantResend {
 			t.Errorf("%s: resent: got %t, want %t", c.name, resent, c.wantResend)
 		}
-		got.EntriesSeen = 0
+		got.EntriesDigest = 0
 		if !reflect.DeepEqual(got, roundTrip(t, h)) {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, h)
 		}
@@ -72,17 +72,17 @@
 
 // sendHeartbeat sends h to r, again if r asks for it, and returns the heartbeat
 // that r restores.
-func sendHeartbeat(t *testing.T, s *Sender, r *Receiver, h *Heartbeat, wantSame bool) (got *Heartbeat, resent bool) {
+func sendHeartbeat(t *testing.T, s *HeartbeatSender, r *HeartbeatReceiver, h *Heartbeat, wantSame bool) (got *Heartbeat, resent bool) {
 	t.Helper()
 	sent, digest, err := s.Compact("entry", h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if same := sent.Same != 0; same != wantSame {
+	if same := sent.UnchangedDigest != 0; same != wantSame {
 		t.Errorf("stable part left out: got %t, want %t", same, wantSame)
 	}
 	got = r.Expand(roundTrip(t, sent))
-	if !s.Sent("entry", digest, &Reading{Resend: got == nil, Compact: true}) {
+	if !s.HandleReply("entry", digest, &HeartbeatReply{ResendWhole: got == nil, AcceptsCompact: true}) {
 		return got, false
 	}
 	sent, digest, err = s.Compact("entry", h)
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	got = r.Expand(roundTrip(t, sent))
-	if got == nil || s.Sent("entry", digest, &Reading{Compact: true}) {
+	if got == nil || s.HandleReply("entry", digest, &HeartbeatReply{AcceptsCompact: true}) {
 		t.Fatal("the whole heartbeat was not accepted")
 	}
 	return got, true
@@ -99,20 +99,20 @@
 // TestEntriesLeftOut checks that an agent goes on using the list of entries that
 // an entry leaves out of its reply because the agent has it already.
 func TestEntriesLeftOut(t *testing.T) {
-	var s Sender
+	var s HeartbeatSender
 	h := testHeartbeat()
 	list := []string{"a", "b"}
 	sent, digest, err := s.Compact("entry", h)
-	if err != nil || sent.EntriesSeen != 0 {
-		t.Fatalf("first: got entries digest %d, error %v", sent.EntriesSeen, err)
+	if err != nil || sent.EntriesDigest != 0 {
+		t.Fatalf("first: got entries digest %d, error %v", sent.EntriesDigest, err)
 	}
-	s.Sent("entry", digest, &Reading{Entries: list})
+	s.HandleReply("entry", digest, &HeartbeatReply{Entries: list})
 	sent, digest, err = s.Compact("entry", h)
-	if err != nil || sent.EntriesSeen != EntriesDigest([]string{"b", "a"}) {
-		t.Errorf("second: got entries digest %d, error %v, want that of the list", sent.EntriesSeen, err)
+	if err != nil || sent.EntriesDigest != EntriesDigest([]string{"b", "a"}) {
+		t.Errorf("second: got entries digest %d, error %v, want that of the list", sent.EntriesDigest, err)
 	}
-	reading := new(Reading)
-	s.Sent("entry", digest, reading)
+	reading := new(HeartbeatReply)
+	s.HandleReply("entry", digest, reading)
 	if !reflect.DeepEqual(reading.Entries, list) {
 		t.Errorf("list left out: got %v, want %v", reading.Entries, list)
 	}
--- a/internal/link/identity_test.go
+++ b/internal/link/identity_test.go
@@ -80,8 +80,8 @@
 	server := testIdentity(t, a, now, NewPeer(RoleEntry, "dc-1", "entry-1"))
 	refused := make(chan error, 16)
 	server.OnRefused(func(err error) {
-		if !errors.Is(err, ErrPeer) {
-			t.Errorf("reason of a refusal: got %v, want %v", err, ErrPeer)
+		if !errors.Is(err, ErrPeerRejected) {
+			t.Errorf("reason of a refusal: got %v, want %v", err, ErrPeerRejected)
 		}
 		refused <- err
 	})
@@ -156,8 +156,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := server.Load(other, otherKey, next.PEM()); !errors.Is(err, ErrPeer) {
-		t.Errorf("a certificate of another data centre: got %v, want %v", err, ErrPeer)
+	if err := server.Load(other, otherKey, next.PEM()); !errors.Is(err, ErrPeerRejected) {
+		t.Errorf("a certificate of another data centre: got %v, want %v", err, ErrPeerRejected)
 	}
 	if got, err := callEcho(t, client, address, RoleEntry); err != nil || got != "worker-1: hello" {
 		t.Errorf("after refused rotations: got %q, error %v, want a reply", got, err)
--- a/internal/link/load.go
+++ b/internal/link/load.go
@@ -33,7 +33,7 @@
 
 // internalHeaders lists the headers that only entries and agents use.
 var internalHeaders = [...]string{
-	HeaderIncarnation, HeaderMark, HeaderCallerTeam, HeaderRefusal, HeaderLoad, HeaderTook, HeaderAttempt,
+	HeaderIncarnation, HeaderMark, HeaderCallerTeam, HeaderRefusal, HeaderLoad, HeaderServiceTime, HeaderAttempt,
 }
 
 // DropInternal removes the headers that only entries and agents use.
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -7,18 +7,18 @@
 
 // Paths of the calls between processes.
 const (
-	// PathHeartbeat takes a Heartbeat and returns a Reading; at an entry.
+	// PathHeartbeat takes a Heartbeat and returns a HeartbeatReply; at an entry.
 	PathHeartbeat = "/peer/heartbeat"
 	// PathBundle takes a BundleQuery and returns a BundleReply; at an entry or agent.
 	PathBundle = "/peer/bundle"
-	// PathSilence takes a SilenceQuery and returns a SilenceReply; at an entry.
-	PathSilence = "/peer/silence"
+	// PathLastContact takes a LastContactQuery and returns a LastContactReply; at an entry.
+	PathLastContact = "/peer/silence"
 	// PathJobs takes a JobsQuery and returns a JobsReply; at an entry.
 	PathJobs = "/peer/jobs"
-	// PathSums takes a SumsQuery and returns a SumsReply; at an entry.
-	PathSums = "/peer/sums"
-	// PathFate takes a FateQuery and returns a FateReply; at an agent.
-	PathFate = "/peer/fate"
+	// PathDataCentreLoad takes a DataCentreLoadQuery and returns a DataCentreLoadReply; at an entry.
+	PathDataCentreLoad = "/peer/sums"
+	// PathAttemptState takes an AttemptStateQuery and returns an AttemptStateReply; at an agent.
+	PathAttemptState = "/peer/fate"
 	// PathRequests is the prefix of callers' requests; at an agent.
 	PathRequests = "/requests/"
 )
@@ -44,21 +44,21 @@
 	HeaderRefusal = "Savoryhoist-Refusal"
 	// HeaderLoad carries the endpoint's load with each response; see FormatLoad.
 	HeaderLoad = "Savoryhoist-Load"
-	// HeaderTook is the runner's service time, in microseconds.
-	HeaderTook = "Savoryhoist-Took"
+	// HeaderServiceTime is the runner's service time, in microseconds.
+	HeaderServiceTime = "Savoryhoist-Took"
 )
 
 // Values of HeaderRefusal.
 const (
-	// RefusalLeaving means that the agent is draining.
-	RefusalLeaving = "leaving"
+	// RefusalDraining means that the agent is draining.
+	RefusalDraining = "leaving"
 	// RefusalFull means that the endpoint is fully loaded.
 	RefusalFull = "full"
 	// RefusalRunner means that the runner is missing or did not respond.
 	RefusalRunner = "runner"
-	// RefusalFate means that the attempt has already ended or may have run, and
+	// RefusalAttemptState means that the attempt has already ended or may have run, and
 	// that no response to it is stored.
-	RefusalFate = "fate"
+	RefusalAttemptState = "fate"
 )
 
 // Heartbeat is an agent's report on its endpoint and worker.
@@ -70,21 +70,21 @@
 	Incarnation uint64           `cbor:"5,keyasint"`
 	Slots       int              `cbor:"6,keyasint,omitempty"`
 	InFlight    int              `cbor:"7,keyasint,omitempty"`
-	Leaving     bool             `cbor:"8,keyasint,omitempty"`
+	Draining    bool             `cbor:"8,keyasint,omitempty"`
 	Ready       bool             `cbor:"9,keyasint,omitempty"`
 	Total       worker.Resources `cbor:"10,keyasint"`
 	Free        worker.Resources `cbor:"11,keyasint"`
 	Tasks       []lease.Report   `cbor:"12,keyasint,omitempty"`
 	// Primary asks this entry to record the task reports in the log.
 	Primary bool `cbor:"13,keyasint,omitempty"`
-	// Bundle is the digest of the agent's bundle, BundleVersion its version.
-	Bundle        string `cbor:"14,keyasint,omitempty"`
+	// BundleDigest is the digest of the agent's bundle, BundleVersion its version.
+	BundleDigest  string `cbor:"14,keyasint,omitempty"`
 	BundleVersion uint64 `cbor:"20,keyasint,omitempty"`
-	// Same, if set, is the digest of the stable part of an earlier heartbeat. That
-	// part has not changed and is left out of this heartbeat; see Sender.
-	Same uint64 `cbor:"21,keyasint,omitempty"`
-	// EntriesSeen is the digest of the list of entries that the receiver sent last.
-	EntriesSeen uint64 `cbor:"22,keyasint,omitempty"`
+	// UnchangedDigest, if set, is the digest of the stable part of an earlier heartbeat. That
+	// part has not changed and is left out of this heartbeat; see HeartbeatSender.
+	UnchangedDigest uint64 `cbor:"21,keyasint,omitempty"`
+	// EntriesDigest is the digest of the list of entries that the receiver sent last.
+	EntriesDigest uint64 `cbor:"22,keyasint,omitempty"`
 	// Round is the number of the agent's heartbeat round.
 	Round uint64 `cbor:"18,keyasint"`
 	// InFlightLong, Reserved and Mark describe the endpoint; see endpoint.Report.
@@ -94,8 +94,8 @@
 	// Pressure is the service's tail latency on this worker divided by its latency
 	// objective.
 	Pressure float64 `cbor:"30,keyasint,omitempty"`
-	// Uses is the resource use of the worker's batch tasks by class.
-	Uses []ClassUse `cbor:"31,keyasint,omitempty"`
+	// ClassUses is the resource use of the worker's batch tasks by class.
+	ClassUses []ClassUse `cbor:"31,keyasint,omitempty"`
 }
 
 // ClassUse is the resource use of all tasks of one batch class on a worker. The
@@ -108,40 +108,40 @@
 	Used    worker.Resources
 }
 
-// Reading is an entry's reply to a heartbeat.
-type Reading struct {
-	// Lease is what the entry's newest log read says about the agent's worker.
-	Lease lease.LogReading `cbor:"1,keyasint"`
-	// Bundle is the digest of the bundle in force.
-	Bundle string `cbor:"5,keyasint,omitempty"`
+// HeartbeatReply is an entry's reply to a heartbeat.
+type HeartbeatReply struct {
+	// LogReading is what the entry's newest log read says about the agent's worker.
+	LogReading lease.LogReading `cbor:"1,keyasint"`
+	// BundleDigest is the digest of the bundle in force.
+	BundleDigest string `cbor:"5,keyasint,omitempty"`
 	// Entries holds the addresses of the data centre's entries. It is empty if the
-	// heartbeat's EntriesSeen is their digest.
+	// heartbeat's EntriesDigest is their digest.
 	Entries []string `cbor:"6,keyasint,omitempty"`
-	// Leaving means that the entry is draining and should get no more heartbeats.
-	Leaving bool `cbor:"7,keyasint,omitempty"`
-	// BundleVersion is the version of Bundle; 0 if the entry does not report it.
+	// Draining means that the entry is draining and should get no more heartbeats.
+	Draining bool `cbor:"7,keyasint,omitempty"`
+	// BundleVersion is the version of that bundle; 0 if the entry does not report it.
 	BundleVersion uint64 `cbor:"20,keyasint,omitempty"`
-	// Resend asks for the whole heartbeat; the other fields are then ignored.
-	Resend bool `cbor:"21,keyasint,omitempty"`
-	// Compact means that the entry accepts heartbeats without the stable part.
-	Compact bool `cbor:"22,keyasint,omitempty"`
-	// PaceMS is the shortest time until the next heartbeat, in milliseconds.
-	PaceMS int64 `cbor:"23,keyasint,omitempty"`
+	// ResendWhole asks for the whole heartbeat; the other fields are then ignored.
+	ResendWhole bool `cbor:"21,keyasint,omitempty"`
+	// AcceptsCompact means that the entry accepts heartbeats without the stable part.
+	AcceptsCompact bool `cbor:"22,keyasint,omitempty"`
+	// HeartbeatIntervalMS is the shortest time until the next heartbeat, in milliseconds.
+	HeartbeatIntervalMS int64 `cbor:"23,keyasint,omitempty"`
 }
 
-// SilenceQuery asks for the last contact with workers.
-type SilenceQuery struct {
+// LastContactQuery asks for the last contact with workers.
+type LastContactQuery struct {
 	Workers []string `cbor:"1,keyasint"`
 }
 
-// SilenceReply holds the workers that the entry had contact with lately. It is
+// LastContactReply holds the workers that the entry had contact with lately. It is
 // empty if the entry has not been able to read the log lately.
-type SilenceReply struct {
-	Heard []HeardWorker `cbor:"1,keyasint,omitempty"`
+type LastContactReply struct {
+	Contacts []WorkerContact `cbor:"1,keyasint,omitempty"`
 }
 
-// HeardWorker is the time since the last contact with a worker.
-type HeardWorker struct {
+// WorkerContact is the time since the last contact with a worker.
+type WorkerContact struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	AgoMS  int64
@@ -149,9 +149,9 @@
 
 // BundleQuery asks for the bundle in force.
 type BundleQuery struct {
-	// Have is the digest of the bundle that the sender has. The reply may use that
+	// HaveDigest is the digest of the bundle that the sender has. The reply may use that
 	// bundle as a compression dictionary.
-	Have string `cbor:"1,keyasint,omitempty"`
+	HaveDigest string `cbor:"1,keyasint,omitempty"`
 }
 
 // BundleReply carries the bundle in force and the proof of it. It is empty if no
@@ -159,19 +159,19 @@
 type BundleReply struct {
 	// Signed is the signed bundle.
 	Signed []byte `cbor:"1,keyasint,omitempty"`
-	// Lineage holds the earlier bundles that changed the operators' keys.
-	Lineage [][]byte `cbor:"2,keyasint,omitempty"`
+	// OperatorChanges holds the earlier bundles that changed the operators' keys.
+	OperatorChanges [][]byte `cbor:"2,keyasint,omitempty"`
 	// Packed is the signed bundle, compressed with the content of the bundle
-	// with digest Base as dictionary. It is sent instead of Signed.
-	Packed []byte `cbor:"3,keyasint,omitempty"`
-	Base   string `cbor:"4,keyasint,omitempty"`
-	// Covers is the exclusive end of the log prefix in which no newer bundle came
+	// with digest BaseDigest as dictionary. It is sent instead of Signed.
+	Packed     []byte `cbor:"3,keyasint,omitempty"`
+	BaseDigest string `cbor:"4,keyasint,omitempty"`
+	// EndOffset is the exclusive end of the log prefix in which no newer bundle came
 	// into force.
-	Covers uint64 `cbor:"5,keyasint,omitempty"`
+	EndOffset uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// FateQuery asks an agent for the state of an attempt.
-type FateQuery struct {
+// AttemptStateQuery asks an agent for the state of an attempt.
+type AttemptStateQuery struct {
 	Request     string `cbor:"1,keyasint"`
 	Attempt     uint32 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
@@ -181,10 +181,10 @@
 	Cancel bool `cbor:"5,keyasint,omitempty"`
 }
 
-// FateReply is the reply to a FateQuery.
-type FateReply struct {
-	// Fate is the text form of an endpoint.AttemptState.
-	Fate string `cbor:"1,keyasint"`
+// AttemptStateReply is the reply to an AttemptStateQuery.
+type AttemptStateReply struct {
+	// State is the text form of an endpoint.AttemptState.
+	State string `cbor:"1,keyasint"`
 }
 
 // JobsQuery asks an entry of another data centre about a team's jobs.
@@ -202,19 +202,19 @@
 	MovedTo string `cbor:"2,keyasint,omitempty"`
 }
 
-// SumsQuery asks an entry of another data centre for the load of the services there.
-type SumsQuery struct{}
+// DataCentreLoadQuery asks an entry of another data centre for the load of the services there.
+type DataCentreLoadQuery struct{}
 
-// SumsReply holds the load of the services of a data centre.
-type SumsReply struct {
-	Services []ServiceSum `cbor:"1,keyasint,omitempty"`
-	// Askers is the number of entries of other data centres, which may send
+// DataCentreLoadReply holds the load of the services of a data centre.
+type DataCentreLoadReply struct {
+	Services []ServiceLoad `cbor:"1,keyasint,omitempty"`
+	// RemoteEntryCount is the number of entries of other data centres, which may send
 	// requests to this one.
-	Askers int `cbor:"2,keyasint,omitempty"`
+	RemoteEntryCount int `cbor:"2,keyasint,omitempty"`
 }
 
-// ServiceSum is the load of a service in a data centre, summed over its endpoints.
-type ServiceSum struct {
+// ServiceLoad is the load of a service in a data centre, summed over its endpoints.
+type ServiceLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Service  string
 	Slots    int
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -113,7 +113,7 @@
 // PeerOfRequest returns the identity of the sender of r.
 func PeerOfRequest(r *http.Request) (Peer, error) {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
-		return Peer{}, errors.Wrap(ErrPeer, "no certificate")
+		return Peer{}, errors.Wrap(ErrPeerRejected, "no certificate")
 	}
 	return PeerOf(r.TLS.PeerCertificates[0])
 }
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -53,7 +53,7 @@
 		out = append(out, s.checkJob(&s.jobs[i])...)
 	}
 	for _, c := range s.counts {
-		for _, w := range c.Overfull {
+		for _, w := range c.Overcommitted {
 			out = append(out, w+": was given more than it has")
 		}
 		out = append(out, checkPlaces(c.Tasks)...)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -78,7 +78,7 @@
 	for _, j := range c.Jobs {
 		s.jobs = append(s.jobs, JobSeen{id: j.ID, accepted: j.Accepted, phase: j.Phase, tasks: j.Tasks})
 	}
-	s.counts = []standin.Counts{{Requests: c.Runs, Tasks: c.Tasks, Overfull: c.Overfull}}
+	s.counts = []standin.Counts{{Requests: c.Runs, Tasks: c.Tasks, Overcommitted: c.Overfull}}
 	return s
 }
 
--- a/internal/runneragent/agent.go
+++ b/internal/runneragent/agent.go
@@ -229,7 +229,7 @@
 		}
 		a.mu.Unlock()
 		if !known {
-			clock.Pause(ctx, a.wakePoll, retryAfter)
+			clock.WaitForWake(ctx, a.wakePoll, retryAfter)
 			continue
 		}
 		began := clock.Steady()
@@ -239,9 +239,9 @@
 			a.log.Warn().Err(err).Bool("failing", failing).Msg("polling the runner began or ceased to fail")
 		}
 		if err != nil {
-			clock.Pause(ctx, nil, retryAfter)
+			clock.WaitForWake(ctx, nil, retryAfter)
 		} else if gap := minPollInterval - clock.Steady().Sub(began); gap > 0 {
-			clock.Pause(ctx, nil, gap) // a poll returns at once while the runner keeps run ends that are not acknowledged
+			clock.WaitForWake(ctx, nil, gap) // a poll returns at once while the runner keeps run ends that are not acknowledged
 		}
 	}
 }
--- a/internal/runneragent/link.go
+++ b/internal/runneragent/link.go
@@ -44,7 +44,7 @@
 			next = a.dispatcherFromStore(ctx)
 			searchBegan = clock.Steady()
 		}
-		clock.Pause(ctx, nil, reconnectAfter)
+		clock.WaitForWake(ctx, nil, reconnectAfter)
 	}
 }
 
@@ -161,7 +161,7 @@
 			a.log.Warn().Err(err).Msg("no runner; reporting a worker without runs")
 			return true, true
 		}
-		if !clock.Pause(ctx, conn.Done(), retryAfter) {
+		if !clock.WaitForWake(ctx, conn.Done(), retryAfter) {
 			return false, false
 		}
 		select {
@@ -191,7 +191,7 @@
 	a.ping(clock.Steady())
 	a.mu.Unlock()
 	for {
-		if !clock.Pause(ctx, conn.Done(), pingEvery) {
+		if !clock.WaitForWake(ctx, conn.Done(), pingEvery) {
 			return
 		}
 		a.mu.Lock()
--- a/internal/runneragent/orders.go
+++ b/internal/runneragent/orders.go
@@ -116,7 +116,7 @@
 		if err == nil && a.poll(ctx, 0) == nil {
 			break
 		}
-		clock.Pause(ctx, nil, retryAfter)
+		clock.WaitForWake(ctx, nil, retryAfter)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -176,7 +176,7 @@
 		}
 	}
 	for a.poll(ctx, 0) != nil {
-		if !clock.Pause(ctx, nil, retryAfter) {
+		if !clock.WaitForWake(ctx, nil, retryAfter) {
 			return
 		}
 	}
@@ -204,7 +204,7 @@
 		if err == nil {
 			return true
 		}
-		clock.Pause(ctx, nil, retryAfter)
+		clock.WaitForWake(ctx, nil, retryAfter)
 	}
 	return false
 }
--- a/internal/services/log.go
+++ b/internal/services/log.go
@@ -19,9 +19,9 @@
 
 // LogPage is the JSON response to a read.
 type LogPage struct {
-	First   uint64     `json:"first"`
-	Next    uint64     `json:"next"`
-	Batches []LogBatch `json:"batches"`
+	FirstOffset uint64     `json:"first"`
+	NextOffset  uint64     `json:"next"`
+	Batches     []LogBatch `json:"batches"`
 }
 
 // LogBatch is one batch in the JSON response to a read.
@@ -30,8 +30,8 @@
 	Data   []byte `json:"data"`
 }
 
-// LogOffset is the JSON response to an append.
-type LogOffset struct {
+// AppendResult is the JSON response to an append.
+type AppendResult struct {
 	Offset uint64 `json:"offset"`
 }
 
@@ -66,7 +66,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return 0, errors.Wrapf(record.ErrOutcomeUnknown, "append to %s: status %d", stream, resp.StatusCode)
 	}
-	var out LogOffset
+	var out AppendResult
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		return 0, errors.Mark(errors.Wrap(err, "decode the response to an append"), record.ErrOutcomeUnknown)
 	}
@@ -92,9 +92,9 @@
 	if err := json.NewDecoder(resp.Body).Decode(&in); err != nil {
 		return record.Page{}, errors.Mark(errors.Wrap(err, "decode the response to a log read"), record.ErrUnavailable)
 	}
-	page := record.Page{FirstOffset: in.First, NextOffset: in.Next}
+	page := record.Page{FirstOffset: in.FirstOffset, NextOffset: in.NextOffset}
 	if resp.StatusCode == http.StatusGone {
-		return page, errors.Wrapf(record.ErrExpired, "stream %s: offset %d is before the first retained offset %d", stream, from, in.First)
+		return page, errors.Wrapf(record.ErrExpired, "stream %s: offset %d is before the first retained offset %d", stream, from, in.FirstOffset)
 	}
 	for _, b := range in.Batches {
 		page.Batches = append(page.Batches, record.RawBatch{Offset: b.Offset, Data: b.Data})
--- a/internal/services/scan.go
+++ b/internal/services/scan.go
@@ -9,8 +9,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// End returns the first retained offset of a stream and the offset of the next append.
-func End(ctx context.Context, log record.Log, stream string) (first, next uint64, err error) {
+// StreamBounds returns the first retained offset of a stream and the offset of the next append.
+func StreamBounds(ctx context.Context, log record.Log, stream string) (first, next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
 	page, err := log.Read(ctx, stream, math.MaxInt64, 0)
--- a/internal/services/tail.go
+++ b/internal/services/tail.go
@@ -15,27 +15,27 @@
 type Tail struct {
 	Log    record.Log
 	Stream string
-	// Start, if set, returns the offset to start at. It is called until it
-	// succeeds. If it is nil, reading starts at offset 0, so that Expired is
+	// StartOffset, if set, returns the offset to start at. It is called until it
+	// succeeds. If it is nil, reading starts at offset 0, so that OnExpired is
 	// called if the log no longer retains the start of the stream.
-	Start func(ctx context.Context) (uint64, error)
-	// Wait is how long a read at the end of the stream waits for a new record.
-	Wait time.Duration
+	StartOffset func(ctx context.Context) (uint64, error)
+	// MaxWait is how long a read at the end of the stream waits for a new record.
+	MaxWait time.Duration
 	// Deliver is called after each read with its records, the offset of the
 	// next batch to read, and when the read began. The time is zero if the
 	// read did not reach the end of the stream: such a read does not show that
 	// the log held nothing newer when it began.
 	Deliver func(records []record.Record, next uint64, began time.Time)
-	// Skipped is called for each batch that cannot be decoded, in whole or in
+	// OnSkipped is called for each batch that cannot be decoded, in whole or in
 	// part, with the number of records skipped in it.
-	Skipped func(offset uint64, count int, err error)
-	// Observed, if set, is called after each read with the first retained offset
+	OnSkipped func(offset uint64, count int, err error)
+	// OnBounds, if set, is called after each read with the first retained offset
 	// and the offset of the next append.
-	Observed func(first, next uint64)
-	// Expired is called when the log no longer retains the next offset to read.
+	OnBounds func(first, next uint64)
+	// OnExpired is called when the log no longer retains the next offset to read.
 	// It returns the offset to continue at, which is raised to the first
 	// retained offset if it lies before it.
-	Expired func(ctx context.Context, page record.Page) uint64
+	OnExpired func(ctx context.Context, page record.Page) uint64
 }
 
 // Run reads until ctx ends.
@@ -46,7 +46,7 @@
 		began := time.Now()
 		page, err := t.read(ctx, next)
 		if errors.Is(err, record.ErrExpired) {
-			next = max(t.Expired(ctx, page), page.FirstOffset)
+			next = max(t.OnExpired(ctx, page), page.FirstOffset)
 			continue
 		}
 		if err != nil {
@@ -55,8 +55,8 @@
 			continue
 		}
 		backoff = minRetryDelay
-		if t.Observed != nil {
-			t.Observed(page.FirstOffset, page.NextOffset)
+		if t.OnBounds != nil {
+			t.OnBounds(page.FirstOffset, page.NextOffset)
 		}
 		next = t.deliver(page, next, began)
 	}
@@ -64,8 +64,8 @@
 
 func (t *Tail) startOffset(ctx context.Context) uint64 {
 	backoff := minRetryDelay
-	for t.Start != nil && ctx.Err() == nil {
-		next, err := t.Start(ctx)
+	for t.StartOffset != nil && ctx.Err() == nil {
+		next, err := t.StartOffset(ctx)
 		if err == nil {
 			return next
 		}
@@ -89,9 +89,9 @@
 }
 
 func (t *Tail) read(ctx context.Context, from uint64) (record.Page, error) {
-	call, cancel := context.WithTimeout(ctx, t.Wait+logCallTimeout)
+	call, cancel := context.WithTimeout(ctx, t.MaxWait+logCallTimeout)
 	defer cancel()
-	return t.Log.Read(call, t.Stream, from, t.Wait)
+	return t.Log.Read(call, t.Stream, from, t.MaxWait)
 }
 
 func (t *Tail) decode(batches []record.RawBatch) []record.Record {
@@ -99,7 +99,7 @@
 	for _, b := range batches {
 		records, skipped, err := record.Decode(b.Offset, b.Data)
 		if err != nil || skipped > 0 {
-			t.Skipped(b.Offset, skipped, err)
+			t.OnSkipped(b.Offset, skipped, err)
 		}
 		out = append(out, records...)
 	}
--- a/internal/services/tail_test.go
+++ b/internal/services/tail_test.go
@@ -52,10 +52,10 @@
 	want := []bool{false, true, true, false, false}
 	var got []bool
 	tail := Tail{
-		Log:     record.Log{Read: log.read},
-		Deliver: func(_ []record.Record, _ uint64, began time.Time) { got = append(got, !began.IsZero()) },
-		Skipped: func(uint64, int, error) {},
-		Expired: func(context.Context, record.Page) uint64 { return 0 },
+		Log:       record.Log{Read: log.read},
+		Deliver:   func(_ []record.Record, _ uint64, began time.Time) { got = append(got, !began.IsZero()) },
+		OnSkipped: func(uint64, int, error) {},
+		OnExpired: func(context.Context, record.Page) uint64 { return 0 },
 	}
 	tail.Run(ctx)
 	for i, w := range want {
@@ -66,7 +66,7 @@
 }
 
 // TestTailStartsWhereExpiredSays checks that a tail whose next offset is no longer
-// retained continues at the offset that Expired returns.
+// retained continues at the offset that OnExpired returns.
 func TestTailStartsWhereExpiredSays(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,8 +81,8 @@
 		Deliver: func(r []record.Record, n uint64, _ time.Time) {
 			first, next = r[0].Position().Offset(), n
 		},
-		Skipped: func(uint64, int, error) {},
-		Expired: func(context.Context, record.Page) uint64 { return 7 },
+		OnSkipped: func(uint64, int, error) {},
+		OnExpired: func(context.Context, record.Page) uint64 { return 7 },
 	}
 	tail.Run(ctx)
 	if first != 7 || next != 9 {
--- a/internal/services/worker.go
+++ b/internal/services/worker.go
@@ -17,11 +17,11 @@
 
 // Errors returned by the functions of Worker.
 var (
-	// ErrWorker means that the worker was not reached, refused the call or sent
+	// ErrWorkerCall means that the worker was not reached, refused the call or sent
 	// a response that cannot be decoded.
-	ErrWorker = errors.New("call to the worker failed")
-	// ErrNoTask means that the worker has no such task.
-	ErrNoTask = errors.New("the worker has no such task")
+	ErrWorkerCall = errors.New("call to the worker failed")
+	// ErrTaskNotFound means that the worker has no such task.
+	ErrTaskNotFound = errors.New("the worker has no such task")
 )
 
 // TaskState is a task's state on its worker.
@@ -30,9 +30,9 @@
 // The states of a task on its worker.
 const (
 	TaskRunning TaskState = "running"
-	// TaskHeld means that the task's lease has expired: the task keeps its
+	// TaskSuspended means that the task's lease has expired: the task keeps its
 	// resources and makes no progress until the lease is renewed.
-	TaskHeld      TaskState = "held"
+	TaskSuspended TaskState = "held"
 	TaskSucceeded TaskState = "succeeded"
 	TaskFailed    TaskState = "failed"
 	TaskStopped   TaskState = "stopped"
@@ -43,8 +43,8 @@
 	return s == TaskSucceeded || s == TaskFailed || s == TaskStopped
 }
 
-// Listing lists the tasks of a worker.
-type Listing struct {
+// TaskList lists the tasks of a worker.
+type TaskList struct {
 	// Incarnation changes each time the worker loses its tasks.
 	Incarnation string `json:"incarnation"`
 	// UptimeMS is the worker's monotonic clock in milliseconds.
@@ -61,19 +61,19 @@
 	Epoch uint64           `json:"epoch"`
 	Size  worker.Resources `json:"size"`
 	State TaskState        `json:"state"`
-	// Ref refers to the newest checkpoint of the task.
-	Ref    string `json:"ref,omitempty"`
-	Detail string `json:"detail,omitempty"`
-	// UntilMS is when the lease ends on the worker's clock, in milliseconds.
-	UntilMS int64 `json:"until-ms"`
+	// CheckpointRef refers to the newest checkpoint of the task.
+	CheckpointRef string `json:"ref,omitempty"`
+	Detail        string `json:"detail,omitempty"`
+	// LeaseEndMS is when the lease ends on the worker's clock, in milliseconds.
+	LeaseEndMS int64 `json:"until-ms"`
 	// TakeoverMS is the task's takeover time. The worker stores it for agents
 	// that have restarted.
 	TakeoverMS int64  `json:"takeover-ms"`
 	Class      string `json:"class,omitempty"`
 }
 
-// Hold identifies the assignment of the task to this worker.
-func (t *WorkerTask) Hold() record.AssignmentID {
+// Assignment identifies the assignment of the task to this worker.
+func (t *WorkerTask) Assignment() record.AssignmentID {
 	return record.AssignmentID{Task: record.TaskID{Job: t.Job, Index: t.Index}, Epoch: record.Position(t.Epoch)}
 }
 
@@ -83,11 +83,11 @@
 	Payload []byte `json:"payload,omitempty"`
 }
 
-// Renewal extends the lease of a task.
-type Renewal struct {
+// LeaseRenewal extends the lease of a task.
+type LeaseRenewal struct {
 	Key string `json:"key"`
-	// UntilMS is the new end of the lease on the worker's clock, in milliseconds.
-	UntilMS int64 `json:"until-ms"`
+	// LeaseEndMS is the new end of the lease on the worker's clock, in milliseconds.
+	LeaseEndMS int64 `json:"until-ms"`
 }
 
 // Usage is the measured resource use of a worker. The measurement lags behind.
@@ -100,11 +100,11 @@
 // Worker calls one worker of the platform.
 type Worker struct {
 	// List returns all tasks. Ended tasks are listed until they are removed.
-	List func(ctx context.Context) (Listing, error)
+	List func(ctx context.Context) (TaskList, error)
 	// Start starts a task. It is idempotent for the same task key.
 	Start func(ctx context.Context, order StartOrder) error
 	// Renew extends the leases of tasks.
-	Renew func(ctx context.Context, renewals []Renewal) error
+	Renew func(ctx context.Context, renewals []LeaseRenewal) error
 	// Checkpoint saves a task's progress and returns a reference to the checkpoint.
 	Checkpoint func(ctx context.Context, key string) (string, error)
 	// Throttle limits a task to a percentage of its processor time.
@@ -121,19 +121,19 @@
 func NewWorker(client *http.Client, base string) Worker {
 	c := workerClient{client: client, base: base}
 	return Worker{
-		List: func(ctx context.Context) (out Listing, err error) {
+		List: func(ctx context.Context) (out TaskList, err error) {
 			return out, c.call(ctx, http.MethodGet, "/tasks", nil, &out)
 		},
 		Start: func(ctx context.Context, order StartOrder) error {
 			return c.call(ctx, http.MethodPost, "/tasks", order, nil)
 		},
-		Renew: func(ctx context.Context, renewals []Renewal) error {
+		Renew: func(ctx context.Context, renewals []LeaseRenewal) error {
 			return c.call(ctx, http.MethodPost, "/renew", renewals, nil)
 		},
 		Checkpoint: func(ctx context.Context, key string) (string, error) {
 			var out WorkerTask
 			err := c.call(ctx, http.MethodPost, taskPath(key, "/checkpoint"), nil, &out)
-			return out.Ref, err
+			return out.CheckpointRef, err
 		},
 		Throttle: func(ctx context.Context, key string, percent int) error {
 			return c.call(ctx, http.MethodPost, taskPath(key, "/throttle"), percent, nil)
@@ -172,20 +172,20 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return errors.Mark(err, ErrWorker)
+		return errors.Mark(err, ErrWorkerCall)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	defer discardRest(resp.Body)
 	if resp.StatusCode == http.StatusNotFound {
-		return errors.Wrapf(ErrNoTask, "%s %s", method, path)
+		return errors.Wrapf(ErrTaskNotFound, "%s %s", method, path)
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return errors.Wrapf(ErrWorker, "%s %s: status %d", method, path, resp.StatusCode)
+		return errors.Wrapf(ErrWorkerCall, "%s %s: status %d", method, path, resp.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
-	return errors.Mark(json.NewDecoder(resp.Body).Decode(out), ErrWorker)
+	return errors.Mark(json.NewDecoder(resp.Body).Decode(out), ErrWorkerCall)
 }
 
 // TaskKey returns the key of an assignment at its worker. The key contains the
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -58,8 +58,8 @@
 	return &Writer{log: log, stream: stream, name: name, pacer: appendPacer{interval: interval}, wakeup: make(chan struct{}, 1)}
 }
 
-// SetGap changes the average time between two appends under load.
-func (w *Writer) SetGap(interval time.Duration) {
+// SetInterval changes the average time between two appends under load.
+func (w *Writer) SetInterval(interval time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pacer.interval = interval
@@ -123,9 +123,9 @@
 // Appends returns the number of batches known to be in the log.
 func (w *Writer) Appends() uint64 { return w.appends.Load() }
 
-// Resolved returns the number of batches that were found in the log after an
+// ResolvedAppends returns the number of batches that were found in the log after an
 // append with unknown outcome.
-func (w *Writer) Resolved() uint64 { return w.resolved.Load() }
+func (w *Writer) ResolvedAppends() uint64 { return w.resolved.Load() }
 
 // Retries returns the number of appends that were repeated.
 func (w *Writer) Retries() uint64 { return w.retries.Load() }
@@ -246,7 +246,7 @@
 	if w.searchFromKnown {
 		return
 	}
-	if _, next, err := End(ctx, w.log, w.stream); err == nil {
+	if _, next, err := StreamBounds(ctx, w.log, w.stream); err == nil {
 		w.searchFrom, w.searchFromKnown = next, true
 	}
 }
--- a/internal/services/writer_test.go
+++ b/internal/services/writer_test.go
@@ -166,9 +166,9 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("records read: got %v, want %v", got, want)
 	}
-	if batches != c.WantBatches || w.Resolved() != c.WantResolved || w.Retries() != c.WantRetries {
+	if batches != c.WantBatches || w.ResolvedAppends() != c.WantResolved || w.Retries() != c.WantRetries {
 		t.Errorf("batches, resolved, retries: got %d, %d, %d, want %d, %d, %d",
-			batches, w.Resolved(), w.Retries(), c.WantBatches, c.WantResolved, c.WantRetries)
+			batches, w.ResolvedAppends(), w.Retries(), c.WantBatches, c.WantResolved, c.WantRetries)
 	}
 }
 
--- a/internal/standin/connections.go
+++ b/internal/standin/connections.go
@@ -13,8 +13,8 @@
 	stalled map[string]bool
 }
 
-// Silence permanently stalls every connection that has carried a request so far.
-func (c *Connections) Silence() {
+// Stall stalls every connection that has carried a request so far, permanently.
+func (c *Connections) Stall() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stalled == nil {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -26,8 +26,8 @@
 	DelayMS int64 `json:"delay-ms"`
 	// LoseReplies is the number of appends whose response is lost after the write.
 	LoseReplies int `json:"lose-replies"`
-	// Keep is the number of batches that a stream retains; 0 retains all.
-	Keep int `json:"keep"`
+	// MaxBatches is the number of batches that a stream retains; 0 retains all.
+	MaxBatches int `json:"keep"`
 }
 
 // Log is an in-memory append-only log service. The zero value is an empty log.
@@ -59,7 +59,7 @@
 }
 
 // Append adds a batch to a stream and returns its offset. Faults do not affect it,
-// except that Keep drops old batches.
+// except that MaxBatches drops old batches.
 func (l *Log) Append(stream string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, http.StatusOK, services.LogOffset{Offset: offset})
+	writeJSON(w, http.StatusOK, services.AppendResult{Offset: offset})
 }
 
 func (l *Log) append(name string, data []byte) (offset uint64, lost bool) {
@@ -138,8 +138,8 @@
 	s := l.stream(name)
 	offset := s.firstOffset + uint64(len(s.batches))
 	s.batches = append(s.batches, data)
-	if l.faults.Keep > 0 && len(s.batches) > l.faults.Keep {
-		drop := len(s.batches) - l.faults.Keep
+	if l.faults.MaxBatches > 0 && len(s.batches) > l.faults.MaxBatches {
+		drop := len(s.batches) - l.faults.MaxBatches
 		s.batches = s.batches[drop:]
 		s.firstOffset += uint64(drop)
 	}
@@ -197,12 +197,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	page.First = s.firstOffset
-	page.Next = s.firstOffset + uint64(len(s.batches))
+	page.FirstOffset = s.firstOffset
+	page.NextOffset = s.firstOffset + uint64(len(s.batches))
 	if from < s.firstOffset {
 		return page, true, s.changed
 	}
-	for o := from; o < page.Next && len(page.Batches) < maxPageBatches; o++ {
+	for o := from; o < page.NextOffset && len(page.Batches) < maxPageBatches; o++ {
 		page.Batches = append(page.Batches, services.LogBatch{Offset: o, Data: s.batches[o-s.firstOffset]})
 	}
 	return page, false, s.changed
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -15,7 +15,7 @@
 	HeaderWork = "Standin-Work"
 	// HeaderSilent, if not empty, makes the runner never respond.
 	HeaderSilent = "Standin-Silent"
-	// HeaderRequest is the caller's own identifier of a request; see Requests.
+	// HeaderRequest is the caller's own identifier of a request; see RequestCounts.
 	HeaderRequest = "Standin-Request"
 )
 
@@ -53,27 +53,27 @@
 	r.faults = f
 }
 
-// Requests returns how often each request was run, by the identifier in HeaderRequest.
-func (r *Runner) Requests() map[string]int {
+// RequestCounts returns how often each request was run, by the identifier in HeaderRequest.
+func (r *Runner) RequestCounts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.requestCounts)
 }
 
-// Runs returns how often each request was run, by its Savoryhoist-Request-Id.
-func (r *Runner) Runs() map[string]int {
+// RunCounts returns how often each request was run, by its Savoryhoist-Request-Id.
+func (r *Runner) RunCounts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.runCounts)
 }
 
-// Working returns the number of requests that are being run.
-func (r *Runner) Working() int { return len(r.slots) }
+// InFlight returns the number of requests that are being run.
+func (r *Runner) InFlight() int { return len(r.slots) }
 
 // Handler serves the runner over HTTP.
 func (r *Runner) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /runner/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, r.Runs()) })
+	mux.HandleFunc("GET /runner/runs", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, r.RunCounts()) })
 	mux.HandleFunc("/", r.serve)
 	return mux
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -43,17 +43,17 @@
 	Requests map[string]int `json:"requests"`
 	// Tasks holds the runs of each task, over all workers.
 	Tasks map[string][]Run `json:"tasks"`
-	// Overfull holds the names of the workers whose running tasks exceeded their
+	// Overcommitted holds the names of the workers whose running tasks exceeded their
 	// capacity at any time.
-	Overfull []string `json:"overfull"`
-	Appends  uint64   `json:"appends"`
+	Overcommitted []string `json:"overfull"`
+	Appends       uint64   `json:"appends"`
 }
 
 // Counts returns the activity of the site so far.
 func (s *Site) Counts() Counts {
 	c := Counts{Requests: make(map[string]int), Tasks: make(map[string][]Run), Appends: s.log.Appends()}
 	for i, w := range s.workers {
-		for id, n := range s.runners[i].Requests() {
+		for id, n := range s.runners[i].RequestCounts() {
 			c.Requests[id] += n
 		}
 		for _, r := range w.Runs() {
@@ -61,8 +61,8 @@
 			r.Worker = fmt.Sprintf("worker-%d", i+1)
 			c.Tasks[task] = append(c.Tasks[task], r)
 		}
-		if w.Overfull() {
-			c.Overfull = append(c.Overfull, fmt.Sprintf("worker-%d", i+1))
+		if w.Overcommitted() {
+			c.Overcommitted = append(c.Overcommitted, fmt.Sprintf("worker-%d", i+1))
 		}
 	}
 	return c
@@ -98,7 +98,7 @@
 		http.Error(w, "part: want log, workers or runners", http.StatusNotFound)
 		return
 	}
-	c.Silence()
+	c.Stall()
 }
 
 // faultHandler returns a handler that decodes faults of type F and passes them to set.
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -34,7 +34,7 @@
 	if got, want := ask("127.0.0.1:1000"), "answer"; got != want {
 		t.Errorf("before: got %q, want %q", got, want)
 	}
-	c.Silence()
+	c.Stall()
 	if got, want := ask("127.0.0.1:1000"), ""; got != want {
 		t.Errorf("the old connection: got %q, want %q", got, want)
 	}
@@ -53,11 +53,11 @@
 	w := NewWorker(worker.Resources{MilliCPU: 1000}, func() time.Time { return now })
 	h := w.Handler()
 	send(t, h, "/tasks", services.StartOrder{
-		WorkerTask: services.WorkerTask{Job: "j", Epoch: 1, UntilMS: 100},
+		WorkerTask: services.WorkerTask{Job: "j", Epoch: 1, LeaseEndMS: 100},
 		Payload:    []byte(`{"run-ms":250}`),
 	})
 	now = now.Add(300 * time.Millisecond)
-	send(t, h, "/renew", []services.Renewal{{Key: "j.0@1", UntilMS: 1000}})
+	send(t, h, "/renew", []services.LeaseRenewal{{Key: "j.0@1", LeaseEndMS: 1000}})
 	now = now.Add(400 * time.Millisecond)
 	got := w.Runs()
 	if len(got) != 1 || len(got[0].Spans) != 2 {
@@ -68,7 +68,7 @@
 			t.Errorf("span %d: got %v, want %v", i, got[0].Spans[i], want)
 		}
 	}
-	if got, want := got[0].Ended, services.TaskSucceeded; got != want {
+	if got, want := got[0].EndState, services.TaskSucceeded; got != want {
 		t.Errorf("ended: got %q, want %q", got, want)
 	}
 }
@@ -80,7 +80,7 @@
 	w.SetFaults(WorkerFaults{UsageLagMS: 500})
 	h := w.Handler()
 	send(t, h, "/tasks", services.StartOrder{
-		WorkerTask: services.WorkerTask{Job: "j", Epoch: 1, UntilMS: 10000, Size: worker.Resources{MilliCPU: 300}},
+		WorkerTask: services.WorkerTask{Job: "j", Epoch: 1, LeaseEndMS: 10000, Size: worker.Resources{MilliCPU: 300}},
 		Payload:    []byte(`{"run-ms":9000}`),
 	})
 	for _, want := range []int64{0, 0, 300} {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -38,14 +38,14 @@
 	endOffsets map[uint64]uint64
 }
 
-// Port returns a client of the store.
-func (s *Store) Port() store.Client {
+// Client returns a client of the store.
+func (s *Store) Client() store.Client {
 	return store.Client{Append: s.append, Read: s.read, ReadNewest: s.readNewest}
 }
 
-// Fail makes every call return err until Fail is called with nil. If
+// SetFault makes every call return err until SetFault is called with nil. If
 // writeDespiteFault is set, appends still take effect.
-func (s *Store) Fail(err error, writeDespiteFault bool) {
+func (s *Store) SetFault(err error, writeDespiteFault bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.writeDespiteFault = err, writeDespiteFault
--- a/internal/standin/taskrunner.go
+++ b/internal/standin/taskrunner.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Listed is a run in progress, as a TaskRunner lists it.
-type Listed struct {
+// RunStatus is a run in progress, as a TaskRunner lists it.
+type RunStatus struct {
 	Task string
 	Run  uint64
 }
 
-// Finished is the end of a run. A TaskRunner lists it until it is acknowledged.
-type Finished struct {
+// RunEnd is the end of a run. A TaskRunner lists it until it is acknowledged.
+type RunEnd struct {
 	// Number numbers the ends since the runner's start, from 1.
-	Number uint64
-	Task   string
-	Run    uint64
-	How    string
+	Number  uint64
+	Task    string
+	Run     uint64
+	Outcome string
 	// stale is set if the runner's lease has expired since the end. An
 	// acknowledgement of the end is then not recorded in the history.
 	stale bool
@@ -30,23 +30,23 @@
 const (
 	// ReasonFence means that the call's fencing token is lower than an earlier one.
 	ReasonFence = "fence"
-	// ReasonOld means that another run of the task is in progress, or that the run
+	// ReasonStaleRun means that another run of the task is in progress, or that the run
 	// has ended or was stopped, or a later one was.
-	ReasonOld = "old"
-	// ReasonLate means that the lease for the start has ended already.
-	ReasonLate = "late"
+	ReasonStaleRun = "old"
+	// ReasonLeaseEnded means that the lease for the start has ended already.
+	ReasonLeaseEnded = "late"
 )
 
 // TaskRunner simulates a runner of tasks with a lease, a fencing token and a list
-// of its runs. By default its tasks succeed after Work. It records all starts and
+// of its runs. By default its tasks succeed after TaskDuration. It records all starts and
 // ends in History.
 type TaskRunner struct {
-	Name    string
-	Work    time.Duration
-	History *History
-	// Slow makes the runner's clock lose 1/Slow of the elapsed time; 0 means that it
+	Name         string
+	TaskDuration time.Duration
+	History      *History
+	// ClockLagDivisor makes the runner's clock lose 1/ClockLagDivisor of the elapsed time; 0 means that it
 	// is exact.
-	Slow int
+	ClockLagDivisor int
 
 	mu sync.Mutex
 	// startedAtMS is startedAt in Unix milliseconds.
@@ -59,7 +59,7 @@
 	// lastEnd is the number of the newest end.
 	lastEnd  uint64
 	running  map[string]*taskRun
-	finished []Finished
+	finished []RunEnd
 	// highestRun holds, by task, the highest run that was started or stopped.
 	highestRun map[string]uint64
 	changed    chan struct{}
@@ -68,23 +68,23 @@
 type taskRun struct {
 	run       uint64
 	endsAt    time.Time
-	behaviour Fate
+	behaviour TaskBehaviour
 }
 
-// Fate is how the runs of a task end if they are not stopped and the lease does
+// TaskBehaviour is how the runs of a task end if they are not stopped and the lease does
 // not expire.
-type Fate string
+type TaskBehaviour string
 
-// The values of Fate.
+// The values of TaskBehaviour.
 const (
-	FateDone      Fate = ""
-	FateFails     Fate = "fails"
-	FateNeverEnds Fate = "lasts"
+	TaskSucceeds  TaskBehaviour = ""
+	TaskFails     TaskBehaviour = "fails"
+	TaskNeverEnds TaskBehaviour = "lasts"
 )
 
-// Begin starts or restarts the runner: its runs end, and it forgets its lease, its
+// Restart starts or restarts the runner: its runs end, and it forgets its lease, its
 // fencing token and its lists.
-func (r *TaskRunner) Begin(now time.Time) {
+func (r *TaskRunner) Restart(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task, t := range r.running {
@@ -104,8 +104,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Born returns when the runner was started last, in Unix milliseconds.
-func (r *TaskRunner) Born() uint64 {
+// StartedAtMS returns when the runner was started last, in Unix milliseconds.
+func (r *TaskRunner) StartedAtMS() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.startedAtMS
@@ -118,8 +118,8 @@
 	return r.changed
 }
 
-// Clock returns the runner's clock, in milliseconds since its start, plus 1.
-func (r *TaskRunner) Clock(now time.Time) int64 {
+// ClockMS returns the runner's clock, in milliseconds since its start, plus 1.
+func (r *TaskRunner) ClockMS(now time.Time) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clockMS(now)
@@ -127,14 +127,14 @@
 
 func (r *TaskRunner) clockMS(now time.Time) int64 {
 	ms := now.Sub(r.startedAt).Milliseconds()
-	if r.Slow > 0 {
-		ms -= ms / int64(r.Slow)
+	if r.ClockLagDivisor > 0 {
+		ms -= ms / int64(r.ClockLagDivisor)
 	}
 	return ms + 1
 }
 
-// Step ends the runs whose time has come, or all runs if the lease has expired.
-func (r *TaskRunner) Step(now time.Time) {
+// EndDueRuns ends the runs whose time has come, or all runs if the lease has expired.
+func (r *TaskRunner) EndDueRuns(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	expired := r.clockMS(now) > r.leaseEndMS
@@ -145,8 +145,8 @@
 		switch {
 		case expired:
 			r.finish(task, t, "lapsed")
-		case t.behaviour == FateNeverEnds || !now.After(t.endsAt):
-		case t.behaviour == FateFails:
+		case t.behaviour == TaskNeverEnds || !now.After(t.endsAt):
+		case t.behaviour == TaskFails:
 			r.finish(task, t, "failed")
 		default:
 			r.finish(task, t, "done")
@@ -157,7 +157,7 @@
 func (r *TaskRunner) finish(task string, t *taskRun, outcome string) {
 	delete(r.running, task)
 	r.lastEnd++
-	r.finished = append(r.finished, Finished{Number: r.lastEnd, Task: task, Run: t.run, How: outcome})
+	r.finished = append(r.finished, RunEnd{Number: r.lastEnd, Task: task, Run: t.run, Outcome: outcome})
 	r.highestRun[task] = max(r.highestRun[task], t.run)
 	r.History.noteEnd(task, t.run)
 	if outcome == "done" {
@@ -183,19 +183,19 @@
 }
 
 // Start starts a run, or returns the reason for which it refuses to.
-func (r *TaskRunner) Start(now time.Time, task string, run uint64, untilMS int64, fate Fate) string {
+func (r *TaskRunner) Start(now time.Time, task string, run uint64, untilMS int64, fate TaskBehaviour) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.running[task]
 	switch {
 	case untilMS <= r.clockMS(now):
-		return ReasonLate
+		return ReasonLeaseEnded
 	case t != nil && t.run == run:
 		return ""
 	case t != nil || run <= r.highestRun[task]:
-		return ReasonOld
+		return ReasonStaleRun
 	}
-	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.Work), behaviour: fate}
+	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.TaskDuration), behaviour: fate}
 	r.highestRun[task] = run
 	r.History.noteStart(now, r.Name, task, run)
 	return ""
@@ -213,19 +213,19 @@
 
 // List drops the ends with numbers up to acked, which are acknowledged, and returns
 // the runs in progress and the other ends.
-func (r *TaskRunner) List(acked uint64) (running []Listed, finished []Finished) {
+func (r *TaskRunner) List(acked uint64) (running []RunStatus, finished []RunEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.finished = slices.DeleteFunc(r.finished, func(e Finished) bool {
+	r.finished = slices.DeleteFunc(r.finished, func(e RunEnd) bool {
 		if e.Number <= acked && !e.stale {
-			r.History.noteAck(e.Task, e.How)
+			r.History.noteAck(e.Task, e.Outcome)
 		}
 		return e.Number <= acked
 	})
 	for task, t := range r.running {
-		running = append(running, Listed{task, t.run})
+		running = append(running, RunStatus{task, t.run})
 	}
-	slices.SortFunc(running, func(x, y Listed) int { return strings.Compare(x.Task, y.Task) })
+	slices.SortFunc(running, func(x, y RunStatus) int { return strings.Compare(x.Task, y.Task) })
 	return running, slices.Clone(r.finished)
 }
 
@@ -274,8 +274,8 @@
 	}
 }
 
-// Broken returns the violations of guarantees.
-func (h *History) Broken() []string {
+// Violations returns the violations of guarantees.
+func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.violations)
@@ -299,8 +299,8 @@
 	h.completed[task] = true
 }
 
-// Worked reports whether a run of a task has done all its work.
-func (h *History) Worked(task string) bool {
+// Completed reports whether a run of a task has done all its work.
+func (h *History) Completed(task string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.completed[task]
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -38,8 +38,8 @@
 type Run struct {
 	Key   string `json:"key"`
 	Epoch uint64 `json:"epoch"`
-	// Ended is the state in which the run ended, or "" if it has not.
-	Ended services.TaskState `json:"ended,omitempty"`
+	// EndState is the state in which the run ended, or "" if it has not.
+	EndState services.TaskState `json:"ended,omitempty"`
 	// Worker is filled in by Site.Counts.
 	Worker string `json:"worker,omitempty"`
 	// Spans holds the periods in which the task made progress.
@@ -149,8 +149,8 @@
 	return n
 }
 
-// Overfull reports whether the running tasks exceeded the worker's capacity at any time.
-func (w *Worker) Overfull() bool {
+// Overcommitted reports whether the running tasks exceeded the worker's capacity at any time.
+func (w *Worker) Overcommitted() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.overcommitted
@@ -175,7 +175,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	out := services.Listing{
+	out := services.TaskList{
 		Incarnation: fmt.Sprintf("%d", w.incarnation),
 		UptimeMS:    w.uptime().Milliseconds(),
 		Total:       w.total,
@@ -201,11 +201,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	key := services.TaskKey(order.Hold())
+	key := services.TaskKey(order.Assignment())
 	if _, ok := w.tasks[key]; ok {
 		return
 	}
-	if order.UntilMS <= w.uptime().Milliseconds() {
+	if order.LeaseEndMS <= w.uptime().Milliseconds() {
 		http.Error(rw, "the task's lease has already ended", http.StatusConflict)
 		return
 	}
@@ -224,7 +224,7 @@
 		requiredWork: time.Duration(p.RunMS) * time.Millisecond, fail: p.Fail || w.faults.FailAll,
 	}
 	var ms int64
-	if _, err := fmt.Sscanf(order.Ref, "done-ms=%d", &ms); err == nil {
+	if _, err := fmt.Sscanf(order.CheckpointRef, "done-ms=%d", &ms); err == nil {
 		t.doneWork = time.Duration(ms) * time.Millisecond
 	}
 	if w.faults.FailAll {
@@ -255,12 +255,12 @@
 		if t.state.Ended() {
 			continue
 		}
-		until := w.startedAt.Add(time.Duration(t.order.UntilMS) * time.Millisecond)
+		until := w.startedAt.Add(time.Duration(t.order.LeaseEndMS) * time.Millisecond)
 		end := now
 		t.state = services.TaskRunning
 		if until.Before(now) {
 			end = until
-			t.state = services.TaskHeld
+			t.state = services.TaskSuspended
 		}
 		w.advanceTask(t, end)
 		t.advancedTo = now
@@ -284,7 +284,7 @@
 		t.state = services.TaskFailed
 		t.order.Detail = "the task failed"
 	}
-	w.runs[t.runIndex].Ended = t.state
+	w.runs[t.runIndex].EndState = t.state
 }
 
 // addProgress records that the task made progress between two points in time.
@@ -297,7 +297,7 @@
 }
 
 func (w *Worker) serveRenew(rw http.ResponseWriter, r *http.Request) {
-	var renewals []services.Renewal
+	var renewals []services.LeaseRenewal
 	if err := json.NewDecoder(r.Body).Decode(&renewals); err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
@@ -306,8 +306,8 @@
 	defer w.mu.Unlock()
 	w.advance()
 	for _, n := range renewals {
-		if t, ok := w.tasks[n.Key]; ok && n.UntilMS > t.order.UntilMS {
-			t.order.UntilMS = n.UntilMS
+		if t, ok := w.tasks[n.Key]; ok && n.LeaseEndMS > t.order.LeaseEndMS {
+			t.order.LeaseEndMS = n.LeaseEndMS
 		}
 	}
 }
@@ -328,7 +328,7 @@
 func (w *Worker) serveCheckpoint(rw http.ResponseWriter, r *http.Request) {
 	w.withTask(rw, r, func(_ string, t *task) {
 		t.checkpointedWork = t.doneWork
-		t.order.Ref = fmt.Sprintf("done-ms=%d", t.checkpointedWork.Milliseconds())
+		t.order.CheckpointRef = fmt.Sprintf("done-ms=%d", t.checkpointedWork.Milliseconds())
 		writeJSON(rw, http.StatusOK, t.view())
 	})
 }
@@ -346,7 +346,7 @@
 	w.withTask(rw, r, func(_ string, t *task) {
 		if !t.state.Ended() {
 			t.state = services.TaskStopped
-			w.runs[t.runIndex].Ended = t.state
+			w.runs[t.runIndex].EndState = t.state
 		}
 	})
 }
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -87,7 +87,7 @@
 	for i := range runnerCount {
 		ip := fmt.Sprintf("%s.%d", network, 101+i)
 		r := newRunner(fmt.Sprintf("worker-%d", i), &d.history)
-		r.Begin(clock.Steady())
+		r.Restart(clock.Steady())
 		d.runners = append(d.runners, r)
 		serve(t, fmt.Sprintf("%s:%d", ip, portApp), r)
 		d.add(t, "agent", r.Name, ip, storeAddress)
@@ -203,12 +203,12 @@
 		afterDuration(func() { m.signal(syscall.SIGCONT) })
 		return fmt.Sprintf("freeze %s for %v", m.name, duration)
 	case 3:
-		d.store.Fail(standin.Busy)
-		afterDuration(func() { d.store.Fail(standin.Serving) })
+		d.store.SetOutage(standin.Busy)
+		afterDuration(func() { d.store.SetOutage(standin.NoOutage) })
 		return fmt.Sprintf("store busy for %v", duration)
 	case 4:
-		d.store.Fail(standin.Losing)
-		afterDuration(func() { d.store.Fail(standin.Serving) })
+		d.store.SetOutage(standin.LosingReplies)
+		afterDuration(func() { d.store.SetOutage(standin.NoOutage) })
 		return fmt.Sprintf("store loses responses for %v", duration)
 	case 5:
 		m.proxy.setMode(proxyResetting)
@@ -220,13 +220,13 @@
 		return fmt.Sprintf("calls of %s to the store hang for %v", m.name, duration)
 	default:
 		r := d.runners[random.IntN(len(d.runners))]
-		r.Begin(clock.Steady())
+		r.Restart(clock.Steady())
 		return "restart the runner of " + r.Name
 	}
 }
 
 func (d *deployment) endFaults() {
-	d.store.Fail(standin.Serving)
+	d.store.SetOutage(standin.NoOutage)
 	for _, m := range d.machines {
 		m.proxy.setMode(proxyForwarding)
 		m.signal(syscall.SIGCONT)
@@ -237,10 +237,10 @@
 func (d *deployment) driveRunner(r *standin.Runner, ip string) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; d.running.Err() == nil; n++ {
-		r.Step(clock.Steady())
+		r.EndDueRuns(clock.Steady())
 		if n%25 == 0 {
 			body, _ := json.Marshal(map[string]any{
-				"service": "bench", "phase": "ready", "seq": n + 1, "born": r.Born(), "labels": []string{"a", "r1-1"},
+				"service": "bench", "phase": "ready", "seq": n + 1, "born": r.StartedAtMS(), "labels": []string{"a", "r1-1"},
 				"capacity": map[string]int{"cpu": 8000, "mem-mb": 32000},
 			})
 			url := fmt.Sprintf("http://%s:%d/v1/instances/%s/heartbeat", ip, portControl, r.Name)
@@ -313,5 +313,5 @@
 
 // newRunner returns a runner whose tasks work for 150 ms.
 func newRunner(name string, history *product.History) *standin.Runner {
-	return &standin.Runner{TaskRunner: product.TaskRunner{Name: name, Work: 150 * time.Millisecond, History: history}}
+	return &standin.Runner{TaskRunner: product.TaskRunner{Name: name, TaskDuration: 150 * time.Millisecond, History: history}}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -179,5 +179,5 @@
 			out = append(out, "refused job "+id+" ran")
 		}
 	}
-	return append(out, d.history.Broken()...)
+	return append(out, d.history.Violations()...)
 }
