--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -83,7 +83,7 @@
 
 // explore checks the fold, the leases and the ledger together over some seeds.
 func (r *Report) explore(ctx context.Context) error {
-	jobs := []explore.Part{{Name: "jobs", Run: exploration.Run}}
+	jobs := []explore.Simulation{{Name: "jobs", Run: exploration.Run}}
 	found, explored := explore.Run(ctx, jobs, 1, exploreSeeds, exploreParallel)
 	r.Explored = int(explored)
 	r.Violations += len(found)
--- a/internal/command/bench_explore.go
+++ b/internal/command/bench_explore.go
@@ -43,9 +43,9 @@
 }
 
 func benchExplore(ctx context.Context, c *cli.Command) error {
-	parts := explore.Parts()
+	parts := explore.Simulations()
 	if only := c.String("only"); only != "" {
-		parts = slices.DeleteFunc(parts, func(p explore.Part) bool { return p.Name != only })
+		parts = slices.DeleteFunc(parts, func(p explore.Simulation) bool { return p.Name != only })
 	}
 	if len(parts) == 0 {
 		return errors.Wrapf(ErrUsage, "no part is called %q", c.String("only"))
@@ -53,7 +53,7 @@
 	began := time.Now()
 	found, explored := explore.Run(ctx, parts, c.Uint64("first-seed"), c.Uint64("seeds"), c.Int("parallel"))
 	for _, v := range found {
-		fmt.Printf("%s, seed %d: %v\n", v.Part, v.Seed, v.Err)
+		fmt.Printf("%s, seed %d: %v\n", v.Simulation, v.Seed, v.Err)
 	}
 	result := exploreResult{
 		Target: "explore", FirstSeed: c.Uint64("first-seed"), Seeds: c.Uint64("seeds"), Schedules: explored,
--- a/internal/command/bench_takeover.go
+++ b/internal/command/bench_takeover.go
@@ -37,13 +37,13 @@
 func benchTakeover(_ context.Context, c *cli.Command) error {
 	out := takeoverResult{Target: "takeover", Seeds: c.Uint64("seeds")}
 	for _, after := range []time.Duration{2, 5, 10, 20, 60} {
-		idle, err := batch.MeasureIdle(after*time.Second, out.Seeds)
+		idle, err := batch.MeasureTakeoverCost(after*time.Second, out.Seeds)
 		if err != nil {
 			return err
 		}
 		out.Costs = append(out.Costs, takeoverCost{
-			TakeoverAfterS: (after * time.Second).Seconds(), IdleMeanS: idle.Mean.Seconds(),
-			IdleLongestS: idle.Longest.Seconds(), OutageS: idle.Outage.Seconds(),
+			TakeoverAfterS: (after * time.Second).Seconds(), IdleMeanS: idle.MeanIdle.Seconds(),
+			IdleLongestS: idle.MaxIdle.Seconds(), OutageS: idle.MinOutageRun.Seconds(),
 		})
 	}
 	return json.NewEncoder(os.Stdout).Encode(out)
--- a/internal/explore/batch/batch_test.go
+++ b/internal/explore/batch/batch_test.go
@@ -20,14 +20,14 @@
 
 func TestTakeoverTimeBoundsIdleAndOutage(t *testing.T) {
 	const after = 10 * time.Second
-	idle, err := MeasureIdle(after, 10)
+	idle, err := MeasureTakeoverCost(after, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := idle.Longest, after+2*job.LostAfter; got > want {
+	if got, want := idle.MaxIdle, after+2*job.LostAfter; got > want {
 		t.Errorf("longest idle: got %s, want at most %s", got, want)
 	}
-	if got, want := idle.Outage, after/2; got < want {
+	if got, want := idle.MinOutageRun, after/2; got < want {
 		t.Errorf("shortest run through an outage: got %s, want at least %s", got, want)
 	}
 }
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -49,8 +49,8 @@
 
 func (e *entry) start() {
 	e.state, e.responder, e.reclaimer = job.StateMachine{}, job.HeartbeatResponder{}, job.Reclaimer{}
-	e.responder.SetRules(e.w.rules.Relay)
-	e.reclaimer.SetRules(e.w.rules.Taker)
+	e.responder.SetRules(e.w.rules.Responder)
+	e.reclaimer.SetRules(e.w.rules.Reclaimer)
 	e.lastContact = make(map[string]time.Time)
 	e.placedAt = make(map[record.TaskID]time.Time)
 	e.queued, e.seq, e.sending = nil, 0, false
--- a/internal/explore/batch/idle.go
+++ b/internal/explore/batch/idle.go
@@ -14,15 +14,15 @@
 // after its worker was lost.
 var ErrNotResumed = errors.New("task not resumed on another worker")
 
-// Idle is what a takeover time costs: a long one keeps the tasks of a lost worker
+// TakeoverCost is what a takeover time costs: a long one keeps the tasks of a lost worker
 // idle, a short one stops tasks early in an outage.
-type Idle struct {
-	// Longest and Mean are how long a task is idle after its worker's VM and
+type TakeoverCost struct {
+	// MaxIdle and Mean are how long a task is idle after its worker's VM and
 	// agent are lost for good.
-	Longest, Mean time.Duration
-	// Outage is the shortest time for which a task continued to run after the log,
+	MaxIdle, MeanIdle time.Duration
+	// MinOutageRun is the shortest time for which a task continued to run after the log,
 	// or its worker's entries, became unreachable.
-	Outage time.Duration
+	MinOutageRun time.Duration
 }
 
 // Durations of the measurement.
@@ -32,21 +32,21 @@
 	idleResolution = 100 * time.Millisecond
 )
 
-// MeasureIdle simulates, for each seed, one long task whose worker is lost, and one
+// MeasureTakeoverCost simulates, for each seed, one long task whose worker is lost, and one
 // during an outage of the log.
-func MeasureIdle(takeoverAfter time.Duration, seeds uint64) (Idle, error) {
-	out := Idle{Outage: idleLimit}
+func MeasureTakeoverCost(takeoverAfter time.Duration, seeds uint64) (TakeoverCost, error) {
+	out := TakeoverCost{MinOutageRun: idleLimit}
 	var sum time.Duration
 	for seed := range seeds {
 		idle, err := idleAfterDeath(seed, takeoverAfter)
 		if err != nil {
 			return out, err
 		}
-		out.Longest = max(out.Longest, idle)
+		out.MaxIdle = max(out.MaxIdle, idle)
 		sum += idle
-		out.Outage = min(out.Outage, ranThroughOutage(seed, takeoverAfter))
+		out.MinOutageRun = min(out.MinOutageRun, ranThroughOutage(seed, takeoverAfter))
 	}
-	out.Mean = sum / time.Duration(seeds)
+	out.MeanIdle = sum / time.Duration(seeds)
 	return out, nil
 }
 
--- a/internal/explore/batch/mutant_test.go
+++ b/internal/explore/batch/mutant_test.go
@@ -17,10 +17,10 @@
 func TestFindsBrokenRules(t *testing.T) {
 	mutants := map[string]func(*Rules){
 		"takeover does not wait": func(r *Rules) {
-			r.Taker.TakeoverAt = func(_ lease.Terms, _, seen time.Time) time.Time { return seen }
+			r.Reclaimer.TakeoverAt = func(_ lease.Terms, _, seen time.Time) time.Time { return seen }
 		},
 		"takeover counts from before the append": func(r *Rules) {
-			r.Taker.TakeoverAt = func(t lease.Terms, decided, seen time.Time) time.Time {
+			r.Reclaimer.TakeoverAt = func(t lease.Terms, decided, seen time.Time) time.Time {
 				if decided.IsZero() {
 					return t.TakeoverAt(seen)
 				}
@@ -31,7 +31,7 @@
 			r.Holder.LeaseEnd = func(t lease.Terms, _, now time.Duration) time.Duration { return t.LeaseEnd(now) }
 		},
 		"entry claims a newer log reading": func(r *Rules) {
-			r.Relay.HeartbeatRound = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
+			r.Responder.HeartbeatRound = func(h *lease.HeartbeatTracker, began time.Time) uint64 {
 				return h.NewestRoundBefore(began.Add(time.Hour))
 			}
 		},
--- a/internal/explore/batch/world.go
+++ b/internal/explore/batch/world.go
@@ -49,9 +49,9 @@
 // Rules are the rules of the protocol that a test can replace. The zero value plays
 // those of the product.
 type Rules struct {
-	Holder lease.Rules
-	Taker  job.ReclaimerRules
-	Relay  job.HeartbeatResponderRules
+	Holder    lease.Rules
+	Reclaimer job.ReclaimerRules
+	Responder job.HeartbeatResponderRules
 }
 
 // world is the simulated cluster with its queue of events. Its times are true time.
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -12,16 +12,16 @@
 	"savoryhoist.example/savoryhoist/internal/explore/term"
 )
 
-// Part is one simulation. Run plays the schedule of a seed and returns the first
+// Simulation is one simulation. Run plays the schedule of a seed and returns the first
 // violation found.
-type Part struct {
+type Simulation struct {
 	Name string
 	Run  func(seed uint64) error
 }
 
-// Parts returns all simulations.
-func Parts() []Part {
-	return []Part{
+// Simulations returns all simulations.
+func Simulations() []Simulation {
+	return []Simulation{
 		{Name: "jobs", Run: batch.Run},
 		{Name: "log", Run: log.Run},
 		{Name: "requests", Run: request.Run},
@@ -31,15 +31,15 @@
 
 // Violation is the violation that the schedule of a seed led to.
 type Violation struct {
-	Part string
-	Seed uint64
-	Err  error
+	Simulation string
+	Seed       uint64
+	Err        error
 }
 
 // Run plays the schedules of count seeds from first on in every simulation, those of at
 // most parallel seeds at a time, and returns the violations and the number of
 // schedules played. It begins no further seed once ctx ends.
-func Run(ctx context.Context, simulations []Part, first, count uint64, parallel int) (found []Violation, explored uint64) {
+func Run(ctx context.Context, simulations []Simulation, first, count uint64, parallel int) (found []Violation, explored uint64) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	seeds := make(chan uint64)
@@ -62,11 +62,11 @@
 	return found, explored
 }
 
-func runSeed(simulations []Part, seed uint64) []Violation {
+func runSeed(simulations []Simulation, seed uint64) []Violation {
 	var out []Violation
 	for _, s := range simulations {
 		if err := s.Run(seed); err != nil {
-			out = append(out, Violation{Part: s.Name, Seed: seed, Err: err})
+			out = append(out, Violation{Simulation: s.Name, Seed: seed, Err: err})
 		}
 	}
 	return out
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -9,7 +9,7 @@
 
 func TestRunReportsEveryViolation(t *testing.T) {
 	broken := errors.New("broken")
-	simulations := []Part{
+	simulations := []Simulation{
 		{Name: "good", Run: func(uint64) error { return nil }},
 		{Name: "odd", Run: func(seed uint64) error {
 			if seed%2 == 1 {
@@ -26,7 +26,7 @@
 		t.Fatalf("violations: got %d, want %d", got, want)
 	}
 	for _, v := range found {
-		if v.Part != "odd" || v.Seed%2 != 1 || !errors.Is(v.Err, broken) {
+		if v.Simulation != "odd" || v.Seed%2 != 1 || !errors.Is(v.Err, broken) {
 			t.Errorf("got %+v, want an odd seed of simulation odd", v)
 		}
 	}
--- a/internal/explore/log/log.go
+++ b/internal/explore/log/log.go
@@ -20,14 +20,14 @@
 var (
 	// ErrLost means that a reader did not see an acknowledged record.
 	ErrLost = errors.New("record lost")
-	// ErrDoubled means that a reader applied a record twice.
-	ErrDoubled = errors.New("record applied twice")
+	// ErrAppliedTwice means that a reader applied a record twice.
+	ErrAppliedTwice = errors.New("record applied twice")
 	// ErrReverted means that a process replaced the bundle in force by an older one, or
 	// by another one of the same version.
 	ErrReverted = errors.New("bundle reverted")
-	// ErrDisagree means that two processes that have read the whole log have different
+	// ErrBundlesDiffer means that two processes that have read the whole log have different
 	// bundles in force.
-	ErrDisagree = errors.New("processes have different bundles in force")
+	ErrBundlesDiffer = errors.New("processes have different bundles in force")
 )
 
 // Sizes of a schedule. The log keeps minRetention batches and up to retentionRange
@@ -227,12 +227,12 @@
 	want := w.readers[0].chain.Digest()
 	for i, r := range w.readers {
 		if got := r.chain.Digest(); got != want {
-			return errors.Wrapf(ErrDisagree, "reader %d has version %d, reader 0 version %d", i, r.chain.Version(), w.readers[0].chain.Version())
+			return errors.Wrapf(ErrBundlesDiffer, "reader %d has version %d, reader 0 version %d", i, r.chain.Version(), w.readers[0].chain.Version())
 		}
 	}
 	for i, f := range w.followers {
 		if got := f.chain.Digest(); got != want {
-			return errors.Wrapf(ErrDisagree, "follower %d has version %d, reader 0 version %d", i, f.chain.Version(), w.readers[0].chain.Version())
+			return errors.Wrapf(ErrBundlesDiffer, "follower %d has version %d, reader 0 version %d", i, f.chain.Version(), w.readers[0].chain.Version())
 		}
 	}
 	return nil
--- a/internal/explore/log/reader.go
+++ b/internal/explore/log/reader.go
@@ -61,7 +61,7 @@
 			return nil
 		}
 		if _, ok := r.seen[m.Jobs[0]]; ok {
-			return errors.Wrapf(ErrDoubled, "%s at offset %d", m.Jobs[0], rec.Position().Offset())
+			return errors.Wrapf(ErrAppliedTwice, "%s at offset %d", m.Jobs[0], rec.Position().Offset())
 		}
 		r.seen[m.Jobs[0]] = rec.Position().Offset()
 	case *record.Bundle:
--- a/internal/explore/request/agent.go
+++ b/internal/explore/request/agent.go
@@ -114,7 +114,7 @@
 	p.attempt.caller.runs++
 	a.running++
 	if a.running > slots {
-		a.w.fail(ErrOverfull)
+		a.w.fail(ErrTooManyRunning)
 	}
 	incarnation := a.incarnation
 	a.w.schedule(a.w.randomBetween(0, maxWork), func() {
--- a/internal/explore/request/entry.go
+++ b/internal/explore/request/entry.go
@@ -214,7 +214,7 @@
 		return
 	}
 	if body != "" && body != r.caller.name {
-		r.entry.w.fail(errors.Wrapf(ErrCrossed, "%s got the response to %s", r.caller.name, body))
+		r.entry.w.fail(errors.Wrapf(ErrWrongResponse, "%s got the response to %s", r.caller.name, body))
 	}
 	r.caller.responded = true
 	r.caller.toldNotRun = state == endpoint.AttemptNotRun
--- a/internal/explore/request/request.go
+++ b/internal/explore/request/request.go
@@ -20,12 +20,12 @@
 	ErrDoubleRun = errors.New("request that must not be repeated ran more than once")
 	// ErrFalseNotRun means that a caller was told that a request did not run, and it did.
 	ErrFalseNotRun = errors.New("request reported as not run did run")
-	// ErrCrossed means that a caller got the response to another request.
-	ErrCrossed = errors.New("caller got the response to another request")
-	// ErrOverfull means that an endpoint ran more requests at a time than it has slots.
-	ErrOverfull = errors.New("endpoint ran more requests than it has slots")
-	// ErrNoAnswer means that a caller got no response although its entry did not restart.
-	ErrNoAnswer = errors.New("caller never got a response")
+	// ErrWrongResponse means that a caller got the response to another request.
+	ErrWrongResponse = errors.New("caller got the response to another request")
+	// ErrTooManyRunning means that an endpoint ran more requests at a time than it has slots.
+	ErrTooManyRunning = errors.New("endpoint ran more requests than it has slots")
+	// ErrNoResponse means that a caller got no response although its entry did not restart.
+	ErrNoResponse = errors.New("caller never got a response")
 )
 
 // Sizes of a schedule.
@@ -214,7 +214,7 @@
 		case c.toldNotRun && c.runs > 0:
 			w.fail(errors.Wrapf(ErrFalseNotRun, "%s", c.name))
 		case !c.responded && c.entry != nil && c.entryLife == c.entry.life:
-			w.fail(errors.Wrapf(ErrNoAnswer, "%s", c.name))
+			w.fail(errors.Wrapf(ErrNoResponse, "%s", c.name))
 		}
 	}
 	return w.err
--- a/internal/explore/request/request_test.go
+++ b/internal/explore/request/request_test.go
@@ -54,7 +54,7 @@
 		}, ErrDoubleRun},
 		{"replies are not matched with attempts", func(r *rules) {
 			r.sameAttempt = func(endpoint.AttemptID, endpoint.AttemptID) bool { return true }
-		}, ErrCrossed},
+		}, ErrWrongResponse},
 		{"a restarted agent answers for its predecessor", func(r *rules) {
 			r.sameIncarnation = func(uint64, uint64) bool { return true }
 		}, ErrFalseNotRun},
--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -105,7 +105,7 @@
 // runLeaseEndMS returns the end of a run's lease on the runner's clock, or 0 if there
 // is no lease.
 func (a *agent) runLeaseEndMS(now time.Time) int64 {
-	left := a.w.rules.Left(&a.workerLease, now)
+	left := a.w.rules.WorkerLeaseRemaining(&a.workerLease, now)
 	if left <= 0 || a.runnerClockReadAt.IsZero() {
 		return 0
 	}
@@ -182,7 +182,7 @@
 // false if the runner refuses the agent's term.
 func (a *agent) poll(now time.Time) bool {
 	ackedEnd, leaseEndMS := uint64(0), int64(0)
-	if now.Before(a.sameLifeUntil) || a.w.rules.AnyLife {
+	if now.Before(a.sameLifeUntil) || a.w.rules.IgnoreRunnerLife {
 		ackedEnd, leaseEndMS = a.ackedEnd, a.runLeaseEndMS(now)
 	}
 	if !a.runner.Admit(a.w.trueTime(), a.term, leaseEndMS) {
@@ -192,7 +192,7 @@
 	if life := a.runner.StartedAtMS(); life != a.life {
 		a.life, a.reportedEnd, a.ackedEnd, a.sameLifeUntil = life, 0, 0, time.Time{}
 		clear(a.fenceAt)
-		if !a.w.rules.NoStrays {
+		if !a.w.rules.SkipStopInNewLife {
 			for k := range a.unlistedStarts {
 				a.runner.Stop(k.task.String(), k.run)
 			}
@@ -260,7 +260,7 @@
 	for _, s := range starts {
 		k := runKey{s.Task, s.Run}
 		leaseEndMS := a.runLeaseEndMS(now)
-		if s.Life != a.life || leaseEndMS == 0 || a.w.rules.Left(&a.workerLease, now) < minLeaseLeft {
+		if s.Life != a.life || leaseEndMS == 0 || a.w.rules.WorkerLeaseRemaining(&a.workerLease, now) < minLeaseLeft {
 			a.sendRefusal(s.Life, k)
 			continue
 		}
@@ -297,7 +297,7 @@
 	}
 	a.w.schedule(2*time.Second+a.w.randomUpTo(10*time.Second), func() { call() })
 	a.unansweredStarts[k] = now.Add(maxStartDelay)
-	if a.w.rules.NoFence {
+	if a.w.rules.SkipFencing {
 		a.sendRefusal(life, k)
 		return
 	}
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -216,7 +216,7 @@
 func (e *entry) dispatch(now time.Time) {
 	t := e.term
 	e.checkLeases(now)
-	if e.w.rules.Valid(&t.leaderLease, now) {
+	if e.w.rules.LeaderLeaseValid(&t.leaderLease, now) {
 		e.sendOrders(now)
 	}
 	if now.Sub(t.lastRead) >= readInterval {
@@ -239,7 +239,7 @@
 // If that knew of a later term, this entry resigns.
 func (e *entry) admit(now time.Time, t *dispatcherState, j *workflow.Job) {
 	knownTerm := j.Submission().Term
-	if e.w.rules.AllNew {
+	if e.w.rules.TreatAllJobsAsNew {
 		knownTerm = t.number
 	}
 	if knownTerm > t.number {
@@ -252,7 +252,7 @@
 // confirmsEnd reports whether everything that must have ended by a time has ended. If
 // only a write can confirm that, it requests one.
 func (e *entry) confirmsEnd(now, by time.Time) bool {
-	ended := e.w.rules.Ended(&e.term.leaderLease, now, by)
+	ended := e.w.rules.ConfirmsEnd(&e.term.leaderLease, now, by)
 	e.term.needsWrite = e.term.needsWrite || !ended && !now.Before(by)
 	return ended
 }
@@ -265,7 +265,7 @@
 		if now.Sub(l.lastContact) > silentAfter {
 			t.scheduler.MarkSilent(name)
 		}
-		if !l.leaseExpired && e.confirmsEnd(now, e.w.rules.LapsesAt(l.lastContact)) {
+		if !l.leaseExpired && e.confirmsEnd(now, e.w.rules.WorkerLeaseEndsBy(l.lastContact)) {
 			l.leaseExpired = true
 			t.scheduler.WorkerLeaseExpired(now, name)
 		}
@@ -275,7 +275,7 @@
 			t.predecessor.NoteDead(now)
 		}
 	}
-	if !t.earlierRunsOver && (t.scheduler.UnreportedWorkers() == 0 || e.confirmsEnd(now, e.w.rules.EndsAt(&t.predecessor))) {
+	if !t.earlierRunsOver && (t.scheduler.UnreportedWorkers() == 0 || e.confirmsEnd(now, e.w.rules.EarlierLeasesEndBy(&t.predecessor))) {
 		t.earlierRunsOver = true
 		t.scheduler.ExpireEarlierTerms()
 	}
@@ -313,7 +313,7 @@
 				t.records = append(t.records, r)
 			}
 		}
-		if e.w.rules.NoteFirst {
+		if e.w.rules.AckBeforeStore {
 			e.sendAcks(t.change)
 		}
 	}
--- a/internal/explore/term/messages.go
+++ b/internal/explore/term/messages.go
@@ -17,10 +17,10 @@
 		return
 	}
 	now := e.clock()
-	if !t.storedWorkers[w.Name] && !e.w.rules.NoWorkers {
+	if !t.storedWorkers[w.Name] && !e.w.rules.SkipStoringWorkers {
 		record := store.Record{Key: w.Name, Value: []byte{1}}
 		_, err := e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicWorkers, Records: []store.Record{record}})
-		if err == nil && !e.w.rules.UnprovenWorkers {
+		if err == nil && !e.w.rules.SkipWriteUnderTerm {
 			_, err = e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
 		}
 		if err != nil {
@@ -31,7 +31,7 @@
 	}
 	t.agents[w.Name] = &agentLink{conn: c, lastContact: now}
 	t.scheduler.ApplyReport(now, e.wallMS(), w, rows, ends)
-	if e.w.rules.DropUnknown {
+	if e.w.rules.DropUnknownJobs {
 		t.scheduler.AllJobsKnown(now, now.Add(time.Hour))
 	}
 }
@@ -56,12 +56,12 @@
 	if l == nil {
 		return
 	}
-	if l.leaseExpired && !e.w.rules.KeepLost {
+	if l.leaseExpired && !e.w.rules.SkipNewReport {
 		c.broken = true // makes the agent connect and report again
 		return
 	}
 	now := e.clock()
-	renewed := e.w.rules.Valid(&e.term.leaderLease, now) && !l.leaseExpired
+	renewed := e.w.rules.LeaderLeaseValid(&e.term.leaderLease, now) && !l.leaseExpired
 	if renewed {
 		l.lastContact = now
 	}
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -39,60 +39,60 @@
 // Rules are the rules of the protocol that a test can replace. The zero value plays
 // those of the product.
 type Rules struct {
-	// LapsesAt returns when everything on a worker has ended because its lease has.
-	LapsesAt func(lastContact time.Time) time.Time
-	// EndsAt returns when everything that an earlier dispatcher ordered has ended.
-	EndsAt func(p *leadership.Predecessor) time.Time
-	// Ended reports whether everything that must have ended by a time has ended, which
+	// WorkerLeaseEndsBy returns when everything on a worker has ended because its lease has.
+	WorkerLeaseEndsBy func(lastContact time.Time) time.Time
+	// EarlierLeasesEndBy returns when everything that an earlier dispatcher ordered has ended.
+	EarlierLeasesEndBy func(p *leadership.Predecessor) time.Time
+	// ConfirmsEnd reports whether everything that must have ended by a time has ended, which
 	// a dispatcher knows only after a later write under its term.
-	Ended func(l *leadership.LeaderLease, now, by time.Time) bool
-	// Valid reports whether a dispatcher may still act.
-	Valid func(l *leadership.LeaderLease, now time.Time) bool
-	// Left returns how long a worker lease still lasts.
-	Left func(l *leadership.WorkerLease, now time.Time) time.Duration
-	// NoteFirst acknowledges the ends of runs before they are stored.
-	NoteFirst bool
-	// NoFence assumes that a start whose call was not answered never takes effect.
-	NoFence bool
-	// AnyLife acknowledges ends and extends leases although the runner may have
+	ConfirmsEnd func(l *leadership.LeaderLease, now, by time.Time) bool
+	// LeaderLeaseValid reports whether a dispatcher may still act.
+	LeaderLeaseValid func(l *leadership.LeaderLease, now time.Time) bool
+	// WorkerLeaseRemaining returns how long a worker lease still lasts.
+	WorkerLeaseRemaining func(l *leadership.WorkerLease, now time.Time) time.Duration
+	// AckBeforeStore acknowledges the ends of runs before they are stored.
+	AckBeforeStore bool
+	// SkipFencing assumes that a start whose call was not answered never takes effect.
+	SkipFencing bool
+	// IgnoreRunnerLife acknowledges ends and extends leases although the runner may have
 	// restarted.
-	AnyLife bool
-	// NoStrays reports a restarted runner before the starts sent to its earlier life
+	IgnoreRunnerLife bool
+	// SkipStopInNewLife reports a restarted runner before the starts sent to its earlier life
 	// are fenced in the new one.
-	NoStrays bool
-	// NoWorkers starts tasks on workers whose names are not stored, and
+	SkipStopInNewLife bool
+	// SkipStoringWorkers starts tasks on workers whose names are not stored, and
 	// UnprovenWorkers on those whose names were stored without a later write under
 	// the term.
-	NoWorkers, UnprovenWorkers bool
-	// AllNew takes all jobs for new, also those whose entries did not know of the term,
+	SkipStoringWorkers, SkipWriteUnderTerm bool
+	// TreatAllJobsAsNew takes all jobs for new, also those whose entries did not know of the term,
 	// which an earlier dispatcher may have read.
-	AllNew bool
-	// DropUnknown drops reported runs of jobs that have not been read yet.
-	DropUnknown bool
-	// KeepLost does not ask a worker whose lease has expired to report again when it
+	TreatAllJobsAsNew bool
+	// DropUnknownJobs drops reported runs of jobs that have not been read yet.
+	DropUnknownJobs bool
+	// SkipNewReport does not ask a worker whose lease has expired to report again when it
 	// pings.
-	KeepLost bool
+	SkipNewReport bool
 }
 
 // setDefaults sets the functions that are nil to those of the product.
 func (r *Rules) setDefaults() {
-	if r.LapsesAt == nil {
-		r.LapsesAt = leadership.WorkerLeaseEndsBy
+	if r.WorkerLeaseEndsBy == nil {
+		r.WorkerLeaseEndsBy = leadership.WorkerLeaseEndsBy
 	}
-	if r.EndsAt == nil {
-		r.EndsAt = func(p *leadership.Predecessor) time.Time { return p.LeasesEndBy() }
+	if r.EarlierLeasesEndBy == nil {
+		r.EarlierLeasesEndBy = func(p *leadership.Predecessor) time.Time { return p.LeasesEndBy() }
 	}
-	if r.Ended == nil {
-		r.Ended = func(l *leadership.LeaderLease, now, by time.Time) bool {
+	if r.ConfirmsEnd == nil {
+		r.ConfirmsEnd = func(l *leadership.LeaderLease, now, by time.Time) bool {
 			ended, _ := l.ConfirmsEnd(now, by)
 			return ended
 		}
 	}
-	if r.Valid == nil {
-		r.Valid = func(l *leadership.LeaderLease, now time.Time) bool { return l.Valid(now) }
+	if r.LeaderLeaseValid == nil {
+		r.LeaderLeaseValid = func(l *leadership.LeaderLease, now time.Time) bool { return l.Valid(now) }
 	}
-	if r.Left == nil {
-		r.Left = func(l *leadership.WorkerLease, now time.Time) time.Duration { return l.Remaining(now) }
+	if r.WorkerLeaseRemaining == nil {
+		r.WorkerLeaseRemaining = func(l *leadership.WorkerLease, now time.Time) time.Duration { return l.Remaining(now) }
 	}
 }
 
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -32,23 +32,23 @@
 		// from is the first seed: some wrong rules cause a violation in few schedules only.
 		from uint64
 	}{
-		{"a worker is taken for lost before its lease has expired", Rules{LapsesAt: func(lastContact time.Time) time.Time { return lastContact.Add(3 * time.Second) }}, 0},
-		{"workers that have not reported are not waited for", Rules{EndsAt: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
-		{"a dispatcher acts without a valid leadership lease", Rules{Valid: func(*leadership.LeaderLease, time.Time) bool { return true }}, 2940},
-		{"a worker runs tasks after its lease has expired", Rules{Left: func(l *leadership.WorkerLease, now time.Time) time.Duration {
+		{"a worker is taken for lost before its lease has expired", Rules{WorkerLeaseEndsBy: func(lastContact time.Time) time.Time { return lastContact.Add(3 * time.Second) }}, 0},
+		{"workers that have not reported are not waited for", Rules{EarlierLeasesEndBy: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
+		{"a dispatcher acts without a valid leadership lease", Rules{LeaderLeaseValid: func(*leadership.LeaderLease, time.Time) bool { return true }}, 2940},
+		{"a worker runs tasks after its lease has expired", Rules{WorkerLeaseRemaining: func(l *leadership.WorkerLease, now time.Time) time.Duration {
 			return l.Remaining(now.Add(-2 * time.Second))
 		}}, 0},
-		{"a worker is taken for lost although a later dispatcher may have contact with it", Rules{Ended: func(_ *leadership.LeaderLease, now, by time.Time) bool {
+		{"a worker is taken for lost although a later dispatcher may have contact with it", Rules{ConfirmsEnd: func(_ *leadership.LeaderLease, now, by time.Time) bool {
 			return !now.Before(by)
 		}}, 0},
-		{"ends of runs are acknowledged before they are stored", Rules{NoteFirst: true}, 0},
-		{"a start whose call was not answered is not fenced", Rules{NoFence: true}, 0},
-		{"a restarted runner is reported before earlier starts are fenced", Rules{NoStrays: true}, 130},
-		{"a worker runs tasks before its name is stored", Rules{NoWorkers: true}, 0},
-		{"a worker's name is stored without a write under the term", Rules{UnprovenWorkers: true}, 6220},
-		{"a job that an earlier dispatcher may have read is taken for new", Rules{AllNew: true}, 100},
-		{"reported runs of unknown jobs are dropped", Rules{DropUnknown: true}, 1820},
-		{"a worker whose lease has expired is not asked to report again", Rules{KeepLost: true}, 540},
+		{"ends of runs are acknowledged before they are stored", Rules{AckBeforeStore: true}, 0},
+		{"a start whose call was not answered is not fenced", Rules{SkipFencing: true}, 0},
+		{"a restarted runner is reported before earlier starts are fenced", Rules{SkipStopInNewLife: true}, 130},
+		{"a worker runs tasks before its name is stored", Rules{SkipStoringWorkers: true}, 0},
+		{"a worker's name is stored without a write under the term", Rules{SkipWriteUnderTerm: true}, 6220},
+		{"a job that an earlier dispatcher may have read is taken for new", Rules{TreatAllJobsAsNew: true}, 100},
+		{"reported runs of unknown jobs are dropped", Rules{DropUnknownJobs: true}, 1820},
+		{"a worker whose lease has expired is not asked to report again", Rules{SkipNewReport: true}, 540},
 	}
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
