--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -32,17 +32,17 @@
 	Service string
 	// Listen is the address that entries connect to, IP and port.
 	Listen string
-	// Admin is the address at which metrics and health are served, IP and port.
-	Admin string
+	// AdminListen is the address at which metrics and health are served, IP and port.
+	AdminListen string
 	// RunnerURL and WorkerURL are the base URLs of the endpoint's runner and of the
 	// platform's worker.
 	RunnerURL, WorkerURL string
 	// Entries are addresses of entries, or of a load balancer in front of them.
 	Entries        []string
 	HeartbeatEvery time.Duration
-	// DrainAfter is how long the agent goes on serving after it has announced that it is
+	// DrainDelay is how long the agent goes on serving after it has announced that it is
 	// draining.
-	DrainAfter time.Duration
+	DrainDelay time.Duration
 	Roots      bundle.Operators
 }
 
@@ -146,7 +146,7 @@
 	a.mu.Unlock()
 	a.log.Info().Msg("agent is draining")
 	a.runRound(ctx)
-	delay.For(ctx, a.settings.DrainAfter)
+	delay.For(ctx, a.settings.DrainDelay)
 	a.waitIdle(ctx)
 	if err := a.server.Shutdown(ctx); err != nil {
 		a.log.Warn().Err(err).Msg("shutdown")
--- a/internal/bench/capacity/appends.go
+++ b/internal/bench/capacity/appends.go
@@ -50,7 +50,7 @@
 	var writers []*services.Writer
 	var running sync.WaitGroup
 	for i := range entriesPerDataCentre {
-		w := services.NewWriter(port, "jobs-dc-1", fmt.Sprintf("entry-%d@1", i), entry.StreamGap*entriesPerDataCentre)
+		w := services.NewWriter(port, "jobs-dc-1", fmt.Sprintf("entry-%d@1", i), entry.StreamAppendInterval*entriesPerDataCentre)
 		writers = append(writers, w)
 		running.Go(func() { w.Run(ctx, 0) })
 	}
--- a/internal/bench/capacity/wire.go
+++ b/internal/bench/capacity/wire.go
@@ -62,7 +62,7 @@
 	e, err := entry.New(now, entry.Settings{
 		Name: "entry-1", DataCentre: dataCentre, Listen: loopback, PeerListen: loopback, LogURL: "http://" + logLn.Addr().String(),
 		Roots:      bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "alice", PublicKey: public}}},
-		DrainAfter: drainAfter, Open: true,
+		DrainDelay: drainAfter, AllowUnauthenticated: true,
 	}, entryID, &log.Logger{Level: log.ErrorLevel})
 	if err != nil {
 		return nil, err
--- a/internal/bench/log/appends.go
+++ b/internal/bench/log/appends.go
@@ -79,7 +79,7 @@
 	var writers []*services.Writer
 	for i := range entriesPerCentre {
 		name := fmt.Sprintf("%s/entry-%d@1", dataCentre, i)
-		w := services.NewWriter(services.NewLog(client, url), entry.JobsStream(dataCentre), name, entriesPerCentre*entry.StreamGap)
+		w := services.NewWriter(services.NewLog(client, url), entry.JobsStream(dataCentre), name, entriesPerCentre*entry.StreamAppendInterval)
 		group.Go(func() { w.Run(ctx, time.Second) })
 		writers = append(writers, w)
 	}
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -141,7 +141,7 @@
 	}
 	c.entry, err = entry.New(time.Now(), entry.Settings{
 		Name: "entry-1", DataCentre: controlCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: url, Roots: c.roots, DrainAfter: siteDrain, Open: true,
+		LogURL: url, Roots: c.roots, DrainDelay: siteDrain, AllowUnauthenticated: true,
 	}, id, quiet())
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 	if c.relay, err = newRelay(); err != nil {
 		return err
 	}
-	if err := c.relay.serveFor(c.entry.ListenAddress()); err != nil {
+	if err := c.relay.serveFor(c.entry.PeerListenAddress()); err != nil {
 		return err
 	}
 	for i := range agents {
--- a/internal/bench/log/inforce.go
+++ b/internal/bench/log/inforce.go
@@ -150,14 +150,14 @@
 	s.relays = append(s.relays, r)
 	e, err := entry.New(time.Now(), entry.Settings{
 		Name: name, DataCentre: dataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", PeerAdvertise: r.address(),
-		LogURL: s.logURL, Roots: s.roots, DrainAfter: siteDrain, Open: true,
+		LogURL: s.logURL, Roots: s.roots, DrainDelay: siteDrain, AllowUnauthenticated: true,
 	}, id, quiet())
 	if err != nil {
 		return "", err
 	}
 	s.entries = append(s.entries, e)
 	s.running.Go(func() { _ = e.Run(ctx) })
-	return r.address(), r.serveFor(e.ListenAddress())
+	return r.address(), r.serveFor(e.PeerListenAddress())
 }
 
 func (s *site) startAgent(ctx context.Context, dataCentre, name string, entries []string) error {
@@ -172,7 +172,7 @@
 	}
 	a, err := agent.New(time.Now(), agent.Settings{
 		Name: name, DataCentre: dataCentre, Rack: "rack-1", Listen: "127.0.0.1:0", WorkerURL: workerURL,
-		Entries: entries, HeartbeatEvery: siteHeartbeat, DrainAfter: siteDrain, Roots: s.roots,
+		Entries: entries, HeartbeatEvery: siteHeartbeat, DrainDelay: siteDrain, Roots: s.roots,
 	}, id, quiet())
 	if err != nil {
 		return err
--- a/internal/bench/log/recovery.go
+++ b/internal/bench/log/recovery.go
@@ -144,7 +144,7 @@
 	began := time.Now()
 	e, err := entry.New(began, entry.Settings{
 		Name: "entry-1", DataCentre: controlCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: url, Roots: l.roots, DrainAfter: siteDrain, Open: true,
+		LogURL: url, Roots: l.roots, DrainDelay: siteDrain, AllowUnauthenticated: true,
 	}, id, quiet())
 	if err != nil {
 		return 0, 0, err
--- a/internal/bench/request/site.go
+++ b/internal/bench/request/site.go
@@ -81,7 +81,7 @@
 	}
 	s.entry, err = entry.New(now, entry.Settings{
 		Name: "entry-1", DataCentre: siteDataCentre, Listen: loopback, PeerListen: loopback,
-		LogURL: logURL, Roots: roots, DrainAfter: siteDrain, Open: true,
+		LogURL: logURL, Roots: roots, DrainDelay: siteDrain, AllowUnauthenticated: true,
 	}, id, discardLogger())
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	a, err := agent.New(now, agent.Settings{
 		Name: "worker-1", DataCentre: siteDataCentre, Rack: "rack-1", Service: siteService, Listen: loopback,
 		RunnerURL: s.runner, WorkerURL: workerURL, Entries: []string{s.entry.PeerAddress()},
-		HeartbeatEvery: siteHeartbeat, DrainAfter: siteDrain, Roots: roots,
+		HeartbeatEvery: siteHeartbeat, DrainDelay: siteDrain, Roots: roots,
 	}, id, discardLogger())
 	if err != nil {
 		return err
--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -36,9 +36,9 @@
 	c := &checker{cmd: cmd}
 	s := agent.Settings{
 		Name: c.required("name"), DataCentre: c.required("data-centre"), Rack: cmd.String("rack"), Service: cmd.String("service"),
-		Listen: c.address("listen"), Admin: c.address("admin-listen"), WorkerURL: c.url("worker-url"),
+		Listen: c.address("listen"), AdminListen: c.address("admin-listen"), WorkerURL: c.url("worker-url"),
 		Entries: c.addresses("entries"), HeartbeatEvery: c.positive("heartbeat-every"),
-		DrainAfter: c.positive("drain-after"), Roots: c.operators(),
+		DrainDelay: c.positive("drain-after"), Roots: c.operators(),
 	}
 	if s.Service != "" {
 		s.RunnerURL = c.url("runner-url")
@@ -55,7 +55,7 @@
 		return err
 	}
 	return withReload(ctx, cmd, id, logger, func(ctx context.Context) error {
-		return serveBeside(ctx, s.Admin, a.AdminHandler(), a.Run)
+		return serveBeside(ctx, s.AdminListen, a.AdminHandler(), a.Run)
 	})
 }
 
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -114,7 +114,7 @@
 	}
 	e, err := entry.New(time.Now(), entry.Settings{
 		Name: "entry-1", DataCentre: devDataCentre, Listen: listen, PeerListen: "127.0.0.1:0",
-		LogURL: logURL, Roots: s.roots, DrainAfter: devDrain, Open: true,
+		LogURL: logURL, Roots: s.roots, DrainDelay: devDrain, AllowUnauthenticated: true,
 	}, id, newLogger(s.level, "entry-1"))
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 	a, err := agent.New(time.Now(), agent.Settings{
 		Name: name, DataCentre: devDataCentre, Rack: fmt.Sprintf("rack-%d", i+1), Service: devService,
 		Listen: "127.0.0.1:0", RunnerURL: runnerURL, WorkerURL: workerURL, Entries: []string{entryAddress},
-		HeartbeatEvery: devHeartbeat, DrainAfter: devDrain, Roots: s.roots,
+		HeartbeatEvery: devHeartbeat, DrainDelay: devDrain, Roots: s.roots,
 	}, id, newLogger(s.level, name))
 	if err != nil {
 		return err
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -31,7 +31,7 @@
 	s := entry.Settings{
 		Name: c.required("name"), DataCentre: c.required("data-centre"),
 		Listen: c.address("listen"), PeerListen: c.address("peer-listen"), LogURL: c.url("log-url"),
-		Roots: c.operators(), DrainAfter: c.positive("drain-after"), Open: cmd.Bool("open"),
+		Roots: c.operators(), DrainDelay: c.positive("drain-after"), AllowUnauthenticated: cmd.Bool("open"),
 		AnnounceEvery: c.positive("announce-every"),
 	}
 	if s.PeerAdvertise = cmd.String("peer-advertise"); s.PeerAdvertise != "" {
--- a/internal/entry/api.go
+++ b/internal/entry/api.go
@@ -46,7 +46,7 @@
 	if r.TLS != nil {
 		return teamOfPeer(w, r, d)
 	}
-	if e.settings.Open {
+	if e.settings.AllowUnauthenticated {
 		if t, ok := d.Team(r.Header.Get(HeaderTeam)); ok {
 			return t, true
 		}
--- a/internal/entry/carry_forward.go
+++ b/internal/entry/carry_forward.go
@@ -28,9 +28,9 @@
 	maxBatchesAfterSnapshot = 8192
 	// maxSnapshotPartBytes is the most bytes of a snapshot in one record.
 	maxSnapshotPartBytes = 256 << 10
-	// StreamGap is the time between two appends to one stream under load, counting the
+	// StreamAppendInterval is the time between two appends to one stream under load, counting the
 	// appends of all entries of a data centre.
-	StreamGap = 28 * time.Millisecond
+	StreamAppendInterval = 28 * time.Millisecond
 )
 
 // carryForwardItem schedules the copies of one kind of content that must outlive the log's
@@ -106,7 +106,7 @@
 func (e *Entry) carryForward(ctx context.Context) {
 	for delay.For(ctx, carryForwardInterval) {
 		now := time.Now()
-		e.localJobsWriter.SetInterval(StreamGap * time.Duration(max(1, len(e.localEntries(now)))))
+		e.localJobsWriter.SetInterval(StreamAppendInterval * time.Duration(max(1, len(e.localEntries(now)))))
 		if e.bundlesWriter.Queued() == 0 {
 			e.carryBundleForward(now)
 		}
--- a/internal/entry/data_centre.go
+++ b/internal/entry/data_centre.go
@@ -48,7 +48,7 @@
 	if f.writers == nil {
 		f.writers = make(map[string]*services.Writer)
 	}
-	w := services.NewWriter(e.logService, JobsStream(dataCentre), e.writerID, StreamGap)
+	w := services.NewWriter(e.logService, JobsStream(dataCentre), e.writerID, StreamAppendInterval)
 	f.writers[dataCentre] = w
 	run := f.run
 	f.group.Go(func() { run(w) })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -47,14 +47,14 @@
 	PeerAdvertise string
 	LogURL        string
 	Roots         bundle.Operators
-	// DrainAfter is how long the entry goes on serving after it has announced that it is
+	// DrainDelay is how long the entry goes on serving after it has announced that it is
 	// draining.
-	DrainAfter time.Duration
+	DrainDelay time.Duration
 	// AnnounceEvery is the time between two membership records; 0 means
 	// defaultAnnounceInterval.
 	AnnounceEvery time.Duration
-	// Open accepts callers without a token; HeaderTeam then names their team.
-	Open bool
+	// AllowUnauthenticated accepts callers without a token; HeaderTeam then names their team.
+	AllowUnauthenticated bool
 }
 
 // Entry is one running entry.
@@ -111,9 +111,9 @@
 		log:               logger,
 		logService:        logService,
 		registry:          gometrics.NewRegistry(),
-		localJobsWriter:   services.NewWriter(logService, JobsStream(s.DataCentre), name, StreamGap),
-		bundlesWriter:     services.NewWriter(logService, StreamBundles, name, StreamGap),
-		membersWriter:     services.NewWriter(logService, StreamMembers, name, StreamGap),
+		localJobsWriter:   services.NewWriter(logService, JobsStream(s.DataCentre), name, StreamAppendInterval),
+		bundlesWriter:     services.NewWriter(logService, StreamBundles, name, StreamAppendInterval),
+		membersWriter:     services.NewWriter(logService, StreamMembers, name, StreamAppendInterval),
 		writerID:          name,
 		bundle:            bundleState{chain: bundle.NewChain(s.Roots)},
 		knownMembers:      make(map[string]member),
@@ -148,8 +148,8 @@
 	return e.peerServer.Address()
 }
 
-// ListenAddress returns the address that the server for peers is bound to.
-func (e *Entry) ListenAddress() string { return e.peerServer.Address() }
+// PeerListenAddress returns the address that the server for peers is bound to.
+func (e *Entry) PeerListenAddress() string { return e.peerServer.Address() }
 
 // flushTimeout bounds how long a draining entry tries to append the records still queued.
 const flushTimeout = 3 * time.Second
@@ -197,7 +197,7 @@
 	e.draining.Store(true)
 	e.log.Info().Msg("entry is draining")
 	e.appendMembership(ctx, true)
-	delay.For(ctx, e.settings.DrainAfter)
+	delay.For(ctx, e.settings.DrainDelay)
 	if err := e.apiServer.Shutdown(ctx); err != nil {
 		e.log.Warn().Err(err).Msg("shutdown of the server for callers failed")
 	}
--- a/internal/entry/recover_test.go
+++ b/internal/entry/recover_test.go
@@ -71,7 +71,7 @@
 	b.t.Helper()
 	e, err := New(time.Now(), Settings{
 		Name: "entry-1", DataCentre: "dc-1", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: b.url, Roots: b.roots, DrainAfter: time.Millisecond, Open: true,
+		LogURL: b.url, Roots: b.roots, DrainDelay: time.Millisecond, AllowUnauthenticated: true,
 	}, b.identity(link.RoleEntry, "entry-1"), &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}})
 	b.must(err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -142,7 +142,7 @@
 	t.Cleanup(logs.Close)
 	c.entry, err = New(time.Now(), Settings{
 		Name: "entry-1", DataCentre: testDataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: logs.URL, Roots: roots, DrainAfter: time.Millisecond, Open: true,
+		LogURL: logs.URL, Roots: roots, DrainDelay: time.Millisecond, AllowUnauthenticated: true,
 	}, c.identity(link.RoleEntry, "entry-1"), &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	c.must(err)
 	c.entry.bundleMu.Lock()
