--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -17,28 +17,28 @@
 func agentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "agent",
-		Usage: "run an agent beside an endpoint",
+		Usage: "run the agent of one worker, beside its endpoint if it has one",
 		Flags: append(processFlags(),
-			text("rack", "", "rack of the worker"),
-			text("service", "", "service that the endpoint runs; empty for a worker without one"),
-			text("listen", "127.0.0.1:0", "where entries reach this agent, IP and port"),
-			text("admin-listen", "127.0.0.1:0", "where metrics and health are served, IP and port"),
-			text("runner-url", "", "URL of the endpoint's runner"),
-			text("worker-url", "", "URL of the platform's worker"),
-			text("entries", "", "addresses of entries or of their balancer, separated by commas"),
-			duration("heartbeat-every", 500*time.Millisecond, "time between two heartbeats"),
+			stringFlag("rack", "", "rack that the worker is in"),
+			stringFlag("service", "", "service that the worker's endpoint runs; empty for a worker without an endpoint"),
+			stringFlag("listen", "127.0.0.1:0", "IP and port at which entries reach this agent"),
+			stringFlag("admin-listen", "127.0.0.1:0", "IP and port at which metrics and health checks are served"),
+			stringFlag("runner-url", "", "URL of the endpoint's runner"),
+			stringFlag("worker-url", "", "URL of the platform's worker service on this worker"),
+			stringFlag("entries", "", "addresses of entries or of their load balancer, separated by commas"),
+			durationFlag("heartbeat-every", 500*time.Millisecond, "interval between heartbeats"),
 		),
 		Action: runAgent,
 	}
 }
 
 func runAgent(ctx context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
+	c := &flagReader{cmd: cmd}
 	s := agent.Settings{
 		Name: c.required("name"), DataCentre: c.required("data-centre"), Rack: cmd.String("rack"), Service: cmd.String("service"),
 		Listen: c.address("listen"), Admin: c.address("admin-listen"), WorkerURL: c.url("worker-url"),
-		Entries: c.addresses("entries"), HeartbeatEvery: c.positive("heartbeat-every"),
-		DrainAfter: c.positive("drain-after"), Roots: c.operators(),
+		Entries: c.addresses("entries"), HeartbeatEvery: c.positiveDuration("heartbeat-every"),
+		DrainAfter: c.positiveDuration("drain-after"), Roots: c.operators(),
 	}
 	if s.Service != "" {
 		s.RunnerURL = c.url("runner-url")
@@ -48,27 +48,27 @@
 	if c.err != nil {
 		return c.err
 	}
-	tuneMemory()
-	tuneProcessors()
+	lowerGCPercent()
+	limitAgentProcessors()
 	a, err := agent.New(time.Now(), s, id, logger)
 	if err != nil {
 		return err
 	}
-	return withReload(ctx, cmd, id, logger, func(ctx context.Context) error {
-		return serveBeside(ctx, s.Admin, a.AdminHandler(), a.Run)
+	return runWithCertificateReload(ctx, cmd, id, logger, func(ctx context.Context) error {
+		return runWithAdminServer(ctx, s.Admin, a.AdminHandler(), a.Run)
 	})
 }
 
-// adminTimeout bounds how long a reader of metrics takes to send headers.
-const adminTimeout = 5 * time.Second
+// readHeaderTimeout is how long a client of the servers started here may take to send its request headers.
+const readHeaderTimeout = 5 * time.Second
 
-// serveBeside serves handler at address while run runs.
-func serveBeside(ctx context.Context, address string, handler http.Handler, run func(context.Context) error) error {
+// runWithAdminServer calls run and serves handler at address until run returns.
+func runWithAdminServer(ctx context.Context, address string, handler http.Handler, run func(context.Context) error) error {
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "listen for metrics")
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	var group sync.WaitGroup
 	group.Go(func() { _ = server.Serve(ln) })
 	err = run(ctx)
--- a/internal/command/bad_input_test.go
+++ b/internal/command/bad_input_test.go
@@ -16,7 +16,7 @@
 	"savoryhoist.example/savoryhoist/internal/problem"
 )
 
-func readTable(t *testing.T, path string, out any) {
+func readCases(t *testing.T, path string, out any) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err == nil {
@@ -27,15 +27,15 @@
 	}
 }
 
-// TestBadArguments runs every command with bad input: each exits with its code
-// and names all that is wrong.
+// TestBadArguments runs every command with arguments that are not valid. Each
+// must exit with the expected code and name every invalid argument.
 func TestBadArguments(t *testing.T) {
 	var cases []struct {
 		Args []string `yaml:"args"`
 		Exit int      `yaml:"exit"`
 		Want []string `yaml:"want"`
 	}
-	readTable(t, "testdata/bad-arguments.yaml", &cases)
+	readCases(t, "testdata/bad-arguments.yaml", &cases)
 	binary := filepath.Join(t.TempDir(), "savoryhoist")
 	if out, err := exec.Command("go", "build", "-o", binary, "../..").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
@@ -43,15 +43,15 @@
 	for _, c := range cases {
 		t.Run(strings.Join(c.Args, " "), func(t *testing.T) {
 			cmd := exec.Command(binary, c.Args...)
-			var message strings.Builder
-			cmd.Stderr = &message
+			var stderr strings.Builder
+			cmd.Stderr = &stderr
 			_ = cmd.Run()
 			if got := cmd.ProcessState.ExitCode(); got != c.Exit {
 				t.Errorf("exit code: got %d, want %d", got, c.Exit)
 			}
 			for _, want := range c.Want {
-				if got := message.String(); !strings.Contains(got, want) {
-					t.Errorf("message: got %q, want %q in it", got, want)
+				if got := stderr.String(); !strings.Contains(got, want) {
+					t.Errorf("standard error: got %q, want %q in it", got, want)
 				}
 			}
 		})
@@ -88,14 +88,15 @@
 	return resp
 }
 
-// TestBadRequests sends bad input to every door: each is refused by a problem
-// that names the field and says that nothing was run, and nothing changes.
+// TestBadRequests sends requests that are not valid to every path of the caller
+// API. Each must be refused with a problem document that names the field and
+// states that nothing was run, and must change nothing.
 func TestBadRequests(t *testing.T) {
 	var cases []badRequest
-	readTable(t, "testdata/bad-requests.yaml", &cases)
+	readCases(t, "testdata/bad-requests.yaml", &cases)
 	s := newSite(t, 1, 1)
 	base := s.entryURLs[0]
-	before := s.jobsOf(base)
+	before := s.jobList(base)
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
 			resp := c.send(t, base)
@@ -118,7 +119,7 @@
 			}
 		})
 	}
-	if got := s.jobsOf(base); got != before {
+	if got := s.jobList(base); got != before {
 		t.Errorf("jobs: got %s, want %s", got, before)
 	}
 	if got, want := len(s.runners[0].Runs()), 0; got != want {
@@ -126,7 +127,7 @@
 	}
 }
 
-func (s *site) jobsOf(base string) string {
+func (s *site) jobList(base string) string {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, base+"/jobs", http.NoBody)
 	s.must(err)
@@ -139,9 +140,9 @@
 	return string(data)
 }
 
-// TestDescribedPaths asks for every path and method that docs/openapi.yaml
-// describes: an entry serves each of them.
-func TestDescribedPaths(t *testing.T) {
+// TestOpenAPIPathsAreServed calls every path with every method that
+// docs/openapi.yaml describes: an entry must serve each of them.
+func TestOpenAPIPathsAreServed(t *testing.T) {
 	var document struct {
 		Paths map[string]map[string]any `yaml:"paths"`
 	}
@@ -165,7 +166,7 @@
 			_ = json.NewDecoder(resp.Body).Decode(&p)
 			_ = resp.Body.Close()
 			if p.Field == "path" {
-				t.Errorf("%s %s: got %q, want it served", method, path, p.Detail)
+				t.Errorf("%s %s: got %q, want the path to be served", method, path, p.Detail)
 			}
 		}
 	}
--- a/internal/command/bench_batch.go
+++ b/internal/command/bench_batch.go
@@ -12,11 +12,11 @@
 func benchBatchCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "batch",
-		Usage: "measure placement, the colocation guard and the start of urgent work",
+		Usage: "measure the speed of placement, the effect of the colocation guard and the start delay of urgent tasks",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			report, err := batch.Run(ctx)
-			if printed := json.NewEncoder(cmd.Root().Writer).Encode(report); printed != nil {
-				return printed
+			if printErr := json.NewEncoder(cmd.Root().Writer).Encode(report); printErr != nil {
+				return printErr
 			}
 			return err
 		},
--- a/internal/command/bench_capacity.go
+++ b/internal/command/bench_capacity.go
@@ -15,14 +15,14 @@
 func benchCapacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure what each worker, job, heartbeat and request costs, and work out the target size",
+		Usage: "measure the cost of each worker, job, heartbeat and request, and compute the resources needed at the target size",
 		Flags: []cli.Flag{
-			duration("append-time", 5*time.Second, "how long appends are counted at each of four rates; longer is more exact"),
-			number("heartbeats", 1000, "heartbeats measured at each of four sizes"),
+			durationFlag("append-time", 5*time.Second, "how long appends are counted at each of four rates; a longer time gives a more precise result"),
+			intFlag("heartbeats", 1000, "number of heartbeats measured at each of four sizes"),
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			c := &checker{cmd: cmd}
-			s := capacity.Settings{AppendTime: c.positive("append-time"), Heartbeats: c.count("heartbeats")}
+			c := &flagReader{cmd: cmd}
+			s := capacity.Settings{AppendTime: c.positiveDuration("append-time"), Heartbeats: c.positiveInt("heartbeats")}
 			if c.err != nil {
 				return c.err
 			}
@@ -35,7 +35,7 @@
 	}
 }
 
-// printCapacity prints slopes and lines for people, then one line of JSON.
+// printCapacity prints the measured slopes and the computed lines as readable text, then the whole result as one line of JSON.
 func printCapacity(w io.Writer, r *capacity.Result) error {
 	for i := range r.Slopes {
 		s := &r.Slopes[i]
--- a/internal/command/bench_explore.go
+++ b/internal/command/bench_explore.go
@@ -15,7 +15,7 @@
 	"savoryhoist.example/savoryhoist/internal/explore"
 )
 
-// ErrViolations means that an exploration has found violations.
+// ErrViolations means that the explored histories violated at least one rule.
 var ErrViolations = errors.New("the exploration has found violations")
 
 // exploreResult is the last line that the command prints.
@@ -31,12 +31,12 @@
 func benchExploreCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "explore",
-		Usage: "explore the deciding code under seeded faults and check the histories",
+		Usage: "run the decision logic in simulation under seeded faults and check the resulting histories",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seeds", Value: 10000, Usage: "number of seeds"},
-			&cli.Uint64Flag{Name: "first-seed", Usage: "the first seed"},
-			&cli.StringFlag{Name: "only", Usage: "name of the one part to explore"},
-			&cli.IntFlag{Name: "parallel", Value: runtime.GOMAXPROCS(0), Usage: "schedules explored at a time"},
+			&cli.Uint64Flag{Name: "seeds", Value: 10000, Usage: "number of seeds to run"},
+			&cli.Uint64Flag{Name: "first-seed", Usage: "first seed to run"},
+			&cli.StringFlag{Name: "only", Usage: "name of the only part to explore; empty for all"},
+			&cli.IntFlag{Name: "parallel", Value: runtime.GOMAXPROCS(0), Usage: "number of schedules explored in parallel"},
 		},
 		Action: benchExplore,
 	}
@@ -48,7 +48,7 @@
 		parts = slices.DeleteFunc(parts, func(p explore.Part) bool { return p.Name != only })
 	}
 	if len(parts) == 0 {
-		return errors.Wrapf(ErrUsage, "no part is called %q", c.String("only"))
+		return errors.Wrapf(ErrUsage, "no explored part is called %q", c.String("only"))
 	}
 	began := time.Now()
 	found, explored := explore.Run(ctx, parts, c.Uint64("first-seed"), c.Uint64("seeds"), c.Int("parallel"))
--- a/internal/command/bench_log.go
+++ b/internal/command/bench_log.go
@@ -12,7 +12,7 @@
 func benchLogCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "log",
-		Usage: "measure appends, rolling of bundles, control messages and recovery",
+		Usage: "measure log appends, bundle rollout, control messages and recovery",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			result, err := benchlog.Run(ctx)
 			if err != nil {
--- a/internal/command/bench_request.go
+++ b/internal/command/bench_request.go
@@ -12,15 +12,15 @@
 func benchRequestCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "request",
-		Usage: "compare routing policies in virtual time and measure what a request costs; longer with --length and --seeds",
+		Usage: "compare routing policies in virtual time and measure the cost of a request; --length and --seeds make it run longer",
 		Flags: []cli.Flag{
-			duration("length", 15*time.Second, "virtual time of each run"),
-			&cli.IntFlag{Name: "seeds", Value: 2, Usage: "seeds of each run"},
-			&cli.IntFlag{Name: "calls", Value: 2000, Usage: "requests sent over each way to measure hops"},
+			durationFlag("length", 15*time.Second, "virtual duration of each run"),
+			&cli.IntFlag{Name: "seeds", Value: 2, Usage: "number of seeds for each run"},
+			&cli.IntFlag{Name: "calls", Value: 2000, Usage: "requests sent over each path to measure the cost of its hops"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			c := &checker{cmd: cmd}
-			s := request.Settings{Length: c.positive("length"), Seeds: cmd.Int("seeds"), Calls: cmd.Int("calls")}
+			c := &flagReader{cmd: cmd}
+			s := request.Settings{Length: c.positiveDuration("length"), Seeds: cmd.Int("seeds"), Calls: cmd.Int("calls")}
 			if c.err != nil {
 				return c.err
 			}
--- a/internal/command/bench_takeover.go
+++ b/internal/command/bench_takeover.go
@@ -11,12 +11,14 @@
 	"savoryhoist.example/savoryhoist/internal/explore/batch"
 )
 
-// takeoverCost is both ends of what a takeover time costs.
+// takeoverCost shows the trade-off of one takeover time: a short one leaves
+// tasks of a dead worker idle for less time, a long one lets tasks run through a
+// longer outage.
 type takeoverCost struct {
-	TakeoverAfterS float64 `json:"takeover-after-s"`
-	IdleMeanS      float64 `json:"idle-mean-s"`
-	IdleLongestS   float64 `json:"idle-longest-s"`
-	OutageS        float64 `json:"shortest-run-through-outage-s"`
+	TakeoverAfterS            float64 `json:"takeover-after-s"`
+	IdleMeanS                 float64 `json:"idle-mean-s"`
+	IdleLongestS              float64 `json:"idle-longest-s"`
+	ShortestRunThroughOutageS float64 `json:"shortest-run-through-outage-s"`
 }
 
 type takeoverResult struct {
@@ -28,8 +30,8 @@
 func benchTakeoverCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "takeover",
-		Usage:  "measure in simulated time what takeover-after costs after a death and through an outage",
-		Flags:  []cli.Flag{&cli.Uint64Flag{Name: "seeds", Value: 200, Usage: "schedules for each takeover time"}},
+		Usage:  "measure in simulated time how long tasks idle after a worker dies, and run through an outage, for several values of takeover-after",
+		Flags:  []cli.Flag{&cli.Uint64Flag{Name: "seeds", Value: 200, Usage: "number of simulated schedules for each takeover time"}},
 		Action: benchTakeover,
 	}
 }
@@ -43,7 +45,7 @@
 		}
 		out.Costs = append(out.Costs, takeoverCost{
 			TakeoverAfterS: (after * time.Second).Seconds(), IdleMeanS: idle.Mean.Seconds(),
-			IdleLongestS: idle.Longest.Seconds(), OutageS: idle.Outage.Seconds(),
+			IdleLongestS: idle.Longest.Seconds(), ShortestRunThroughOutageS: idle.Outage.Seconds(),
 		})
 	}
 	return json.NewEncoder(os.Stdout).Encode(out)
--- a/internal/command/bundle.go
+++ b/internal/command/bundle.go
@@ -23,19 +23,20 @@
 }
 
 func entryFlag() cli.Flag {
-	return text("entry-url", "http://127.0.0.1:8080", "URL of an entry or of the balancer before the entries")
+	return stringFlag("entry-url", "http://127.0.0.1:8080", "URL of an entry or of the load balancer in front of the entries")
 }
 
-// argument returns the command's only argument.
-func argument(cmd *cli.Command, what string) (string, error) {
+// singleArgument returns the command's only argument; the error for any other number of them names what is wanted.
+func singleArgument(cmd *cli.Command, want string) (string, error) {
 	if cmd.Args().Len() != 1 {
-		return "", errors.Wrapf(ErrUsage, "want one argument: %s", what)
+		return "", errors.Wrapf(ErrUsage, "want one argument: %s", want)
 	}
 	return cmd.Args().First(), nil
 }
 
-func readArgument(cmd *cli.Command, what string) ([]byte, error) {
-	path, err := argument(cmd, what)
+// readFileArgument returns the content of the file that the only argument names.
+func readFileArgument(cmd *cli.Command, want string) ([]byte, error) {
+	path, err := singleArgument(cmd, want)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/bundle_check.go
+++ b/internal/command/bundle_check.go
@@ -12,16 +12,16 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// againstInForce as value of --against means the bundle in force.
+// againstInForce is the value of --against that stands for the bundle in force.
 const againstInForce = "in-force"
 
 func bundleCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check a bundle's document, print its digest and what it changes",
+		Usage:     "check a bundle's document and print its digest and its changes",
 		ArgsUsage: "file",
 		Flags: []cli.Flag{
-			text("against", "", "document to compare with: a file, or in-force for the bundle in force"),
+			stringFlag("against", "", "document or signed bundle to compare with: a file, or in-force for the bundle in force"),
 			entryFlag(),
 		},
 		Action: runBundleCheck,
@@ -29,7 +29,7 @@
 }
 
 func runBundleCheck(ctx context.Context, cmd *cli.Command) error {
-	data, err := readArgument(cmd, "the bundle's document")
+	data, err := readFileArgument(cmd, "the bundle's document")
 	if err != nil {
 		return err
 	}
@@ -44,15 +44,15 @@
 	if cmd.String("against") == "" {
 		return nil
 	}
-	before, err := documentAgainst(ctx, cmd)
+	before, err := comparedDocument(ctx, cmd)
 	if err != nil {
 		return err
 	}
 	return printChanges(out, before, d)
 }
 
-// documentAgainst returns the content of the document to compare with.
-func documentAgainst(ctx context.Context, cmd *cli.Command) ([]byte, error) {
+// comparedDocument returns the content of the document that --against names.
+func comparedDocument(ctx context.Context, cmd *cli.Command) ([]byte, error) {
 	if against := cmd.String("against"); against != againstInForce {
 		data, err := os.ReadFile(against)
 		if signed, signedErr := bundle.DecodeSigned(data); err == nil && signedErr == nil {
@@ -61,7 +61,7 @@
 		return data, err
 	}
 	var content []byte
-	err := callFor(ctx, cmd, http.MethodGet, "/bundles/current", nil, nil, func(body io.Reader) error {
+	err := callEntry(ctx, cmd, http.MethodGet, "/bundles/current", nil, nil, func(body io.Reader) error {
 		data, err := io.ReadAll(body)
 		if err != nil {
 			return err
--- a/internal/command/bundle_keygen.go
+++ b/internal/command/bundle_keygen.go
@@ -14,10 +14,10 @@
 func bundleKeygenCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "keygen",
-		Usage:     "write a new operator key and print its public half",
+		Usage:     "write a new operator's private key to a file and print the public key",
 		ArgsUsage: "file",
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			path, err := argument(cmd, "the file to write the private key to")
+			path, err := singleArgument(cmd, "the file to write the private key to")
 			if err != nil {
 				return err
 			}
--- a/internal/command/bundle_publish.go
+++ b/internal/command/bundle_publish.go
@@ -11,15 +11,15 @@
 func bundlePublishCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "publish",
-		Usage:     "publish a signed bundle and say whether it came in force",
+		Usage:     "publish a signed bundle and report whether it is in force",
 		ArgsUsage: "file",
 		Flags:     []cli.Flag{entryFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			data, err := readArgument(cmd, "the signed bundle")
+			data, err := readFileArgument(cmd, "the signed bundle")
 			if err != nil {
 				return err
 			}
-			return call(ctx, cmd, http.MethodPost, "/bundles", bytes.NewReader(data), nil)
+			return callAndPrint(ctx, cmd, http.MethodPost, "/bundles", bytes.NewReader(data), nil)
 		},
 	}
 }
--- a/internal/command/bundle_show.go
+++ b/internal/command/bundle_show.go
@@ -16,7 +16,7 @@
 		Usage: "print the document of the bundle in force",
 		Flags: []cli.Flag{entryFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return callFor(ctx, cmd, http.MethodGet, "/bundles/current", nil, nil, func(body io.Reader) error {
+			return callEntry(ctx, cmd, http.MethodGet, "/bundles/current", nil, nil, func(body io.Reader) error {
 				data, err := io.ReadAll(body)
 				if err != nil {
 					return err
--- a/internal/command/bundle_sign.go
+++ b/internal/command/bundle_sign.go
@@ -15,21 +15,21 @@
 		Usage:     "add an operator's signature to a document or a signed bundle",
 		ArgsUsage: "file",
 		Flags: []cli.Flag{
-			text("operator", "", "operator's name in the bundle"),
-			text("operator-key", "", "file with the operator's private key"),
-			text("out", "bundle.signed", "file to write the signed bundle to"),
+			stringFlag("operator", "", "name of the operator in the bundle"),
+			stringFlag("operator-key", "", "file with the operator's private key"),
+			stringFlag("out", "bundle.signed", "file to write the signed bundle to"),
 		},
 		Action: runBundleSign,
 	}
 }
 
 func runBundleSign(_ context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
+	c := &flagReader{cmd: cmd}
 	operator, keyFile := c.required("operator"), c.required("operator-key")
 	if c.err != nil {
 		return c.err
 	}
-	data, err := readArgument(cmd, "the document or the signed bundle")
+	data, err := readFileArgument(cmd, "the document or the signed bundle")
 	if err != nil {
 		return err
 	}
--- a/internal/command/call.go
+++ b/internal/command/call.go
@@ -12,20 +12,20 @@
 	"savoryhoist.example/savoryhoist/internal/entry"
 )
 
-// ErrRefused means that the entry refused the call.
+// ErrRefused means that the entry answered with a status other than success.
 var ErrRefused = errors.New("the entry refused the call")
 
-// call sends a request to the entry and prints the answer.
-func call(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header) error {
-	return callFor(ctx, cmd, method, path, body, header, func(answer io.Reader) error {
-		_, err := io.Copy(cmd.Root().Writer, answer)
+// callAndPrint sends a request to the entry and prints the body of its response.
+func callAndPrint(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header) error {
+	return callEntry(ctx, cmd, method, path, body, header, func(responseBody io.Reader) error {
+		_, err := io.Copy(cmd.Root().Writer, responseBody)
 		return err
 	})
 }
 
-// callFor sends a request to the entry and hands the answer's body to fn.
-func callFor(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header, fn func(io.Reader) error) error {
-	c := &checker{cmd: cmd}
+// callEntry sends a request to the entry at --entry-url and passes the body of a successful response to fn.
+func callEntry(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header, fn func(io.Reader) error) error {
+	c := &flagReader{cmd: cmd}
 	base := c.url("entry-url")
 	if c.err != nil {
 		return c.err
@@ -52,8 +52,8 @@
 func teamFlags() []cli.Flag {
 	return []cli.Flag{
 		entryFlag(),
-		text("token", "", "the team's bearer token"),
-		text("team", "", "the team's name, for an entry that asks for no token"),
+		stringFlag("token", "", "the team's bearer token"),
+		stringFlag("team", "", "the team's name, for an entry that does not require a token"),
 	}
 }
 
--- a/internal/command/certificate.go
+++ b/internal/command/certificate.go
@@ -11,7 +11,7 @@
 	"savoryhoist.example/savoryhoist/internal/link"
 )
 
-// Modes of written files.
+// Modes of written files and directories.
 const (
 	secretMode = 0o600
 	publicMode = 0o644
@@ -21,20 +21,20 @@
 func certificateCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "certificate",
-		Usage:     "issue certificates for the peer link of a small site",
+		Usage:     "create a certificate authority and issue certificates for the links between entries and agents of a small site",
 		ArgsUsage: "role/data-centre/name ...",
 		Flags: []cli.Flag{
-			text("out", ".", "folder to write to"),
-			duration("valid", 90*24*time.Hour, "how long the certificates are valid"),
+			stringFlag("out", ".", "directory to write the certificates and keys to"),
+			durationFlag("valid", 90*24*time.Hour, "validity period of the certificates"),
 		},
 		Action: runCertificate,
 	}
 }
 
 func runCertificate(_ context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
-	valid := c.positive("valid")
-	peers := c.peers()
+	c := &flagReader{cmd: cmd}
+	valid := c.positiveDuration("valid")
+	peers := c.peerArguments()
 	if c.err != nil {
 		return c.err
 	}
@@ -58,6 +58,8 @@
 	return nil
 }
 
+// writeCertificate issues a certificate for a peer and writes it and its key to
+// the directory out, in files named after the peer.
 func writeCertificate(now time.Time, valid time.Duration, a *link.Authority, p link.Peer, out string) error {
 	certificate, key, err := a.Issue(now, valid, p)
 	if err != nil {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds the program's subcommands, one file each.
+// Package command implements the program's subcommands, one file each.
 package command
 
 import (
@@ -18,8 +18,8 @@
 	exitUsage   = 2
 )
 
-// ErrUsage means that a flag, a setting or an argument is wrong.
-var ErrUsage = errors.New("wrong usage")
+// ErrUsage means that a flag, a setting or an argument is not valid.
+var ErrUsage = errors.New("invalid usage")
 
 func commands() []*cli.Command {
 	return []*cli.Command{
@@ -39,7 +39,8 @@
 	}
 }
 
-// Main runs the program and returns its exit code.
+// Main runs the subcommand that args name until it ends or SIGINT or SIGTERM
+// arrives, and returns the program's exit code.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -50,7 +51,7 @@
 		OnUsageError:   usageError,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		CommandNotFound: func(_ context.Context, _ *cli.Command, name string) {
-			fmt.Fprintf(os.Stderr, "savoryhoist: no command %q; see savoryhoist help\n", name)
+			fmt.Fprintf(os.Stderr, "savoryhoist: unknown command %q; see savoryhoist help\n", name)
 			os.Exit(exitUsage)
 		},
 	}
@@ -73,7 +74,8 @@
 	return errors.Mark(err, ErrUsage)
 }
 
-// markUsageErrors makes wrong flags of every command wrong usage.
+// markUsageErrors marks errors in the flags of every command and subcommand as
+// ErrUsage, because a command does not inherit the handler of its parent.
 func markUsageErrors(commands []*cli.Command) {
 	for _, c := range commands {
 		c.OnUsageError = usageError
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -23,44 +23,45 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Sizes of the embedded mode.
+// Sizes and times of the dev mode.
 const (
-	devDataCentre = "dc-1"
-	devAgents     = 3
-	devSlots      = 8
-	devService    = "planner"
-	devValid      = 24 * time.Hour
-	devDrain      = 200 * time.Millisecond
-	devHeartbeat  = 200 * time.Millisecond
+	devDataCentre          = "dc-1"
+	devAgents              = 3
+	devRunnerSlots         = 8
+	devService             = "planner"
+	devCertificateValidity = 24 * time.Hour
+	devDrainAfter          = 200 * time.Millisecond
+	devHeartbeatEvery      = 200 * time.Millisecond
 )
 
 //go:embed dev.yaml
-var devDocument []byte
+var devBundleTemplate []byte
 
 func devCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dev",
-		Usage: "run an entry, three agents and stand-ins of the platform in one process, kept in memory",
+		Usage: "run an entry, three agents and stand-ins of the platform in one process, with all state in memory",
 		Flags: []cli.Flag{
-			text("listen", "127.0.0.1:8080", "callers' door, IP and port"),
-			text("log-level", "info", "least level of log lines"),
+			stringFlag("listen", "127.0.0.1:8080", "IP and port of the caller API"),
+			stringFlag("log-level", "info", "lowest level of log lines that are written"),
 		},
 		Action: runDev,
 	}
 }
 
-// devSite is the embedded mode's processes and stand-ins.
+// devSite holds the parts of the dev mode: an entry, agents, and stand-ins of
+// the platform's services.
 type devSite struct {
-	group     sync.WaitGroup
-	level     log.Level
-	authority *link.Authority
-	roots     bundle.Operators
-	signed    *bundle.Signed
-	servers   []*http.Server
+	group       sync.WaitGroup
+	level       log.Level
+	authority   *link.Authority
+	roots       bundle.Operators
+	firstBundle *bundle.Signed
+	servers     []*http.Server
 }
 
 func runDev(ctx context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
+	c := &flagReader{cmd: cmd}
 	listen := c.address("listen")
 	c.logger()
 	if c.err != nil {
@@ -78,9 +79,9 @@
 	return err
 }
 
-// prepare makes keys and signs the first bundle.
+// prepare creates the certificate authority and the operator's key and signs the first bundle.
 func (s *devSite) prepare(now time.Time) error {
-	authority, err := link.NewAuthority(now, devValid)
+	authority, err := link.NewAuthority(now, devCertificateValidity)
 	if err != nil {
 		return err
 	}
@@ -90,7 +91,7 @@
 	}
 	s.authority = authority
 	s.roots = bundle.Operators{Threshold: 1, Keys: []bundle.Key{{Name: "dev", PublicKey: public}}}
-	d, err := bundle.ParseTemplate(devDocument, s.roots)
+	d, err := bundle.ParseTemplate(devBundleTemplate, s.roots)
 	if err != nil {
 		return err
 	}
@@ -98,13 +99,13 @@
 	if err != nil {
 		return err
 	}
-	s.signed = bundle.NewSigned(content)
-	s.signed.Sign("dev", private)
+	s.firstBundle = bundle.NewSigned(content)
+	s.firstBundle.Sign("dev", private)
 	return nil
 }
 
 func (s *devSite) run(ctx context.Context, cmd *cli.Command, listen string) error {
-	logURL, err := s.host(new(standin.Log).Handler())
+	logURL, err := s.serveStandin(new(standin.Log).Handler())
 	if err != nil {
 		return err
 	}
@@ -114,14 +115,14 @@
 	}
 	e, err := entry.New(time.Now(), entry.Settings{
 		Name: "entry-1", DataCentre: devDataCentre, Listen: listen, PeerListen: "127.0.0.1:0",
-		LogURL: logURL, Roots: s.roots, DrainAfter: devDrain, Open: true,
+		LogURL: logURL, Roots: s.roots, DrainAfter: devDrainAfter, Open: true,
 	}, id, newLogger(s.level, "entry-1"))
 	if err != nil {
 		return err
 	}
-	live, stop := context.WithCancel(context.WithoutCancel(ctx))
+	processContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	entryContext, stopEntry := context.WithCancel(live)
+	entryContext, stopEntry := context.WithCancel(processContext)
 	defer stopEntry()
 	var entryGroup sync.WaitGroup
 	entryGroup.Go(func() { _ = e.Run(entryContext) })
@@ -141,7 +142,7 @@
 }
 
 func (s *devSite) identity(role link.Role, name string) (*link.Identity, error) {
-	certificate, key, err := s.authority.Issue(time.Now(), devValid, link.NewPeer(role, devDataCentre, name))
+	certificate, key, err := s.authority.Issue(time.Now(), devCertificateValidity, link.NewPeer(role, devDataCentre, name))
 	if err != nil {
 		return nil, err
 	}
@@ -149,13 +150,13 @@
 	return id, id.Load(certificate, key, s.authority.PEM())
 }
 
-// host serves a stand-in and returns its URL.
-func (s *devSite) host(handler http.Handler) (string, error) {
+// serveStandin serves the handler of a stand-in on a free port and returns its URL.
+func (s *devSite) serveStandin(handler http.Handler) (string, error) {
 	ln, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	s.servers = append(s.servers, server)
 	s.group.Go(func() { _ = server.Serve(ln) })
 	return "http://" + ln.Addr().String(), nil
@@ -164,11 +165,11 @@
 func (s *devSite) startAgent(ctx context.Context, i int, entryAddress string) error {
 	name := fmt.Sprintf("worker-%d", i+1)
 	size := worker.Resources{MilliCPU: 16000, MemoryMB: 60 << 10, Accelerators: 2}
-	workerURL, err := s.host(standin.NewWorker(size, time.Now).Handler())
+	workerURL, err := s.serveStandin(standin.NewWorker(size, time.Now).Handler())
 	if err != nil {
 		return err
 	}
-	runnerURL, err := s.host(standin.NewRunner(devSlots).Handler())
+	runnerURL, err := s.serveStandin(standin.NewRunner(devRunnerSlots).Handler())
 	if err != nil {
 		return err
 	}
@@ -179,7 +180,7 @@
 	a, err := agent.New(time.Now(), agent.Settings{
 		Name: name, DataCentre: devDataCentre, Rack: fmt.Sprintf("rack-%d", i+1), Service: devService,
 		Listen: "127.0.0.1:0", RunnerURL: runnerURL, WorkerURL: workerURL, Entries: []string{entryAddress},
-		HeartbeatEvery: devHeartbeat, DrainAfter: devDrain, Roots: s.roots,
+		HeartbeatEvery: devHeartbeatEvery, DrainAfter: devDrainAfter, Roots: s.roots,
 	}, id, newLogger(s.level, name))
 	if err != nil {
 		return err
@@ -189,7 +190,7 @@
 }
 
 func (s *devSite) publish(ctx context.Context, base string) error {
-	data, err := s.signed.Encode()
+	data, err := s.firstBundle.Encode()
 	if err != nil {
 		return err
 	}
@@ -203,7 +204,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Newf("publishing the first bundle: status %d", resp.StatusCode)
+		return errors.Newf("publish the first bundle: status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/command/drain_test.go
+++ b/internal/command/drain_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// TestPlannedStopFinishesLongRequests stops an agent and then an entry while
-// each has requests in flight that outlast the drain time.
-func TestPlannedStopFinishesLongRequests(t *testing.T) {
+// TestGracefulStopFinishesLongRequests stops an agent and then an entry by
+// SIGTERM while requests are in flight that take longer than the drain time.
+// None of them may fail.
+func TestGracefulStopFinishesLongRequests(t *testing.T) {
 	s := newSite(t, 2, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	load := &traffic{s: s, pick: s.balancer(ctx)}
+	load := &traffic{s: s, pickEntry: s.balancer(ctx)}
 	for _, p := range []*process{s.processes[2], s.processes[0]} {
 		var group sync.WaitGroup
 		sent := make(chan struct{}, 8)
@@ -23,15 +24,15 @@
 			group.Go(func() {
 				body := fmt.Sprintf("long %d before %s stops", i, p.name)
 				sent <- struct{}{}
-				if err := load.sendWork(body, "3s"); err != nil {
-					load.fail("%s: %v", body, err)
+				if err := load.sendRequestWithWork(body, "3s"); err != nil {
+					load.addFailure("%s: %v", body, err)
 				}
 			})
 		}
 		for range 8 {
 			<-sent
 		}
-		s.eventually("requests in flight", func() bool { return s.working() == 8 })
+		s.eventually("requests in flight", func() bool { return s.requestsInFlight() == 8 })
 		s.stop(p)
 		group.Wait()
 		s.start(p)
@@ -42,8 +43,8 @@
 	}
 }
 
-// working returns the number of requests on all runners.
-func (s *site) working() int {
+// requestsInFlight returns the number of requests that all runners work on.
+func (s *site) requestsInFlight() int {
 	n := 0
 	for _, r := range s.runners {
 		n += r.Working()
@@ -51,6 +52,6 @@
 	return n
 }
 
-func (l *traffic) sendWork(body, work string) error {
+func (l *traffic) sendRequestWithWork(body, work string) error {
 	return l.send(body, http.Header{"Standin-Work": {work}, "Savoryhoist-Deadline": {time.Minute.String()}})
 }
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -13,26 +13,26 @@
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "entry",
-		Usage: "run an entry: the callers' door, router and scheduler",
+		Usage: "run an entry: the caller API, request router and job scheduler",
 		Flags: append(processFlags(),
-			text("listen", "127.0.0.1:8080", "callers' door, IP and port"),
-			text("peer-listen", "127.0.0.1:8443", "where agents and entries reach this entry, IP and port"),
-			text("peer-advertise", "", "IP and port that agents and entries are told, if not the one listened at"),
-			text("log-url", "", "URL of the platform's log service"),
-			duration("announce-every", 10*time.Second, "time between two membership records; a data centre without one for three of them is lost"),
-			&cli.BoolFlag{Name: "open", Usage: "let callers in without a token, by the " + entry.HeaderTeam + " header", Sources: env("open")},
+			stringFlag("listen", "127.0.0.1:8080", "IP and port of the caller API"),
+			stringFlag("peer-listen", "127.0.0.1:8443", "IP and port at which agents and other entries reach this entry"),
+			stringFlag("peer-advertise", "", "IP and port that agents and other entries are told to use, if it differs from --peer-listen"),
+			stringFlag("log-url", "", "URL of the platform's log service"),
+			durationFlag("announce-every", 10*time.Second, "interval between membership records; a data centre that writes none for three intervals counts as lost"),
+			&cli.BoolFlag{Name: "open", Usage: "accept callers without a token; the " + entry.HeaderTeam + " header names their team", Sources: envSource("open")},
 		),
 		Action: runEntry,
 	}
 }
 
 func runEntry(ctx context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
+	c := &flagReader{cmd: cmd}
 	s := entry.Settings{
 		Name: c.required("name"), DataCentre: c.required("data-centre"),
 		Listen: c.address("listen"), PeerListen: c.address("peer-listen"), LogURL: c.url("log-url"),
-		Roots: c.operators(), DrainAfter: c.positive("drain-after"), Open: cmd.Bool("open"),
-		AnnounceEvery: c.positive("announce-every"),
+		Roots: c.operators(), DrainAfter: c.positiveDuration("drain-after"), Open: cmd.Bool("open"),
+		AnnounceEvery: c.positiveDuration("announce-every"),
 	}
 	if s.PeerAdvertise = cmd.String("peer-advertise"); s.PeerAdvertise != "" {
 		c.address("peer-advertise")
@@ -42,10 +42,10 @@
 	if c.err != nil {
 		return c.err
 	}
-	tuneMemory()
+	lowerGCPercent()
 	e, err := entry.New(time.Now(), s, id, logger)
 	if err != nil {
 		return err
 	}
-	return withReload(ctx, cmd, id, logger, e.Run)
+	return runWithCertificateReload(ctx, cmd, id, logger, e.Run)
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -15,12 +15,12 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "print what the log lines of any number of processes say about one job, in order",
+		Usage:     "print the log lines about one job from any number of processes, in causal order",
 		ArgsUsage: "JOB [FILE...]; without files, lines are read from standard input",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			args := cmd.Args().Slice()
 			if len(args) == 0 {
-				return errors.Wrap(ErrUsage, "want a job's id")
+				return errors.Wrap(ErrUsage, "want a job ID")
 			}
 			return explain(cmd.Root().Writer, os.Stdin, args[0], args[1:])
 		},
@@ -51,11 +51,11 @@
 		}
 	}
 	if len(lines) == 0 {
-		return errors.Newf("no log line speaks of job %s", job)
+		return errors.Newf("no log line mentions job %s", job)
 	}
 	for _, l := range story.Order(lines) {
 		if _, err := fmt.Fprintln(out, l.Text()); err != nil {
-			return errors.Wrap(err, "print the story")
+			return errors.Wrap(err, "print the log lines")
 		}
 	}
 	return nil
--- a/internal/command/failover_test.go
+++ b/internal/command/failover_test.go
@@ -8,25 +8,25 @@
 )
 
 // TestLostDataCentre kills every process of a data centre and loses its VMs.
-// Its jobs go on in the other one: none is lost, and no task of it that had
-// not started before runs more than once.
+// The other data centre must continue its jobs: no job may be lost, and no task
+// that had not started before may run more than once.
 func TestLostDataCentre(t *testing.T) {
 	s := newSite(t, 2, 2, "dc-1", "dc-2")
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	load := &traffic{s: s, pick: s.balancer(ctx)}
+	load := &traffic{s: s, pickEntry: s.balancer(ctx)}
 	const short = `{"class":"urgent","size":{"milli-cpu":100,"memory-mb":64},"payload":{"run-ms":200}}`
 	const long = `{"class":"urgent","size":{"milli-cpu":100,"memory-mb":64},"payload":{"run-ms":8000}}`
 	for i := range 20 {
 		load.submit(fmt.Sprintf("before-%d", i), long)
 	}
-	s.eventually("jobs run in both data centres", func() bool { return s.runs(0)+s.runs(1) > 2 && s.runs(2)+s.runs(3) > 2 })
-	s.lose("dc-2")
+	s.eventually("jobs run in both data centres", func() bool { return s.startCount(0)+s.startCount(1) > 2 && s.startCount(2)+s.startCount(3) > 2 })
+	s.loseDataCentre("dc-2")
 	for i := range 20 {
-		// The home of some of these is the lost data centre.
+		// Some of these jobs belong to the lost data centre.
 		load.submit(fmt.Sprintf("after-%d", i), short)
 	}
-	// A repeated submission through any entry is the same job.
+	// A repeated submission through any entry must not create another job.
 	for i := range 20 {
 		load.submit(fmt.Sprintf("after-%d", i), short)
 	}
@@ -39,7 +39,7 @@
 	for i, id := range load.jobs {
 		seen[id] = true
 		got := runs[id+".0"]
-		// Tasks that ran when their worker was lost run a second time elsewhere.
+		// Tasks that were running when their worker was lost run a second time on another one.
 		want := 1
 		if i < 20 && got == 2 {
 			want = 2
@@ -53,8 +53,8 @@
 	}
 }
 
-// lose kills a data centre's processes and loses its workers' VMs.
-func (s *site) lose(dataCentre string) {
+// loseDataCentre kills all processes of a data centre and simulates the loss of its workers' VMs.
+func (s *site) loseDataCentre(dataCentre string) {
 	agent := 0
 	for _, p := range s.processes {
 		isAgent := strings.HasPrefix(p.name, "worker-")
@@ -72,7 +72,8 @@
 	}
 }
 
-func (s *site) runs(worker int) int { return len(s.workers[worker].Runs()) }
+// startCount returns how many task runs a worker has started so far.
+func (s *site) startCount(worker int) int { return len(s.workers[worker].Runs()) }
 
 // startsByTask counts the starts of each task on all workers.
 func (s *site) startsByTask() map[string]int {
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -28,11 +28,11 @@
 func jobSubmitCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "submit",
-		Usage:     "submit the job described by a JSON file",
+		Usage:     "submit the job that a JSON file describes",
 		ArgsUsage: "file",
-		Flags:     append(teamFlags(), text("idempotency-key", "", "submissions under the same key are one job")),
+		Flags:     append(teamFlags(), stringFlag("idempotency-key", "", "submissions with the same key create only one job")),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			data, err := readArgument(cmd, "the job's JSON file")
+			data, err := readFileArgument(cmd, "the job's JSON file")
 			if err != nil {
 				return err
 			}
@@ -40,7 +40,7 @@
 			if key := cmd.String("idempotency-key"); key != "" {
 				h.Set("Idempotency-Key", key)
 			}
-			return call(ctx, cmd, http.MethodPost, "/jobs", bytes.NewReader(data), h)
+			return callAndPrint(ctx, cmd, http.MethodPost, "/jobs", bytes.NewReader(data), h)
 		},
 	}
 }
@@ -48,7 +48,7 @@
 func jobShowCommand() *cli.Command {
 	return &cli.Command{
 		Name: "show", Usage: "show a job and its tasks", ArgsUsage: "id", Flags: teamFlags(),
-		Action: func(ctx context.Context, cmd *cli.Command) error { return callJob(ctx, cmd, http.MethodGet) },
+		Action: func(ctx context.Context, cmd *cli.Command) error { return callJobAndPrint(ctx, cmd, http.MethodGet) },
 	}
 }
 
@@ -57,13 +57,13 @@
 		Name: "cancel", Usage: "cancel jobs", ArgsUsage: "id...", Flags: teamFlags(),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() < 2 {
-				return callJob(ctx, cmd, http.MethodDelete)
+				return callJobAndPrint(ctx, cmd, http.MethodDelete)
 			}
 			data, err := json.Marshal(entry.Cancellation{Jobs: cmd.Args().Slice()})
 			if err != nil {
 				return err
 			}
-			return call(ctx, cmd, http.MethodPost, "/jobs/cancel", bytes.NewReader(data), teamHeader(cmd))
+			return callAndPrint(ctx, cmd, http.MethodPost, "/jobs/cancel", bytes.NewReader(data), teamHeader(cmd))
 		},
 	}
 }
@@ -72,15 +72,15 @@
 	return &cli.Command{
 		Name: "list", Usage: "list the team's jobs", Flags: teamFlags(),
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return call(ctx, cmd, http.MethodGet, "/jobs", nil, teamHeader(cmd))
+			return callAndPrint(ctx, cmd, http.MethodGet, "/jobs", nil, teamHeader(cmd))
 		},
 	}
 }
 
-func callJob(ctx context.Context, cmd *cli.Command, method string) error {
-	id, err := argument(cmd, "the job's id")
+func callJobAndPrint(ctx context.Context, cmd *cli.Command, method string) error {
+	id, err := singleArgument(cmd, "the job's id")
 	if err != nil {
 		return err
 	}
-	return call(ctx, cmd, method, "/jobs/"+url.PathEscape(id), nil, teamHeader(cmd))
+	return callAndPrint(ctx, cmd, method, "/jobs/"+url.PathEscape(id), nil, teamHeader(cmd))
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -14,32 +14,32 @@
 	"savoryhoist.example/savoryhoist/internal/load"
 )
 
-// ErrPromise means that a run broke a promise.
-var ErrPromise = errors.New("a promise was broken")
+// ErrPromise means that the system violated a guarantee during the run.
+var ErrPromise = errors.New("a guarantee was violated")
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "load",
-		Usage:     "send the load of a plan to running entries and check what callers saw",
+		Usage:     "send the load of a plan to running entries and check the responses that callers got",
 		ArgsUsage: "plan",
-		Description: "Sends requests and jobs by an open-loop schedule, switches the plan's faults at the stand-ins,\n" +
-			"and ends by itself. Latency counts from the moment a request was due. The result is one line of\n" +
-			"JSON; a report is written to a folder, and tools/plot draws its plots. Exit code 1 says that a promise was broken.",
+		Description: "Sends requests and jobs by an open-loop schedule, injects the plan's faults into the stand-ins,\n" +
+			"and exits when its jobs have ended. Latency counts from the moment a request was due. Prints the result\n" +
+			"as one line of JSON and writes a report, whose plots tools/plot draws. Exit code 1: a guarantee was violated.",
 		Flags: []cli.Flag{
-			text("entry-urls", "http://127.0.0.1:8080", "URLs of the entries, separated by commas"),
-			text("standin-url", "", "URL of the site's stand-ins; empty to skip the checks against them"),
-			text("baseline-entry-urls", "", "URLs of another site's entries; half of the load goes there, interleaved"),
-			text("baseline-standin-url", "", "URL of the other site's stand-ins"),
-			text("report", "", "folder of the report; empty for out/ and the plan's name"),
-			number("seed", 1, "seed of the schedule"),
+			stringFlag("entry-urls", "http://127.0.0.1:8080", "URLs of the entries, separated by commas"),
+			stringFlag("standin-url", "", "URL of the site's stand-ins; if empty, checks that need their counts are skipped"),
+			stringFlag("baseline-entry-urls", "", "URLs of the entries of a baseline site, which then gets half of the load, interleaved"),
+			stringFlag("baseline-standin-url", "", "URL of the baseline site's stand-ins"),
+			stringFlag("report", "", "directory of the report; default out/ followed by the plan's name"),
+			intFlag("seed", 1, "random seed of the schedule"),
 		},
 		Action: runLoad,
 	}
 }
 
 func runLoad(ctx context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
-	path, err := argument(cmd, "the plan's file")
+	c := &flagReader{cmd: cmd}
+	path, err := singleArgument(cmd, "the plan's file")
 	if err != nil {
 		return err
 	}
@@ -57,20 +57,20 @@
 		return errors.Mark(err, ErrUsage)
 	}
 	run := load.NewRun(load.Settings{Plan: plan, Seed: uint64(cmd.Int("seed")), Variants: variants, Progress: os.Stderr})
-	seen, err := run.Do(ctx)
+	observed, err := run.Do(ctx)
 	if err != nil {
 		return err
 	}
-	return reportLoad(cmd, plan, seen)
+	return reportLoad(cmd, plan, observed)
 }
 
-func reportLoad(cmd *cli.Command, plan *load.Plan, seen *load.Seen) error {
-	result := seen.Result()
+func reportLoad(cmd *cli.Command, plan *load.Plan, observed *load.Seen) error {
+	result := observed.Result()
 	folder := cmd.String("report")
 	if folder == "" {
 		folder = filepath.Join("out", plan.Name)
 	}
-	if err := seen.WriteReport(folder, result); err != nil {
+	if err := observed.WriteReport(folder, result); err != nil {
 		return err
 	}
 	for i := range result.Requests {
@@ -87,13 +87,13 @@
 	return nil
 }
 
-// urls reads a list of URLs.
-func (c *checker) urls(flag string) []string {
+// urls returns the URLs of a flag that holds a list separated by commas.
+func (c *flagReader) urls(flag string) []string {
 	var out []string
 	for _, v := range strings.Split(c.cmd.String(flag), ",") {
 		v = strings.TrimSuffix(strings.TrimSpace(v), "/")
 		if !validURL(v) {
-			c.wrong(flag, "want URLs such as http://127.0.0.1:8080, separated by commas")
+			c.addError(flag, "want one or more URLs such as http://127.0.0.1:8080, separated by commas")
 			return nil
 		}
 		out = append(out, v)
@@ -101,7 +101,7 @@
 	return out
 }
 
-func (c *checker) optionalURL(flag string) string {
+func (c *flagReader) optionalURL(flag string) string {
 	if c.cmd.String(flag) == "" {
 		return ""
 	}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -15,37 +15,38 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "run a process on the users' platform, set up by its settings file",
+		Usage: "run a process on the users' platform, configured by the platform's settings file",
 		Commands: []*cli.Command{
 			{Name: "entry", Usage: "run an entry", Flags: platformFlags(), Action: platformAction(platform.RunEntry)},
-			{Name: "agent", Usage: "run an agent beside a runner", Flags: platformFlags(), Action: platformAction(platform.RunAgent)},
+			{Name: "agent", Usage: "run the agent of a worker, beside its runner", Flags: platformFlags(), Action: platformAction(platform.RunAgent)},
 		},
 	}
 }
 
-// platformFlags are the settings that the platform's file does not hold.
+// platformFlags returns the flags for settings that the platform's settings file does not contain.
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
-		text("log-level", "info", "least level of log lines: debug, info, warn or error"),
-		number("log-lines-per-second", lines.DefaultPerSecond, "most log lines below a warning in a second"),
+		stringFlag("log-level", "info", "lowest level of log lines that are written: debug, info, warn or error"),
+		intFlag("log-lines-per-second", lines.DefaultPerSecond, "maximum number of log lines per second below level warn; more are dropped"),
 	}
 }
 
-// platformAction runs a process whose log lines never hold it up.
+// platformAction returns an action that runs a process and writes its log lines
+// in the background, so that slow output never blocks the process.
 func platformAction(run func(context.Context, *log.Logger) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		c := &checker{cmd: cmd}
+		c := &flagReader{cmd: cmd}
 		level := c.level("log-level")
-		budget := c.count("log-lines-per-second")
+		linesPerSecond := c.positiveInt("log-lines-per-second")
 		if c.err != nil {
 			return c.err
 		}
-		tuneMemory()
+		lowerGCPercent()
 		out := lines.New(os.Stdout)
-		out.PerSecond = budget
-		writing, stop := context.WithCancel(context.WithoutCancel(ctx))
+		out.PerSecond = linesPerSecond
+		writerContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 		var group sync.WaitGroup
-		group.Go(func() { out.Run(writing) })
+		group.Go(func() { out.Run(writerContext) })
 		err := run(ctx, &log.Logger{Level: level, Writer: &log.IOWriter{Writer: out}})
 		stop()
 		group.Wait()
--- a/internal/command/restart_test.go
+++ b/internal/command/restart_test.go
@@ -14,10 +14,11 @@
 	"savoryhoist.example/savoryhoist/internal/entry"
 )
 
-// traffic is steady load on a site, and what became of it.
+// traffic sends requests and jobs to a site and records their results.
 type traffic struct {
-	s    *site
-	pick func() string
+	s *site
+	// pickEntry returns the URL of the entry to call next.
+	pickEntry func() string
 
 	mu       sync.Mutex
 	requests int
@@ -25,14 +26,14 @@
 	jobs     []string
 }
 
-// TestRestartEachProcess restarts every process in turn under steady requests
-// and jobs: no request may fail, no job may be lost or run twice.
-func TestRestartEachProcess(t *testing.T) {
+// TestRollingRestartLosesNothing restarts every process in turn while requests
+// and jobs keep coming: no request may fail, no job may be lost or run twice.
+func TestRollingRestartLosesNothing(t *testing.T) {
 	s := newSite(t, 2, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	balancer, stopBalancer := context.WithCancel(context.Background())
 	defer stopBalancer()
-	load := &traffic{s: s, pick: s.balancer(balancer)}
+	load := &traffic{s: s, pickEntry: s.balancer(balancer)}
 	var group sync.WaitGroup
 	for i := range 4 {
 		group.Go(func() { load.sendRequests(ctx, i) })
@@ -46,14 +47,14 @@
 	}
 	cancel()
 	group.Wait()
-	load.check(t)
+	load.checkJobs(t)
 }
 
 func (l *traffic) sendRequests(ctx context.Context, client int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		body := fmt.Sprintf("request %d of client %d", i, client)
-		if err := l.sendOne(body); err != nil {
-			l.fail("%s: %v", body, err)
+		if err := l.sendShortRequest(body); err != nil {
+			l.addFailure("%s: %v", body, err)
 		}
 		l.mu.Lock()
 		l.requests++
@@ -61,17 +62,18 @@
 	}
 }
 
-func (l *traffic) fail(format string, args ...any) {
+func (l *traffic) addFailure(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failures = append(l.failures, fmt.Sprintf(format, args...))
 }
 
-func (l *traffic) sendOne(body string) error {
+func (l *traffic) sendShortRequest(body string) error {
 	return l.send(body, http.Header{"Standin-Work": {"5ms"}})
 }
 
-// send sends a request and wants its own body back.
+// send sends a request, whose response must have the same body, because the
+// stand-in runner returns the body that it gets.
 func (l *traffic) send(body string, header http.Header) error {
 	resp, err := l.post("/services/planner/preview", body, header)
 	if err != nil {
@@ -83,13 +85,13 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || string(got) != body {
-		return fmt.Errorf("status %d, answer %q", resp.StatusCode, got)
+		return fmt.Errorf("status %d, response %q", resp.StatusCode, got)
 	}
 	return nil
 }
 
 func (l *traffic) post(path, body string, header http.Header) (*http.Response, error) {
-	req, err := http.NewRequest(http.MethodPost, l.pick()+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, l.pickEntry()+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -107,17 +109,17 @@
 	}
 }
 
-// submit submits a job under an idempotency key and notes its id.
+// submit submits a job under an idempotency key and records its ID.
 func (l *traffic) submit(key, body string) {
 	resp, err := l.post("/jobs", body, http.Header{"Idempotency-Key": {key}})
 	if err != nil {
-		l.fail("submit %s: %v", key, err)
+		l.addFailure("submit %s: %v", key, err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var v entry.JobView
 	if err := json.NewDecoder(resp.Body).Decode(&v); err != nil || v.ID == "" {
-		l.fail("submit %s: status %d: %v", key, resp.StatusCode, err)
+		l.addFailure("submit %s: status %d: %v", key, resp.StatusCode, err)
 		return
 	}
 	l.mu.Lock()
@@ -125,7 +127,9 @@
 	l.jobs = append(l.jobs, v.ID)
 }
 
-func (l *traffic) check(t *testing.T) {
+// checkJobs waits until every job has succeeded and checks that no request failed,
+// every task ran once and no worker was overcommitted.
+func (l *traffic) checkJobs(t *testing.T) {
 	t.Helper()
 	for _, f := range l.failures {
 		t.Error(f)
@@ -134,7 +138,7 @@
 	runs := make(map[string]int)
 	for _, w := range l.s.workers {
 		if w.Overfull() {
-			t.Error("a worker was given more than it has")
+			t.Error("a worker was given tasks that need more resources than it has")
 		}
 		for _, r := range w.Runs() {
 			task, _, _ := strings.Cut(r.Key, "@")
@@ -152,7 +156,7 @@
 }
 
 func (l *traffic) allSucceeded() bool {
-	req, _ := http.NewRequest(http.MethodGet, l.pick()+"/jobs", nil)
+	req, _ := http.NewRequest(http.MethodGet, l.pickEntry()+"/jobs", nil)
 	req.Header.Set(entry.HeaderTeam, "nursery")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -15,61 +15,63 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// env returns the environment variable of a flag.
-func env(flag string) cli.ValueSourceChain {
+// envSource returns the environment variable that sets a flag: SAVORYHOIST_ and
+// the flag's name in capitals, with underscores in place of hyphens.
+func envSource(flag string) cli.ValueSourceChain {
 	return cli.EnvVars("SAVORYHOIST_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_")))
 }
 
-func text(name, value, usage string) cli.Flag {
-	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: env(name)}
+func stringFlag(name, value, usage string) cli.Flag {
+	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
 
-func duration(name string, value time.Duration, usage string) cli.Flag {
-	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: env(name)}
+func durationFlag(name string, value time.Duration, usage string) cli.Flag {
+	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
 
-func number(name string, value int, usage string) cli.Flag {
-	return &cli.IntFlag{Name: name, Value: value, Usage: usage, Sources: env(name)}
+func intFlag(name string, value int, usage string) cli.Flag {
+	return &cli.IntFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
 
-// processFlags are the settings that entry and agent share.
+// processFlags returns the flags that entries and agents have in common.
 func processFlags() []cli.Flag {
 	return []cli.Flag{
-		text("name", "", "name of this process, unique in its data centre"),
-		text("data-centre", "", "data centre of this process"),
-		text("certificate", "", "certificate for the peer link: PEM text or a file's path"),
-		text("key", "", "private key of the certificate: PEM text or a file's path"),
-		text("authorities", "", "certificates of the authorities to trust: PEM text or a file's path"),
-		text("operators", "", "operators that may sign the first bundle: name=public-key, separated by commas"),
-		number("operator-threshold", 1, "number of operators that must sign the first bundle"),
-		duration("drain-after", 2*time.Second, "how long to go on answering after saying that this process leaves"),
-		text("log-level", "info", "least level of log lines: debug, info, warn or error"),
+		stringFlag("name", "", "name of this process, unique in its data centre"),
+		stringFlag("data-centre", "", "data centre of this process"),
+		stringFlag("certificate", "", "certificate for the links between entries and agents: PEM text or the path of a file"),
+		stringFlag("key", "", "private key of the certificate: PEM text or the path of a file"),
+		stringFlag("authorities", "", "certificates of the trusted authorities: PEM text or the path of a file"),
+		stringFlag("operators", "", "operators that may sign the first bundle: name=public-key, separated by commas"),
+		intFlag("operator-threshold", 1, "number of operators that must sign the first bundle"),
+		durationFlag("drain-after", 2*time.Second, "how long to keep answering after announcing that this process is shutting down"),
+		stringFlag("log-level", "info", "lowest level of log lines that are written: debug, info, warn or error"),
 	}
 }
 
-// checker gathers everything that is wrong with the settings of one run.
-type checker struct {
+// flagReader reads and checks the values of flags. It collects all errors in
+// err, so that one run reports every flag that is not valid.
+type flagReader struct {
 	cmd *cli.Command
 	err error
 }
 
-func (c *checker) wrong(flag, rule string) {
+func (c *flagReader) addError(flag, rule string) {
 	c.err = errors.Join(c.err, errors.Mark(errors.Newf("--%s: %s", flag, rule), ErrUsage))
 }
 
-func (c *checker) required(flag string) string {
+func (c *flagReader) required(flag string) string {
 	v := c.cmd.String(flag)
 	if v == "" {
-		c.wrong(flag, "must be set")
+		c.addError(flag, "must be set")
 	}
 	return v
 }
 
-// address reads an IP and port.
-func (c *checker) address(flag string) string {
+// address returns the IP and port that a flag holds.
+func (c *flagReader) address(flag string) string {
 	v := c.cmd.String(flag)
 	if !validAddress(v) {
-		c.wrong(flag, "want an IP number and a port, such as 127.0.0.1:8080")
+		c.addError(flag, "want an IP number and a port, such as 127.0.0.1:8080")
 	}
 	return v
 }
@@ -79,12 +81,12 @@
 	return err == nil && net.ParseIP(host) != nil
 }
 
-func (c *checker) addresses(flag string) []string {
+func (c *flagReader) addresses(flag string) []string {
 	var out []string
 	for _, v := range strings.Split(c.cmd.String(flag), ",") {
 		v = strings.TrimSpace(v)
 		if !validAddress(v) {
-			c.wrong(flag, "want IP numbers and ports, separated by commas")
+			c.addError(flag, "want IP numbers and ports, separated by commas")
 			return nil
 		}
 		out = append(out, v)
@@ -92,10 +94,10 @@
 	return out
 }
 
-func (c *checker) url(flag string) string {
+func (c *flagReader) url(flag string) string {
 	v := c.cmd.String(flag)
 	if !validURL(v) {
-		c.wrong(flag, "want a URL, such as http://127.0.0.1:9000")
+		c.addError(flag, "want a URL, such as http://127.0.0.1:9000")
 	}
 	return strings.TrimSuffix(v, "/")
 }
@@ -105,69 +107,69 @@
 	return err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https")
 }
 
-func (c *checker) positive(flag string) time.Duration {
+func (c *flagReader) positiveDuration(flag string) time.Duration {
 	v := c.cmd.Duration(flag)
 	if v <= 0 {
-		c.wrong(flag, "must be longer than 0")
+		c.addError(flag, "must be longer than 0")
 	}
 	return v
 }
 
-func (c *checker) count(flag string) int {
+func (c *flagReader) positiveInt(flag string) int {
 	v := c.cmd.Int(flag)
 	if v < 1 {
-		c.wrong(flag, "must be at least 1")
+		c.addError(flag, "must be at least 1")
 	}
 	return v
 }
 
-func (c *checker) operators() bundle.Operators {
+func (c *flagReader) operators() bundle.Operators {
 	o, err := bundle.ParseRoots(c.cmd.String("operators"), c.cmd.Int("operator-threshold"))
 	if err != nil {
-		c.wrong("operators", err.Error())
+		c.addError("operators", err.Error())
 	}
 	return o
 }
 
-func (c *checker) pem(flag string) []byte {
+func (c *flagReader) pem(flag string) []byte {
 	v := c.required(flag)
 	if v == "" {
 		return nil
 	}
 	data, err := link.Text(v)
 	if err != nil {
-		c.wrong(flag, err.Error())
+		c.addError(flag, err.Error())
 	}
 	return data
 }
 
-func (c *checker) identity(role link.Role) *link.Identity {
+func (c *flagReader) identity(role link.Role) *link.Identity {
 	certificate, key, authorities := c.pem("certificate"), c.pem("key"), c.pem("authorities")
 	id := new(link.Identity)
 	if certificate == nil || key == nil || authorities == nil {
 		return id
 	}
 	if err := id.Load(certificate, key, authorities); err != nil {
-		c.wrong("certificate", err.Error())
+		c.addError("certificate", err.Error())
 		return id
 	}
 	want := link.NewPeer(role, c.cmd.String("data-centre"), c.cmd.String("name"))
 	if id.Peer() != want {
-		c.wrong("certificate", "was issued to another role, data centre or name")
+		c.addError("certificate", "was issued for a different role, data centre or name")
 	}
 	return id
 }
 
-func (c *checker) logger() *log.Logger {
+func (c *flagReader) logger() *log.Logger {
 	return newLogger(c.level("log-level"), c.cmd.String("name"))
 }
 
-func (c *checker) level(flag string) log.Level {
+func (c *flagReader) level(flag string) log.Level {
 	level := c.cmd.String(flag)
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
-		c.wrong(flag, "want debug, info, warn or error")
+		c.addError(flag, "want debug, info, warn or error")
 	}
 	return log.ParseLevel(level)
 }
@@ -181,8 +183,8 @@
 	}
 }
 
-// peers reads arguments of the form role/data-centre/name.
-func (c *checker) peers() []link.Peer {
+// peerArguments returns the peers of arguments of the form role/data-centre/name.
+func (c *flagReader) peerArguments() []link.Peer {
 	var out []link.Peer
 	for _, a := range c.cmd.Args().Slice() {
 		parts := strings.Split(a, "/")
--- a/internal/command/site_test.go
+++ b/internal/command/site_test.go
@@ -21,10 +21,11 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// readyWithin bounds how long a test waits for something that must happen.
-const readyWithin = time.Minute
+// waitTimeout is how long a test waits for an expected condition before it fails.
+const waitTimeout = time.Minute
 
-// site is a small site of real processes with stand-ins in the test's process.
+// site is a small deployment: entries and agents are real processes, and the
+// stand-ins of the platform run in the test's process.
 type site struct {
 	t         *testing.T
 	folder    string
@@ -42,7 +43,7 @@
 	dataCentres []string
 }
 
-// process is one real process and how to start it again.
+// process is an entry or agent, with the arguments to start it again.
 type process struct {
 	name       string
 	dataCentre string
@@ -51,7 +52,8 @@
 	cmd        *exec.Cmd
 }
 
-// newSite starts so many entries and agents in each data centre; none named is one.
+// newSite starts the given number of entries and agents in each data centre;
+// without names there is one data centre, dc-1.
 func newSite(t *testing.T, entries, agents int, dataCentres ...string) *site {
 	t.Helper()
 	if len(dataCentres) == 0 {
@@ -62,7 +64,7 @@
 	if out, err := exec.Command("go", "build", "-o", s.binary, "../..").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	s.logURL = s.host(s.log.Handler())
+	s.logURL = s.serveStandin(s.log.Handler())
 	var err error
 	s.authority, err = link.NewAuthority(time.Now(), time.Hour)
 	s.must(err)
@@ -98,7 +100,7 @@
 
 func (s *site) path(name string) string { return filepath.Join(s.folder, name) }
 
-func (s *site) host(h http.Handler) string {
+func (s *site) serveStandin(h http.Handler) string {
 	server := httptest.NewServer(h)
 	s.t.Cleanup(server.Close)
 	return server.URL
@@ -110,7 +112,7 @@
 	return address
 }
 
-func (s *site) common(role link.Role, dataCentre, name string) []string {
+func (s *site) processArgs(role link.Role, dataCentre, name string) []string {
 	certificate, key, err := s.authority.Issue(time.Now(), time.Hour, link.NewPeer(role, dataCentre, name))
 	s.must(err)
 	s.must(os.WriteFile(s.path(name+".pem"), certificate, publicMode))
@@ -123,11 +125,11 @@
 
 func (s *site) addEntry(dataCentre string, i int) {
 	name := fmt.Sprintf("entry-%d", i+1)
-	door, peer := s.freeAddress(), s.freeAddress()
-	s.entryURLs = append(s.entryURLs, "http://"+door)
+	caller, peer := s.freeAddress(), s.freeAddress()
+	s.entryURLs = append(s.entryURLs, "http://"+caller)
 	s.peers[dataCentre] = append(s.peers[dataCentre], peer)
-	args := append(s.common(link.RoleEntry, dataCentre, name), "--open", "--announce-every", "500ms", "--log-url", s.logURL, "--listen", door, "--peer-listen", peer)
-	s.processes = append(s.processes, &process{name: name, dataCentre: dataCentre, args: args, readyURL: "http://" + door + "/readyz"})
+	args := append(s.processArgs(link.RoleEntry, dataCentre, name), "--open", "--announce-every", "500ms", "--log-url", s.logURL, "--listen", caller, "--peer-listen", peer)
+	s.processes = append(s.processes, &process{name: name, dataCentre: dataCentre, args: args, readyURL: "http://" + caller + "/readyz"})
 }
 
 func (s *site) addAgent(dataCentre string, i int) {
@@ -137,8 +139,8 @@
 	s.workers = append(s.workers, w)
 	s.runners = append(s.runners, r)
 	admin := s.freeAddress()
-	args := append(s.common(link.RoleAgent, dataCentre, name), "--service", "planner", "--listen", s.freeAddress(), "--admin-listen", admin,
-		"--runner-url", s.host(r.Handler()), "--worker-url", s.host(w.Handler()),
+	args := append(s.processArgs(link.RoleAgent, dataCentre, name), "--service", "planner", "--listen", s.freeAddress(), "--admin-listen", admin,
+		"--runner-url", s.serveStandin(r.Handler()), "--worker-url", s.serveStandin(w.Handler()),
 		"--entries", strings.Join(s.peers[dataCentre], ","), "--heartbeat-every", "200ms")
 	s.processes = append(s.processes, &process{name: name, dataCentre: dataCentre, args: args, readyURL: "http://" + admin + "/readyz"})
 }
@@ -152,7 +154,7 @@
 	s.must(f.Close())
 }
 
-// stop ends a process as a planned stop and checks that it exits cleanly.
+// stop ends a process by SIGTERM and checks that it exits with code 0.
 func (s *site) stop(p *process) {
 	s.must(p.cmd.Process.Signal(syscall.SIGTERM))
 	if err := p.cmd.Wait(); err != nil {
@@ -175,9 +177,9 @@
 }
 
 func tailOf(data []byte) []byte {
-	const most = 4000
-	if len(data) > most {
-		return data[len(data)-most:]
+	const maxBytes = 4000
+	if len(data) > maxBytes {
+		return data[len(data)-maxBytes:]
 	}
 	return data
 }
@@ -196,20 +198,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (s *site) eventually(what string, fn func() bool) {
+func (s *site) eventually(condition string, fn func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if fn() {
 			return
 		}
 	}
-	s.t.Fatalf("%s: not within %s", what, readyWithin)
+	s.t.Fatalf("%s: not true within %s", condition, waitTimeout)
 }
 
 func (s *site) publish(key []byte) {
 	roots, err := bundle.ParseRoots(s.operators, 1)
 	s.must(err)
-	d, err := bundle.ParseTemplate(devDocument, roots)
+	d, err := bundle.ParseTemplate(devBundleTemplate, roots)
 	s.must(err)
 	if len(s.dataCentres) > 1 {
 		for _, name := range s.dataCentres {
@@ -232,7 +234,8 @@
 	})
 }
 
-// balancer stands for the platform's balancer: it knows which entries are ready.
+// balancer simulates the platform's load balancer: the returned function gives
+// the URLs of ready entries in turn.
 func (s *site) balancer(ctx context.Context) func() string {
 	next := make(chan string)
 	go func() {
--- a/internal/command/spill_test.go
+++ b/internal/command/spill_test.go
@@ -10,17 +10,18 @@
 	"savoryhoist.example/savoryhoist/internal/problem"
 )
 
-// TestSpillToAnotherDataCentre stops the only endpoint of a data centre. Its
-// entry sends repeatable requests to the other data centre, and refuses those
-// that must not be repeated truthfully.
+// TestSpillToAnotherDataCentre stops the agent of the only endpoint of a data
+// centre. The entry there must send repeatable requests to the other data
+// centre, and must refuse requests that must not be repeated with the outcome
+// that they were not run.
 func TestSpillToAnotherDataCentre(t *testing.T) {
 	s := newSite(t, 1, 1, "dc-1", "dc-2")
 	second := s.entryURLs[1]
-	load := &traffic{s: s, pick: func() string { return second }}
+	load := &traffic{s: s, pickEntry: func() string { return second }}
 	s.stop(s.agentOf("dc-2"))
-	s.eventually("a request is answered from dc-1", func() bool { return load.sendOne("probe") == nil })
+	s.eventually("a request is answered from dc-1", func() bool { return load.sendShortRequest("probe") == nil })
 	for i := range 50 {
-		if err := load.sendOne(fmt.Sprintf("request %d", i)); err != nil {
+		if err := load.sendShortRequest(fmt.Sprintf("request %d", i)); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -15,7 +15,7 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Sizes of a stand-in worker.
+// Resources of a stand-in worker.
 const (
 	standinMilliCPU     = 16000
 	standinMemoryMB     = 60 << 10
@@ -28,17 +28,17 @@
 		Usage:  "serve stand-ins of the platform's log, workers and runners for experiments",
 		Hidden: true,
 		Flags: []cli.Flag{
-			text("listen", "127.0.0.1:9000", "where the stand-ins are served, IP and port"),
-			number("workers", 1, "number of workers, with a runner each"),
-			number("slots", devSlots, "requests that a runner works on at once"),
+			stringFlag("listen", "127.0.0.1:9000", "IP and port at which the stand-ins are served"),
+			intFlag("workers", 1, "number of workers, each with one runner"),
+			intFlag("slots", devRunnerSlots, "number of requests that a runner works on at the same time"),
 		},
 		Action: runStandin,
 	}
 }
 
 func runStandin(ctx context.Context, cmd *cli.Command) error {
-	c := &checker{cmd: cmd}
-	listen, workers, slots := c.address("listen"), c.count("workers"), c.count("slots")
+	c := &flagReader{cmd: cmd}
+	listen, workers, slots := c.address("listen"), c.positiveInt("workers"), c.positiveInt("slots")
 	if c.err != nil {
 		return c.err
 	}
@@ -49,7 +49,7 @@
 	size := worker.Resources{MilliCPU: standinMilliCPU, MemoryMB: standinMemoryMB, Accelerators: standinAccelerators}
 	server := &http.Server{
 		Handler:           standin.NewSite(workers, slots, size, time.Now).Handler(),
-		ReadHeaderTimeout: adminTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	var group sync.WaitGroup
 	group.Go(func() { _ = server.Serve(ln) })
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -10,10 +10,10 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show what an entry knows: bundle in force, entries, endpoints, workers, tasks",
+		Usage: "show the state known to an entry: bundle in force, entries, endpoints, workers and tasks",
 		Flags: []cli.Flag{entryFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			return call(ctx, cmd, http.MethodGet, "/status", nil, nil)
+			return callAndPrint(ctx, cmd, http.MethodGet, "/status", nil, nil)
 		},
 	}
 }
--- a/internal/command/tune.go
+++ b/internal/command/tune.go
@@ -6,25 +6,26 @@
 	"runtime/debug"
 )
 
-// Settings of the Go runtime for processes that have little of a machine.
+// Settings of the Go runtime for processes that may use only a small part of a machine.
 const (
-	// gcPercent lets the heap grow by this part before a collection.
+	// gcPercent is how many percent the heap may grow before a garbage collection.
 	gcPercent = 50
-	// agentProcessors bounds the processors that an agent runs on at once; more
-	// of them cost it more in waking and stealing than they give.
-	agentProcessors = 2
+	// maxAgentProcessors limits GOMAXPROCS of an agent. With more processors,
+	// waking threads and stealing goroutines costs an agent more than it gains.
+	maxAgentProcessors = 2
 )
 
-// tuneMemory trades processor time for memory, unless GOGC says otherwise.
-func tuneMemory() {
+// lowerGCPercent saves memory at the cost of processor time, unless GOGC is set.
+func lowerGCPercent() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// tuneProcessors bounds an agent's processors, unless GOMAXPROCS says otherwise.
-func tuneProcessors() {
+// limitAgentProcessors limits the processors that an agent uses at the same
+// time, unless GOMAXPROCS is set.
+func limitAgentProcessors() {
 	if os.Getenv("GOMAXPROCS") == "" {
-		runtime.GOMAXPROCS(min(agentProcessors, runtime.GOMAXPROCS(0)))
+		runtime.GOMAXPROCS(min(maxAgentProcessors, runtime.GOMAXPROCS(0)))
 	}
 }
--- a/internal/command/urgent_test.go
+++ b/internal/command/urgent_test.go
@@ -12,12 +12,12 @@
 	"savoryhoist.example/savoryhoist/internal/entry"
 )
 
-// TestUrgentWorkOnAFullSite fills the only worker with one long task, submits
-// urgent work, and expects it to run at once and the long task to go on once
-// from its checkpoint.
-func TestUrgentWorkOnAFullSite(t *testing.T) {
+// TestUrgentTaskPreemptsLongTask fills the only worker with one long task and
+// submits an urgent job. The urgent task must preempt the long one and run once,
+// and the long one must be started once more, from its checkpoint.
+func TestUrgentTaskPreemptsLongTask(t *testing.T) {
 	s := newSite(t, 1, 1)
-	load := &traffic{s: s, pick: func() string { return s.entryURLs[0] }}
+	load := &traffic{s: s, pickEntry: func() string { return s.entryURLs[0] }}
 	load.submit("long", `{"class":"archive","size":{"milli-cpu":16000,"memory-mb":1000},"payload":{"run-ms":6000}}`)
 	s.eventually("the long task runs", func() bool { return len(s.workers[0].Runs()) == 1 })
 	submitted := time.Now()
@@ -27,7 +27,7 @@
 		runs := s.workers[0].Runs()
 		return strings.HasPrefix(runs[len(runs)-1].Key, quick)
 	})
-	t.Logf("urgent work started after %v", time.Since(submitted))
+	t.Logf("the urgent task started after %v", time.Since(submitted))
 	s.eventually("every job succeeded", load.allSucceeded)
 	runs := make(map[string]int)
 	for _, r := range s.workers[0].Runs() {
@@ -38,14 +38,16 @@
 		t.Errorf("got runs of the long and the urgent task %s, want %s", got, want)
 	}
 	if s.workers[0].Overfull() {
-		t.Error("the worker was given more than it has")
+		t.Error("the worker was given tasks that need more resources than it has")
 	}
 }
 
-// TestJobThatFitsNoWorkerSaysSo submits a job that can never run beside one that can.
-func TestJobThatFitsNoWorkerSaysSo(t *testing.T) {
+// TestJobThatFitsNoWorkerReportsReason submits a job that is too big for every
+// worker and a small one. The small job must run, and the big one must report
+// why it waits.
+func TestJobThatFitsNoWorkerReportsReason(t *testing.T) {
 	s := newSite(t, 1, 1)
-	load := &traffic{s: s, pick: func() string { return s.entryURLs[0] }}
+	load := &traffic{s: s, pickEntry: func() string { return s.entryURLs[0] }}
 	load.submit("huge", `{"class":"shaping","size":{"milli-cpu":1000000},"payload":{"run-ms":1}}`)
 	load.submit("small", `{"class":"shaping","size":{"milli-cpu":100},"payload":{"run-ms":1}}`)
 	view := func(i int) (v entry.JobView) {
@@ -58,7 +60,7 @@
 		s.must(json.NewDecoder(resp.Body).Decode(&v))
 		return v
 	}
-	s.eventually("the job behind it succeeded", func() bool { return view(1).Phase == "succeeded" })
+	s.eventually("the job queued after it succeeded", func() bool { return view(1).Phase == "succeeded" })
 	if got, want := view(0).Tasks[0].Waiting, "asks for more than any known worker has"; got != want {
 		t.Errorf("got reason %q, want %q", got, want)
 	}
@@ -67,11 +69,12 @@
 	}
 }
 
-// TestWorkerThatFailsEverything lets one of two workers fail all that it
-// starts: every job succeeds on the other one, and few are tried on the first.
-func TestWorkerThatFailsEverything(t *testing.T) {
+// TestFailingWorkerGetsFewTasks lets one of two workers fail every task that it
+// starts. Every job must succeed on the other one, and at most half as many runs
+// as there are jobs may be tried on the failing one.
+func TestFailingWorkerGetsFewTasks(t *testing.T) {
 	s := newSite(t, 1, 2)
-	load := &traffic{s: s, pick: func() string { return s.entryURLs[0] }}
+	load := &traffic{s: s, pickEntry: func() string { return s.entryURLs[0] }}
 	s.workers[0].FailAll(true)
 	const jobs = 40
 	for i := range jobs {
@@ -79,9 +82,9 @@
 	}
 	s.eventually("every job succeeded", load.allSucceeded)
 	if got, want := len(s.workers[0].Runs()), jobs/2; got > want {
-		t.Errorf("got %d runs on the worker that fails everything, want at most %d", got, want)
+		t.Errorf("got %d runs on the failing worker, want at most %d", got, want)
 	}
 	if got, want := len(s.workers[1].Runs()), jobs; got != want {
-		t.Errorf("got %d runs on the good worker, want %d", got, want)
+		t.Errorf("got %d runs on the healthy worker, want %d", got, want)
 	}
 }
