--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Times of the balancer.
+// Times of the readiness checks.
 const (
-	checkEvery   = 50 * time.Millisecond
-	checkTimeout = 500 * time.Millisecond
+	readinessCheckInterval = 50 * time.Millisecond
+	readinessCheckTimeout  = 500 * time.Millisecond
 )
 
-// Balancer stands for the platform's balancer: it asks the entries whether
-// they are ready and hands out the ready ones in turn.
+// Balancer simulates the platform's load balancer: it checks which entries are
+// ready and returns the ready ones in turn.
 type Balancer struct {
 	client *http.Client
 	urls   []string
@@ -24,14 +24,14 @@
 	next  int
 }
 
-// NewBalancer returns a balancer before the entries at urls.
+// NewBalancer returns a balancer for the entries at urls.
 func NewBalancer(client *http.Client, urls []string) *Balancer {
 	return &Balancer{client: client, urls: urls}
 }
 
-// Run asks the entries until ctx ends.
+// Run checks the entries' readiness regularly until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
-	tick := time.NewTicker(checkEvery)
+	tick := time.NewTicker(readinessCheckInterval)
 	defer tick.Stop()
 	for {
 		b.check(ctx)
@@ -62,7 +62,7 @@
 }
 
 func (b *Balancer) isReady(ctx context.Context, url string) bool {
-	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readinessCheckTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/readyz", http.NoBody)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Pick returns the next ready entry, or "".
+// Pick returns the URL of the next ready entry, or "" if none is ready.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -10,7 +10,7 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// Seen is everything that callers and stand-ins saw in a run.
+// Seen holds all observations of callers and the counts of the stand-ins in a run.
 type Seen struct {
 	plan     *Plan
 	seed     uint64
@@ -18,21 +18,22 @@
 	requests []RequestSeen
 	jobs     []JobSeen
 	counts   []standin.Counts
-	// checked reports for each variant whether its stand-ins could be asked.
-	checked []bool
-	errs    []error
+	// hasCounts reports for each variant whether the counts of its stand-ins are known.
+	hasCounts []bool
+	errs      []error
 }
 
+// collect returns the observations of the run and the counts of the stand-ins.
 func (r *Run) collect(ctx context.Context) (*Seen, error) {
 	s := &Seen{plan: r.settings.Plan, seed: r.settings.Seed}
 	for _, v := range r.settings.Variants {
-		c, err := r.counts(ctx, v.Standin)
+		c, err := r.standinCounts(ctx, v.Standin)
 		if err != nil {
 			return nil, err
 		}
 		s.variants = append(s.variants, v.Name)
 		s.counts = append(s.counts, c)
-		s.checked = append(s.checked, v.Standin != "")
+		s.hasCounts = append(s.hasCounts, v.Standin != "")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +41,7 @@
 	return s, nil
 }
 
-// Violations returns every promise that was broken, in words.
+// Violations returns a description of every violated guarantee.
 func (s *Seen) Violations() []string {
 	var out []string
 	for _, err := range s.errs {
@@ -56,41 +57,41 @@
 		for _, w := range c.Overfull {
 			out = append(out, w+": was given more than it has")
 		}
-		out = append(out, checkPlaces(c.Tasks)...)
+		out = append(out, checkConcurrentRuns(c.Tasks)...)
 	}
-	return append(out, s.checkShares()...)
+	return append(out, s.checkOutcomeShares()...)
 }
 
 func (s *Seen) checkRequest(q *RequestSeen) []string {
 	var out []string
-	broken := func(format string, args ...any) { out = append(out, q.id+": "+fmt.Sprintf(format, args...)) }
-	runs, checked := s.counts[q.variant].Requests[q.id], s.checked[q.variant]
-	if q.status == http.StatusOK && !q.whole {
-		broken("the answer was not the whole answer to this request")
+	violated := func(format string, args ...any) { out = append(out, q.id+": "+fmt.Sprintf(format, args...)) }
+	runs, hasCounts := s.counts[q.variant].Requests[q.id], s.hasCounts[q.variant]
+	if q.status == http.StatusOK && !q.bodyMatches {
+		violated("the answer was not the whole answer to this request")
 	}
 	if q.status == http.StatusOK && q.outcome != problem.Run {
-		broken("answered with outcome %q", q.outcome)
+		violated("answered with outcome %q", q.outcome)
 	}
-	if !checked {
+	if !hasCounts {
 		return out
 	}
 	if q.status == http.StatusOK && runs == 0 {
-		broken("answered but no runner worked on it")
+		violated("answered but no runner worked on it")
 	}
 	if q.outcome == problem.NotRun && runs > 0 {
-		broken("refused as not run (%s) but worked on %d times", q.detail, runs)
+		violated("refused as not run (%s) but worked on %d times", q.detail, runs)
 	}
-	if q.never && runs > 1 {
-		broken("marked as not to be repeated but worked on %d times", runs)
+	if q.neverRepeat && runs > 1 {
+		violated("marked as not to be repeated but worked on %d times", runs)
 	}
 	if q.outcome == problem.Run && q.status != http.StatusOK && !s.plan.Expect.ServiceErrors {
-		broken("status %d: %s", q.status, q.detail)
+		violated("status %d: %s", q.status, q.detail)
 	}
 	return out
 }
 
 func (s *Seen) checkJob(j *JobSeen) []string {
-	broken := func(format string, args ...any) []string {
+	violated := func(format string, args ...any) []string {
 		return []string{fmt.Sprintf("job %s (%s): ", j.key, j.id) + fmt.Sprintf(format, args...)}
 	}
 	expect := s.plan.Expect
@@ -98,7 +99,7 @@
 		if expect.JobRefusals {
 			return nil
 		}
-		return broken("was not accepted: %s", j.detail)
+		return violated("was not accepted: %s", j.detail)
 	}
 	switch {
 	case j.phase == "succeeded":
@@ -107,9 +108,9 @@
 	case isEnded(j.phase) && expect.JobFailures:
 		return nil
 	default:
-		return broken("is %q after the settle time", j.phase)
+		return violated("is %q after the settle time", j.phase)
 	}
-	if !s.checked[j.variant] {
+	if !s.hasCounts[j.variant] {
 		return nil
 	}
 	var out []string
@@ -117,34 +118,34 @@
 		task := fmt.Sprintf("%s.%d", j.id, i)
 		runs := s.counts[j.variant].Tasks[task]
 		if len(runs) == 0 {
-			out = append(out, broken("task %d succeeded but never ran", i)...)
+			out = append(out, violated("task %d succeeded but never ran", i)...)
 		}
 		if len(runs) > 1 && !expect.Repeats {
-			out = append(out, broken("task %d was started %d times", i, len(runs))...)
+			out = append(out, violated("task %d was started %d times", i, len(runs))...)
 		}
 	}
 	return out
 }
 
-// checkPlaces finds tasks that made progress in two places at once.
-func checkPlaces(tasks map[string][]standin.Run) []string {
+// checkConcurrentRuns finds tasks of which two runs made progress at the same time.
+func checkConcurrentRuns(tasks map[string][]standin.Run) []string {
 	var out []string
 	for task, runs := range tasks {
-		type spot struct {
+		type runSpan struct {
 			standin.Span
 			run int
 		}
-		var spots []spot
+		var spans []runSpan
 		for i := range runs {
 			for _, span := range runs[i].Spans {
-				spots = append(spots, spot{Span: span, run: i})
+				spans = append(spans, runSpan{Span: span, run: i})
 			}
 		}
-		slices.SortFunc(spots, func(a, b spot) int { return int(a.From - b.From) })
-		for i := 1; i < len(spots); i++ {
-			if spots[i].From < spots[i-1].To && spots[i].run != spots[i-1].run {
+		slices.SortFunc(spans, func(a, b runSpan) int { return int(a.From - b.From) })
+		for i := 1; i < len(spans); i++ {
+			if spans[i].From < spans[i-1].To && spans[i].run != spans[i-1].run {
 				out = append(out, fmt.Sprintf("task %s ran on %s and %s at once", task,
-					runs[spots[i-1].run].Worker, runs[spots[i].run].Worker))
+					runs[spans[i-1].run].Worker, runs[spans[i].run].Worker))
 			}
 		}
 	}
@@ -152,7 +153,9 @@
 	return out
 }
 
-func (s *Seen) checkShares() []string {
+// checkOutcomeShares checks that the shares of requests that were refused, or
+// whose outcome is unknown, are within the plan's limits.
+func (s *Seen) checkOutcomeShares() []string {
 	if len(s.requests) == 0 {
 		return nil
 	}
@@ -173,10 +176,10 @@
 	var out []string
 	total := float64(len(s.requests))
 	if share := float64(refused) / total; share > s.plan.Expect.MostRefused {
-		out = append(out, fmt.Sprintf("%d of %d requests were refused (such as: %s)", refused, len(s.requests), detail))
+		out = append(out, fmt.Sprintf("%d of %d requests were refused (for example: %s)", refused, len(s.requests), detail))
 	}
 	if share := float64(unknown) / total; share > s.plan.Expect.MostUnknown {
-		out = append(out, fmt.Sprintf("%d of %d requests have an unknown outcome (such as: %s)", unknown, len(s.requests), detail))
+		out = append(out, fmt.Sprintf("%d of %d requests have an unknown outcome (for example: %s)", unknown, len(s.requests), detail))
 	}
 	return out
 }
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -12,25 +12,27 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// ErrFault means that a fault could not be switched.
-var ErrFault = errors.New("the stand-ins refused a fault")
+// ErrFault means that a stand-in refused to change its faults.
+var ErrFault = errors.New("the stand-ins refused to inject a fault")
 
-// switchFaults switches the plan's faults at their moments, at every variant's site.
-func (r *Run) switchFaults(ctx context.Context) {
+// injectFaults changes the faults of the stand-ins at the times that the plan
+// gives, at the site of every variant.
+func (r *Run) injectFaults(ctx context.Context) {
 	for _, f := range r.settings.Plan.Faults {
-		if !pauseUntil(ctx, r.start.Add(f.At)) {
+		if !sleepUntil(ctx, r.start.Add(f.At)) {
 			return
 		}
 		for _, v := range r.settings.Variants {
-			if err := r.switchFault(ctx, v.Standin, f); err != nil {
-				r.fail(err)
+			if err := r.injectFault(ctx, v.Standin, f); err != nil {
+				r.addError(err)
 			}
 		}
 		_, _ = fmt.Fprintf(r.settings.Progress, "%s: %s %v\n", r.settings.Plan.Name, f.Path, f.Set)
 	}
 }
 
-func (r *Run) switchFault(ctx context.Context, base string, f Fault) error {
+// injectFault sends one change of faults to the stand-ins at URL base.
+func (r *Run) injectFault(ctx context.Context, base string, f Fault) error {
 	body, err := json.Marshal(f.Set)
 	if err != nil {
 		return err
@@ -50,8 +52,8 @@
 	return nil
 }
 
-// counts asks a site's stand-ins what they have seen.
-func (r *Run) counts(ctx context.Context, base string) (standin.Counts, error) {
+// standinCounts returns what the stand-ins at URL base have counted; nothing if base is empty.
+func (r *Run) standinCounts(ctx context.Context, base string) (standin.Counts, error) {
 	var out standin.Counts
 	if base == "" {
 		return out, nil
--- a/internal/load/job.go
+++ b/internal/load/job.go
@@ -14,7 +14,7 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// JobSeen is what a team saw of one job.
+// JobSeen is what a team observed of one job.
 type JobSeen struct {
 	key     string
 	id      string
@@ -22,94 +22,101 @@
 	variant int
 	tasks   int
 	due     time.Duration
-	// accepted reports whether the submission was answered with the job.
-	accepted  bool
+	// accepted reports whether an entry responded to the submission with the job's ID.
+	accepted bool
+	// cancelled reports whether an entry accepted the cancellation.
 	cancelled bool
-	// misses counts cancellations that were answered as for an unknown job.
-	misses  int
-	outcome problem.Outcome
-	detail  string
-	phase   string
-	// ended is when the job's end was seen, after the moment it was due.
-	ended time.Duration
+	// cancelMisses counts cancellations that were answered with 404, as for an unknown job.
+	cancelMisses int
+	outcome      problem.Outcome
+	detail       string
+	phase        string
+	// latency is the time from the moment the job was due until its end was observed.
+	latency time.Duration
 }
 
-// Times of watching jobs.
+// Times and limits of calls about jobs.
 const (
-	jobPoll = 250 * time.Millisecond
-	// resubmits is how often a submission is repeated under its key.
-	resubmits     = 3
-	resubmitDelay = 500 * time.Millisecond
+	jobPollInterval = 250 * time.Millisecond
+	// maxCallAttempts is how often a submission, under the same idempotency key,
+	// or a cancellation is tried.
+	maxCallAttempts = 3
+	callRetryDelay  = 500 * time.Millisecond
 )
 
-func (r *Run) submit(ctx context.Context, key string, a Arrival) {
+// runJob submits one job, cancels it if the schedule says so, and records the
+// observation. watchJobs follows the job to its end.
+func (r *Run) runJob(ctx context.Context, key string, a Arrival) {
 	s := &r.settings.Plan.Jobs[a.stream]
-	seen := JobSeen{key: key, stream: a.stream, variant: a.variant, tasks: s.Tasks, due: a.at, outcome: problem.Unknown}
-	for range resubmits {
-		r.submitOnce(ctx, s, a, &seen)
-		if seen.accepted || !delay.For(ctx, resubmitDelay) {
+	observed := JobSeen{key: key, stream: a.stream, variant: a.variant, tasks: s.Tasks, due: a.due, outcome: problem.Unknown}
+	for range maxCallAttempts {
+		r.submitOnce(ctx, s, a, &observed)
+		if observed.accepted || !delay.For(ctx, callRetryDelay) {
 			break
 		}
 	}
-	if seen.accepted && a.canceled {
-		seen.cancelled = r.cancel(ctx, &seen)
+	if observed.accepted && a.cancel {
+		observed.cancelled = r.cancel(ctx, &observed)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.jobs = append(r.jobs, seen)
+	r.jobs = append(r.jobs, observed)
 }
 
-func (r *Run) submitOnce(ctx context.Context, s *JobStream, a Arrival, seen *JobSeen) {
+func (r *Run) submitOnce(ctx context.Context, s *JobStream, a Arrival, observed *JobSeen) {
 	body, err := json.Marshal(map[string]any{
 		"class": s.Class, "tasks": s.Tasks, "size": s.Size, "expected-ms": s.Run.Milliseconds(),
 		"payload": map[string]any{"run-ms": a.work.Milliseconds()},
 	})
 	if err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
 	var v entry.JobView
-	status, outcome, err := r.callEntry(ctx, a.variant, http.MethodPost, "/jobs", seen.key, string(body), &v)
+	status, outcome, err := r.callReadyEntry(ctx, a.variant, http.MethodPost, "/jobs", observed.key, string(body), &v)
 	if err != nil {
-		seen.detail = err.Error()
+		observed.detail = err.Error()
 		return
 	}
-	seen.outcome = outcome
+	observed.outcome = outcome
 	if status >= http.StatusMultipleChoices || v.ID == "" {
-		seen.detail = fmt.Sprintf("status %d", status)
+		observed.detail = fmt.Sprintf("status %d", status)
 		return
 	}
-	seen.id, seen.accepted = v.ID, true
+	observed.id, observed.accepted = v.ID, true
 }
 
-// cancel asks for a job's end until it is accepted or was refused too often.
-func (r *Run) cancel(ctx context.Context, seen *JobSeen) bool {
-	for range resubmits {
-		status, _, err := r.callEntry(ctx, seen.variant, http.MethodDelete, "/jobs/"+seen.id, "", "", nil)
+// cancel requests the cancellation of a job until an entry accepts it, at most
+// maxCallAttempts times, and reports whether one did.
+func (r *Run) cancel(ctx context.Context, observed *JobSeen) bool {
+	for range maxCallAttempts {
+		status, _, err := r.callReadyEntry(ctx, observed.variant, http.MethodDelete, "/jobs/"+observed.id, "", "", nil)
 		if err == nil && status == http.StatusAccepted {
 			return true
 		}
 		if status == http.StatusNotFound {
-			seen.misses++
+			observed.cancelMisses++
 		}
-		if !delay.For(ctx, resubmitDelay) {
+		if !delay.For(ctx, callRetryDelay) {
 			break
 		}
 	}
 	return false
 }
 
-// callEntry sends one call to a ready entry and reads a JSON answer into out.
-func (r *Run) callEntry(ctx context.Context, variant int, method, path, key, body string, out any) (int, problem.Outcome, error) {
+// callReadyEntry sends one call to a ready entry and decodes the JSON response into out.
+func (r *Run) callReadyEntry(ctx context.Context, variant int, method, path, key, body string, out any) (int, problem.Outcome, error) {
 	base := r.balancers[variant].Pick()
 	if base == "" {
 		return 0, problem.NotRun, ErrNotReady
 	}
-	return r.callAt(ctx, base, method, path, key, body, out)
+	return r.callEntry(ctx, base, method, path, key, body, out)
 }
 
-func (r *Run) callAt(ctx context.Context, base, method, path, key, body string, out any) (int, problem.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+// callEntry sends one call to the entry at URL base and decodes the JSON response
+// into out. An empty key sends no idempotency key.
+func (r *Run) callEntry(ctx context.Context, base, method, path, key, body string, out any) (int, problem.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, base+path, strings.NewReader(body))
 	if err != nil {
@@ -131,44 +138,45 @@
 	return resp.StatusCode, outcome, err
 }
 
-// watchJobs notes when jobs end. It closes watched when everything was sent
-// and all accepted jobs have ended, or the settle time is over.
-func (r *Run) watchJobs(ctx context.Context, sent <-chan struct{}, watched chan<- struct{}) {
-	defer close(watched)
+// watchJobs polls the entries and records when jobs end. It closes done when
+// all load was sent and all accepted jobs have ended, or the settle time is over.
+func (r *Run) watchJobs(ctx context.Context, sent <-chan struct{}, done chan<- struct{}) {
+	defer close(done)
 	if len(r.settings.Plan.Jobs) == 0 {
 		<-sent
 		return
 	}
-	var over <-chan time.Time
+	var settled <-chan time.Time
 	for {
-		open := r.noteEnded(r.phases(ctx))
+		unfinished := r.updatePhases(r.jobPhases(ctx))
 		select {
 		case <-sent:
-			if open == 0 && over != nil {
+			if unfinished == 0 && settled != nil {
 				return
 			}
-			if over == nil {
-				over = time.After(r.settings.Plan.Settle)
+			if settled == nil {
+				settled = time.After(r.settings.Plan.Settle)
 			}
 		default:
 		}
 		select {
-		case <-over:
+		case <-settled:
 			return
-		case <-time.After(jobPoll):
+		case <-time.After(jobPollInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// phases returns the phase of every job that an entry knows; an ended phase wins.
-func (r *Run) phases(ctx context.Context) map[string]string {
+// jobPhases returns the phase of every job that an entry knows, by job ID. If
+// entries disagree, a phase in which the job has ended takes precedence.
+func (r *Run) jobPhases(ctx context.Context) map[string]string {
 	out := make(map[string]string)
 	for _, v := range r.settings.Variants {
 		for _, base := range v.Entries {
 			var views []entry.JobView
-			if _, _, err := r.callAt(ctx, base, http.MethodGet, "/jobs", "", "", &views); err != nil {
+			if _, _, err := r.callEntry(ctx, base, http.MethodGet, "/jobs", "", "", &views); err != nil {
 				continue
 			}
 			for _, view := range views {
@@ -185,11 +193,12 @@
 	return phase == "succeeded" || phase == "failed" || phase == "cancelled" || phase == "parked"
 }
 
-// noteEnded notes which jobs have ended and returns how many have not.
-func (r *Run) noteEnded(phases map[string]string) int {
+// updatePhases records the new phases of jobs and returns how many accepted jobs
+// have not ended.
+func (r *Run) updatePhases(phases map[string]string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	open := 0
+	unfinished := 0
 	for i := range r.jobs {
 		j := &r.jobs[i]
 		if !j.accepted || isEnded(j.phase) {
@@ -199,10 +208,10 @@
 			j.phase = phase
 		}
 		if isEnded(j.phase) {
-			j.ended = time.Since(r.start) - j.due
+			j.latency = time.Since(r.start) - j.due
 			continue
 		}
-		open++
+		unfinished++
 	}
-	return open
+	return unfinished
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestRefusedPlans(t *testing.T) {
+func TestInvalidPlansAreRefused(t *testing.T) {
 	var cases []struct {
 		Name string   `yaml:"name"`
 		Plan string   `yaml:"plan"`
@@ -70,10 +70,10 @@
 	Want        []string                 `yaml:"want"`
 }
 
-func (c *checkCase) seen() *Seen {
-	s := &Seen{plan: &Plan{Expect: Expect{MostRefused: c.MostRefused, Repeats: c.Repeats}}, checked: []bool{true}}
+func (c *checkCase) observations() *Seen {
+	s := &Seen{plan: &Plan{Expect: Expect{MostRefused: c.MostRefused, Repeats: c.Repeats}}, hasCounts: []bool{true}}
 	for _, q := range c.Requests {
-		s.requests = append(s.requests, RequestSeen{id: q.ID, status: q.Status, outcome: q.Outcome, whole: q.Whole, never: q.Never})
+		s.requests = append(s.requests, RequestSeen{id: q.ID, status: q.Status, outcome: q.Outcome, bodyMatches: q.Whole, neverRepeat: q.Never})
 	}
 	for _, j := range c.Jobs {
 		s.jobs = append(s.jobs, JobSeen{id: j.ID, accepted: j.Accepted, phase: j.Phase, tasks: j.Tasks})
@@ -87,7 +87,7 @@
 	readCases(t, "testdata/checks.yaml", &cases)
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			got := c.seen().Violations()
+			got := c.observations().Violations()
 			if len(got) != len(c.Want) {
 				t.Fatalf("got %q, want %q", got, c.Want)
 			}
@@ -106,22 +106,22 @@
 		Requests: []Stream{{Rate: []Step{{At: 0, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 1000}}}},
 	}
 	first, second := p.Schedule(7, 2), p.Schedule(7, 2)
-	var early, late, variant int
+	var firstHalf, secondHalf, secondVariant int
 	for i, a := range first {
 		if a != second[i] {
 			t.Fatalf("arrival %d: got %v and %v from one seed, want the same", i, a, second[i])
 		}
 		if a.At() < 5*time.Second {
-			early++
+			firstHalf++
 		} else {
-			late++
+			secondHalf++
 		}
-		variant += a.variant
+		secondVariant += a.variant
 	}
-	if early < 900 || early > 1100 || late < 9600 || late > 10400 {
-		t.Errorf("arrivals: got %d and %d, want about 1000 and 10000", early, late)
+	if firstHalf < 900 || firstHalf > 1100 || secondHalf < 9600 || secondHalf > 10400 {
+		t.Errorf("arrivals in the two halves: got %d and %d, want about 1000 and 10000", firstHalf, secondHalf)
 	}
-	if share := float64(variant) / float64(len(first)); share < 0.45 || share > 0.55 {
+	if share := float64(secondVariant) / float64(len(first)); share < 0.45 || share > 0.55 {
 		t.Errorf("share of the second variant: got %f, want about one half", share)
 	}
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,6 +1,7 @@
-// Package load is an open-loop load and experiment tool: it sends requests and
-// jobs to running entries by a schedule, switches faults of the stand-ins, and
-// checks what callers saw against what the stand-ins counted.
+// Package load is an open-loop load generator for experiments: it sends requests
+// and jobs to running entries by a schedule, injects faults into the stand-ins of
+// the platform's services, and checks the responses that callers got against the
+// counts of the stand-ins.
 package load
 
 import (
@@ -14,17 +15,18 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// ErrPlan means that a plan's document is not valid.
+// ErrPlan means that a plan is not valid.
 var ErrPlan = errors.New("the plan is not valid")
 
-// Plan is the data file of one experiment.
+// Plan describes one experiment. The fields on the site, signals, restarts and
+// bundles are for the test driver in the folder experiments, which starts the processes.
 type Plan struct {
 	Name string `yaml:"name"`
-	// About says what the experiment shows.
+	// About describes what the experiment shows.
 	About string `yaml:"about"`
 	// Duration is how long load is sent.
 	Duration time.Duration `yaml:"duration"`
-	// Settle is how long jobs may take to end afterwards.
+	// Settle is how long jobs may take to end after the last load was sent.
 	Settle   time.Duration `yaml:"settle"`
 	Team     string        `yaml:"team"`
 	Site     Site          `yaml:"site"`
@@ -32,23 +34,26 @@
 	Jobs     []JobStream   `yaml:"jobs"`
 	Faults   []Fault       `yaml:"faults"`
 	Signals  []Signal      `yaml:"signals"`
-	// Restart asks the driver to restart every process in turn.
+	// Restart lets the driver restart every process in turn.
 	Restart bool `yaml:"restart"`
-	// BundleRaces is how many pairs of racing bundles the driver publishes.
+	// BundleRaces is how many pairs of bundles with the same parent the driver
+	// publishes, both bundles of a pair at the same time.
 	BundleRaces int    `yaml:"bundle-races"`
 	Expect      Expect `yaml:"expect"`
 }
 
 // Site is the size of the site that the driver starts.
 type Site struct {
-	// Bundle is the name of the bundle's template beside the plan; its first
-	// service is the one that the endpoints run.
+	// Bundle is the name, without .yaml, of the bundle template in the plan's
+	// folder. The endpoints run its first service.
 	Bundle      string   `yaml:"bundle"`
 	DataCentres []string `yaml:"data-centres"`
 	// Entries is the number of entries in each data centre.
 	Entries int `yaml:"entries"`
+	// Workers is the number of workers in all data centres together.
 	Workers int `yaml:"workers"`
-	Slots   int `yaml:"slots"`
+	// Slots is how many requests each runner works on at the same time.
+	Slots int `yaml:"slots"`
 }
 
 // Stream is a stream of requests.
@@ -56,20 +61,21 @@
 	Name    string `yaml:"name"`
 	Service string `yaml:"service"`
 	Class   string `yaml:"class"`
-	// Rate is interpolated between its steps.
+	// Rate is the arrival rate, interpolated linearly between its steps.
 	Rate []Step `yaml:"rate"`
-	// Work is the mean work of a request, drawn from an exponential distribution.
+	// Work is the mean of the exponential distribution from which the work time of
+	// each request is drawn.
 	Work      time.Duration `yaml:"work"`
 	BodyBytes int           `yaml:"body-bytes"`
-	// StragglerShare of the requests take StragglerWork.
+	// StragglerShare is the share of requests whose work time is StragglerWork.
 	StragglerShare float64       `yaml:"straggler-share"`
 	StragglerWork  time.Duration `yaml:"straggler-work"`
 	Deadline       time.Duration `yaml:"deadline"`
-	// Never marks the requests as not to be repeated.
+	// Never marks the requests as ones that must not be repeated.
 	Never bool `yaml:"never-repeat"`
 }
 
-// Step is a rate at a moment.
+// Step is the rate at a time after the start.
 type Step struct {
 	At        time.Duration `yaml:"at"`
 	PerSecond float64       `yaml:"per-second"`
@@ -77,51 +83,58 @@
 
 // JobStream is a stream of jobs.
 type JobStream struct {
-	Name           string           `yaml:"name"`
-	Class          string           `yaml:"class"`
-	Rate           []Step           `yaml:"rate"`
-	Tasks          int              `yaml:"tasks"`
-	Size           worker.Resources `yaml:"size"`
-	Run            time.Duration    `yaml:"run"`
-	StragglerShare float64          `yaml:"straggler-share"`
-	StragglerRun   time.Duration    `yaml:"straggler-run"`
-	// CancelShare of the jobs are cancelled shortly after they were accepted.
+	Name  string           `yaml:"name"`
+	Class string           `yaml:"class"`
+	Rate  []Step           `yaml:"rate"`
+	Tasks int              `yaml:"tasks"`
+	Size  worker.Resources `yaml:"size"`
+	// Run is how long each task runs; it is also the expected duration that the
+	// job states.
+	Run time.Duration `yaml:"run"`
+	// StragglerShare is the share of jobs whose tasks run for StragglerRun.
+	StragglerShare float64       `yaml:"straggler-share"`
+	StragglerRun   time.Duration `yaml:"straggler-run"`
+	// CancelShare is the share of jobs that are cancelled as soon as they are accepted.
 	CancelShare float64 `yaml:"cancel-share"`
 }
 
-// Fault is a switch of a stand-in at a moment: PUT Set to /Path.
+// Fault is a change of a stand-in's faults at a time after the start: PUT /Path
+// with Set as JSON.
 type Fault struct {
 	At   time.Duration  `yaml:"at"`
 	Path string         `yaml:"path"`
 	Set  map[string]any `yaml:"set"`
 }
 
-// Signal is sent to a process by the driver.
+// Signal is sent to a process by the driver at a time after the start.
 type Signal struct {
 	At      time.Duration `yaml:"at"`
 	Process string        `yaml:"process"`
-	// Send is kill, term or pause.
+	// Send is kill (SIGKILL), term (SIGTERM) or pause (SIGSTOP, later SIGCONT).
 	Send string `yaml:"send"`
-	// Back is how long after the signal the process is started, or goes on.
+	// Back is how long after the signal the process is started again, or resumed.
 	Back time.Duration `yaml:"back"`
 }
 
-// Expect holds the bounds of an experiment beside the promises that always hold.
+// Expect states which violations an experiment tolerates. All other guarantees
+// must always hold.
 type Expect struct {
-	// MostRefused and MostUnknown are shares of the requests.
+	// MostRefused and MostUnknown are the largest tolerated shares of requests that
+	// are refused, or whose outcome stays unknown.
 	MostRefused float64 `yaml:"most-refused"`
 	MostUnknown float64 `yaml:"most-unknown"`
-	// ServiceErrors allows answers that report the service's own errors.
+	// ServiceErrors allows responses that report errors of the service itself.
 	ServiceErrors bool `yaml:"service-errors"`
-	// Repeats allows tasks to run again because a process or a worker failed.
+	// Repeats allows tasks to be started more than once, because a process or a
+	// worker failed.
 	Repeats bool `yaml:"repeats"`
 	// JobFailures allows jobs to fail, because a worker fails its tasks.
 	JobFailures bool `yaml:"job-failures"`
-	// JobRefusals allows submissions to be refused or to stay unknown.
+	// JobRefusals allows submissions to be refused or to have an unknown outcome.
 	JobRefusals bool `yaml:"job-refusals"`
 }
 
-// ReadPlan reads and checks the plan in a file.
+// ReadPlan reads a plan from a file and validates it.
 func ReadPlan(path string) (*Plan, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -131,7 +144,7 @@
 	return p, errors.Wrap(err, path)
 }
 
-// ParsePlan reads and checks a plan.
+// ParsePlan decodes a plan and validates it.
 func ParsePlan(data []byte) (*Plan, error) {
 	p := &Plan{Settle: 30 * time.Second, Team: "nursery"}
 	if err := yaml.UnmarshalWithOptions(data, p, yaml.Strict()); err != nil {
@@ -140,36 +153,36 @@
 	return p, p.check()
 }
 
-// check names every field that is wrong.
+// check returns an error that names every field that is not valid.
 func (p *Plan) check() error {
-	var all error
-	want := func(ok bool, field, rule string) {
+	var errs error
+	require := func(ok bool, field, rule string) {
 		if !ok {
-			all = errors.Join(all, errors.Wrapf(ErrPlan, "%s: %s", field, rule))
+			errs = errors.Join(errs, errors.Wrapf(ErrPlan, "%s: %s", field, rule))
 		}
 	}
-	want(p.Name != "", "name", "must be set")
-	want(p.Duration > 0, "duration", "must be longer than 0")
-	want(len(p.Requests)+len(p.Jobs) > 0, "requests", "want a stream of requests or of jobs")
+	require(p.Name != "", "name", "must be set")
+	require(p.Duration > 0, "duration", "must be longer than 0")
+	require(len(p.Requests)+len(p.Jobs) > 0, "requests", "want a stream of requests or of jobs")
 	for i, s := range p.Requests {
 		at := fmt.Sprintf("requests[%d]", i)
-		want(s.Service != "", at+".service", "must be set")
-		want(validRate(s.Rate), at+".rate", "want steps in order of time and rates of 0 or more")
-		want(isShare(s.StragglerShare), at+".straggler-share", "must be from 0 to 1")
+		require(s.Service != "", at+".service", "must be set")
+		require(validRate(s.Rate), at+".rate", "want steps in order of time and rates of 0 or more")
+		require(isShare(s.StragglerShare), at+".straggler-share", "must be from 0 to 1")
 	}
 	for i, s := range p.Jobs {
 		at := fmt.Sprintf("jobs[%d]", i)
-		want(s.Class != "", at+".class", "must be set")
-		want(s.Tasks > 0, at+".tasks", "must be at least 1")
-		want(validRate(s.Rate), at+".rate", "want steps in order of time and rates of 0 or more")
-		want(isShare(s.StragglerShare), at+".straggler-share", "must be from 0 to 1")
-		want(isShare(s.CancelShare), at+".cancel-share", "must be from 0 to 1")
+		require(s.Class != "", at+".class", "must be set")
+		require(s.Tasks > 0, at+".tasks", "must be at least 1")
+		require(validRate(s.Rate), at+".rate", "want steps in order of time and rates of 0 or more")
+		require(isShare(s.StragglerShare), at+".straggler-share", "must be from 0 to 1")
+		require(isShare(s.CancelShare), at+".cancel-share", "must be from 0 to 1")
 	}
 	for i, s := range p.Signals {
 		known := s.Send == "kill" || s.Send == "term" || s.Send == "pause"
-		want(known, fmt.Sprintf("signals[%d].send", i), "want kill, term or pause")
+		require(known, fmt.Sprintf("signals[%d].send", i), "want kill, term or pause")
 	}
-	return all
+	return errs
 }
 
 func isShare(v float64) bool { return v >= 0 && v <= 1 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Modes of a report's files.
+// Modes of a report's directory and files.
 const (
 	folderMode = 0o755
 	fileMode   = 0o644
@@ -60,10 +60,10 @@
 	}
 	line("\n%d appends to the log.\n", r.Appends)
 	if len(r.Violations) == 0 {
-		line("No promise was broken.")
+		line("No guarantee was violated.")
 	}
 	for _, v := range r.Violations {
-		line("- broken: %s", v)
+		line("- violated: %s", v)
 	}
 	line("\n![latency over time](%s)\n\n![quantiles](%s)", SeriesPlot, QuantilesPlot)
 	return b.String()
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -12,69 +12,71 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// RequestSeen is what a caller saw of one request.
+// RequestSeen is what a caller observed of one request.
 type RequestSeen struct {
-	id      string
-	stream  int
-	variant int
-	never   bool
-	// due is when the request should have been sent, after the start.
+	id          string
+	stream      int
+	variant     int
+	neverRepeat bool
+	// due is the time after the start at which the request should have been sent.
 	due time.Duration
 	// latency counts from the moment the request was due.
 	latency time.Duration
 	status  int
 	outcome problem.Outcome
 	detail  string
-	// whole reports whether the answer was the whole answer to this request.
-	whole bool
+	// bodyMatches reports whether the response was complete and belonged to this
+	// request: stand-in runners return the request's body.
+	bodyMatches bool
 }
 
-func (r *Run) request(ctx context.Context, id string, a Arrival) {
+// runRequest sends one request and records its observation.
+func (r *Run) runRequest(ctx context.Context, id string, a Arrival) {
 	s := &r.settings.Plan.Requests[a.stream]
-	seen := RequestSeen{id: id, stream: a.stream, variant: a.variant, never: s.Never, due: a.at, outcome: problem.Unknown}
-	r.exchange(ctx, s, a, &seen)
-	seen.latency = time.Since(r.start) - a.at
+	observed := RequestSeen{id: id, stream: a.stream, variant: a.variant, neverRepeat: s.Never, due: a.due, outcome: problem.Unknown}
+	r.sendRequest(ctx, s, a, &observed)
+	observed.latency = time.Since(r.start) - a.due
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests = append(r.requests, seen)
+	r.requests = append(r.requests, observed)
 }
 
-// exchange sends one request and fills in what came back.
-func (r *Run) exchange(ctx context.Context, s *Stream, a Arrival, seen *RequestSeen) {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+// sendRequest sends one request and fills in status, outcome and details of the response.
+func (r *Run) sendRequest(ctx context.Context, s *Stream, a Arrival, observed *RequestSeen) {
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	base := r.balancers[a.variant].Pick()
 	if base == "" {
-		seen.outcome, seen.detail = problem.NotRun, "no entry was ready"
+		observed.outcome, observed.detail = problem.NotRun, "no entry was ready"
 		return
 	}
-	body := requestBody(seen.id, s.BodyBytes)
+	body := requestBody(observed.id, s.BodyBytes)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/services/"+s.Service+"/"+s.Name, strings.NewReader(body))
 	if err != nil {
-		seen.detail = err.Error()
+		observed.detail = err.Error()
 		return
 	}
-	r.setHeader(req, s, seen.id, a.work)
+	r.setHeaders(req, s, observed.id, a.work)
 	resp, err := r.client.Do(req)
 	if err != nil {
-		seen.detail = err.Error()
+		observed.detail = err.Error()
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(resp.Body)
-	seen.status = resp.StatusCode
-	seen.outcome = problem.Outcome(resp.Header.Get(problem.HeaderOutcome))
+	response, err := io.ReadAll(resp.Body)
+	observed.status = resp.StatusCode
+	observed.outcome = problem.Outcome(resp.Header.Get(problem.HeaderOutcome))
 	if err != nil {
-		seen.outcome, seen.detail = problem.Unknown, "the answer was cut off"
+		observed.outcome, observed.detail = problem.Unknown, "the response was truncated"
 		return
 	}
-	seen.whole = string(answer) == body
+	observed.bodyMatches = string(response) == body
 	if resp.StatusCode != http.StatusOK {
-		seen.detail = strings.TrimSpace(string(answer))
+		observed.detail = strings.TrimSpace(string(response))
 	}
 }
 
-func (r *Run) setHeader(req *http.Request, s *Stream, id string, work time.Duration) {
+func (r *Run) setHeaders(req *http.Request, s *Stream, id string, work time.Duration) {
 	req.Header.Set("Savoryhoist-Team", r.settings.Plan.Team)
 	req.Header.Set(standin.HeaderRequest, id)
 	req.Header.Set(standin.HeaderWork, work.String())
@@ -89,7 +91,8 @@
 	}
 }
 
-// requestBody returns a body that no other request has.
+// requestBody returns a body of at least size bytes that begins with the
+// request's unique ID.
 func requestBody(id string, size int) string {
 	return id + strings.Repeat(".", max(0, size-len(id)))
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -13,12 +13,12 @@
 
 // Range and precision of latency histograms, in microseconds.
 const (
-	lowestLatency  = 1
-	highestLatency = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits  = 3
+	minLatencyUS             = 1
+	maxLatencyUS             = int64(10 * time.Minute / time.Microsecond)
+	latencySignificantDigits = 3
 )
 
-// Result is the JSON form of a run's figures.
+// Result is the measured result of a run, in its JSON form.
 type Result struct {
 	Name       string         `json:"name"`
 	Seed       uint64         `json:"seed"`
@@ -30,7 +30,7 @@
 	Violations []string       `json:"violations"`
 }
 
-// StreamResult is the figures of one stream of requests at one variant.
+// StreamResult is the result of one stream of requests at one variant.
 type StreamResult struct {
 	Stream   string  `json:"stream"`
 	Variant  string  `json:"variant"`
@@ -42,18 +42,20 @@
 	P99      float64 `json:"p99-ms"`
 	P999     float64 `json:"p999-ms"`
 	Most     float64 `json:"max-ms"`
-	// Quantiles and Series are the points of the plots.
+	// Quantiles and Series are the points of the plots: latency by quantile, and
+	// the 99th percentile of latency by time of arrival.
 	Quantiles []Point `json:"quantiles,omitempty"`
 	Series    []Point `json:"series,omitempty"`
 }
 
-// Point is a point of a plot: milliseconds by nines, or by seconds after the start.
+// Point is a point of a plot. Y is in milliseconds; X is the number of nines of a
+// quantile (2 is 99 %), or the seconds since the start.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// JobResult is the figures of one stream of jobs at one variant.
+// JobResult is the result of one stream of jobs at one variant.
 type JobResult struct {
 	Stream    string `json:"stream"`
 	Variant   string `json:"variant"`
@@ -69,22 +71,23 @@
 	Most         float64 `json:"max-ms"`
 }
 
-// Ratio compares the last variant of a run with the first.
+// Ratio is the latency of a stream of requests at the last variant of a run,
+// divided by that at the first one, the baseline.
 type Ratio struct {
 	Stream string  `json:"stream"`
 	P50    float64 `json:"p50"`
 	P99    float64 `json:"p99"`
 }
 
-// mostViolations is how many violations a result names.
-const mostViolations = 20
+// maxReportedViolations is how many violations a result lists.
+const maxReportedViolations = 20
 
-// Result returns the figures of a run.
+// Result computes the result of a run from its observations.
 func (s *Seen) Result() *Result {
 	violations := s.Violations()
 	r := &Result{Name: s.plan.Name, Seed: s.seed, Passed: len(violations) == 0, Violations: violations}
-	if n := len(violations); n > mostViolations {
-		r.Violations = append(slices.Clone(violations[:mostViolations]), fmt.Sprintf("and %d more", n-mostViolations))
+	if n := len(violations); n > maxReportedViolations {
+		r.Violations = append(slices.Clone(violations[:maxReportedViolations]), fmt.Sprintf("and %d more", n-maxReportedViolations))
 	}
 	for _, c := range s.counts {
 		r.Appends += c.Appends
@@ -102,16 +105,17 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
+	return hdrhistogram.New(minLatencyUS, maxLatencyUS, latencySignificantDigits)
 }
 
-// record notes a latency; one out of range counts as the highest.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), lowestLatency), highestLatency))
+// recordLatency adds a latency to h; one out of range counts as the nearest
+// value in range.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyUS), maxLatencyUS))
 }
 
-func milliseconds(h *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(h.ValueAtQuantile(quantile)) / 1000
+func percentileMS(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
 func (s *Seen) streamResult(stream, variant int, name string) StreamResult {
@@ -126,18 +130,18 @@
 		switch q.outcome {
 		case problem.Run:
 			out.Answered++
-			record(histogram, q.latency)
+			recordLatency(histogram, q.latency)
 		case problem.NotRun:
 			out.Refused++
 		default:
 			out.Unknown++
 		}
 	}
-	out.P50, out.P99 = milliseconds(histogram, 50), milliseconds(histogram, 99)
-	out.P999, out.Most = milliseconds(histogram, 99.9), milliseconds(histogram, 100)
+	out.P50, out.P99 = percentileMS(histogram, 50), percentileMS(histogram, 99)
+	out.P999, out.Most = percentileMS(histogram, 99.9), percentileMS(histogram, 100)
 	for _, nines := range []float64{0, 1, 2, 3} {
-		quantile := 100 * (1 - math.Pow(10, -nines))
-		out.Quantiles = append(out.Quantiles, Point{X: nines, Y: milliseconds(histogram, quantile)})
+		percentile := 100 * (1 - math.Pow(10, -nines))
+		out.Quantiles = append(out.Quantiles, Point{X: nines, Y: percentileMS(histogram, percentile)})
 	}
 	out.Series = s.series(stream, variant)
 	return out
@@ -156,21 +160,21 @@
 			continue
 		}
 		out.Accepted++
-		out.CancelMisses += j.misses
+		out.CancelMisses += j.cancelMisses
 		for t := range j.tasks {
 			out.Starts += len(s.counts[variant].Tasks[fmt.Sprintf("%s.%d", j.id, t)])
 		}
 		switch j.phase {
 		case "succeeded":
 			out.Succeeded++
-			record(histogram, j.ended)
+			recordLatency(histogram, j.latency)
 		case "cancelled":
 			out.Cancelled++
 		case "failed", "parked":
 			out.Failed++
 		}
 	}
-	out.P50, out.Most = milliseconds(histogram, 50), milliseconds(histogram, 100)
+	out.P50, out.Most = percentileMS(histogram, 50), percentileMS(histogram, 100)
 	return out
 }
 
@@ -190,27 +194,27 @@
 	return out
 }
 
-// seriesSlot is the time that one point of a series stands for.
-const seriesSlot = 500 * time.Millisecond
+// seriesInterval is the span of arrival times that one point of a series covers.
+const seriesInterval = 500 * time.Millisecond
 
-// series returns the 99th percentile of a stream by time of arrival.
+// series returns the 99th percentile of a stream's latency by time of arrival.
 func (s *Seen) series(stream, variant int) []Point {
-	slots := make([]*hdrhistogram.Histogram, int(s.plan.Duration/seriesSlot)+1)
+	intervals := make([]*hdrhistogram.Histogram, int(s.plan.Duration/seriesInterval)+1)
 	for i := range s.requests {
 		q := &s.requests[i]
 		if q.stream != stream || q.variant != variant || q.outcome != problem.Run {
 			continue
 		}
-		slot := int(q.due / seriesSlot)
-		if slots[slot] == nil {
-			slots[slot] = newHistogram()
+		interval := int(q.due / seriesInterval)
+		if intervals[interval] == nil {
+			intervals[interval] = newHistogram()
 		}
-		record(slots[slot], q.latency)
+		recordLatency(intervals[interval], q.latency)
 	}
 	var out []Point
-	for i, h := range slots {
+	for i, h := range intervals {
 		if h != nil {
-			out = append(out, Point{X: (time.Duration(i) * seriesSlot).Seconds(), Y: milliseconds(h, 99)})
+			out = append(out, Point{X: (time.Duration(i) * seriesInterval).Seconds(), Y: percentileMS(h, 99)})
 		}
 	}
 	return out
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -13,15 +13,15 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// ErrNotReady means that no entry became ready.
-var ErrNotReady = errors.New("no entry became ready")
+// ErrNotReady means that no entry of a site is ready.
+var ErrNotReady = errors.New("no entry is ready")
 
-// Variant is one site under load.
+// Variant is one site under load. A run with a baseline has two: the baseline and the present version.
 type Variant struct {
 	Name string
 	// Entries are the URLs of the site's entries.
 	Entries []string
-	// Standin is the URL of the site's stand-ins, or "" to skip checks against them.
+	// Standin is the URL of the site's stand-ins; if empty, checks that need their counts are skipped.
 	Standin string
 }
 
@@ -30,11 +30,11 @@
 	Plan     *Plan
 	Seed     uint64
 	Variants []Variant
-	// Progress gets a line every few seconds.
+	// Progress gets a line of progress every progressInterval.
 	Progress io.Writer
 }
 
-// Run is one run of a plan.
+// Run executes a plan once.
 type Run struct {
 	settings  Settings
 	client    *http.Client
@@ -47,19 +47,20 @@
 	errs     []error
 }
 
-// Limits of the tool's own connections and waits.
+// Limits and times of the tool's own calls.
 const (
-	maxIdle      = 512
-	readyTimeout = 30 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	progressTime = 2 * time.Second
-	// answerTimeout ends a request that was given no deadline.
-	answerTimeout = 30 * time.Second
+	maxIdleConnsPerHost = 512
+	readyTimeout        = 30 * time.Second
+	readyPollInterval   = 20 * time.Millisecond
+	progressInterval    = 2 * time.Second
+	// responseTimeout is how long every call waits for its response at most. It
+	// ends requests that have no deadline.
+	responseTimeout = 30 * time.Second
 )
 
-// NewRun returns a run that has not begun.
+// NewRun returns a run that has not been started.
 func NewRun(s Settings) *Run {
-	transport := &http.Transport{MaxIdleConnsPerHost: maxIdle, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}
 	r := &Run{settings: s, client: &http.Client{Transport: transport}}
 	for _, v := range s.Variants {
 		r.balancers = append(r.balancers, NewBalancer(r.client, v.Entries))
@@ -67,7 +68,8 @@
 	return r
 }
 
-// Do sends the plan's load, waits for its jobs, and returns what was seen.
+// Do sends the plan's load, waits until its jobs have ended or the settle time is
+// over, and returns the observations of callers and stand-ins.
 func (r *Run) Do(ctx context.Context) (*Seen, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -81,18 +83,18 @@
 	}
 	r.start = time.Now()
 	group.Go(func() { r.showProgress(ctx) })
-	group.Go(func() { r.switchFaults(ctx) })
+	group.Go(func() { r.injectFaults(ctx) })
 	sent := make(chan struct{})
-	watched := make(chan struct{})
-	group.Go(func() { r.watchJobs(ctx, sent, watched) })
-	r.send(ctx)
+	jobsEnded := make(chan struct{})
+	group.Go(func() { r.watchJobs(ctx, sent, jobsEnded) })
+	r.sendArrivals(ctx)
 	close(sent)
-	<-watched
+	<-jobsEnded
 	return r.collect(ctx)
 }
 
 func (r *Run) awaitReady(ctx context.Context) error {
-	for waited := time.Duration(0); waited < readyTimeout; waited += readyPoll {
+	for waited := time.Duration(0); waited < readyTimeout; waited += readyPollInterval {
 		ready := 0
 		for _, b := range r.balancers {
 			if b.Pick() != "" {
@@ -102,32 +104,33 @@
 		if ready == len(r.balancers) {
 			return nil
 		}
-		if !delay.For(ctx, readyPoll) {
+		if !delay.For(ctx, readyPollInterval) {
 			return ctx.Err()
 		}
 	}
 	return ErrNotReady
 }
 
-// send starts every arrival when it is due, however many are still under way.
-func (r *Run) send(ctx context.Context) {
+// sendArrivals starts every request and job when it is due, regardless of how
+// many are still in progress (open loop).
+func (r *Run) sendArrivals(ctx context.Context) {
 	var group sync.WaitGroup
 	for i, a := range r.settings.Plan.Schedule(r.settings.Seed, len(r.balancers)) {
-		if !pauseUntil(ctx, r.start.Add(a.at)) {
+		if !sleepUntil(ctx, r.start.Add(a.due)) {
 			break
 		}
 		id := fmt.Sprintf("%s-%d-%d", r.settings.Plan.Name, r.settings.Seed, i)
-		if a.job {
-			group.Go(func() { r.submit(ctx, id, a) })
+		if a.isJob {
+			group.Go(func() { r.runJob(ctx, id, a) })
 		} else {
-			group.Go(func() { r.request(ctx, id, a) })
+			group.Go(func() { r.runRequest(ctx, id, a) })
 		}
 	}
 	group.Wait()
 }
 
 func (r *Run) showProgress(ctx context.Context) {
-	for delay.For(ctx, progressTime) {
+	for delay.For(ctx, progressInterval) {
 		r.mu.Lock()
 		requests, jobs := len(r.requests), len(r.jobs)
 		r.mu.Unlock()
@@ -136,13 +139,13 @@
 	}
 }
 
-func (r *Run) fail(err error) {
+func (r *Run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errs = append(r.errs, err)
 }
 
-func pauseUntil(ctx context.Context, t time.Time) bool {
+func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -6,28 +6,33 @@
 	"time"
 )
 
-// Arrival is one request or job that is due at a moment after the start.
+// Arrival is one scheduled request or job.
 type Arrival struct {
-	at       time.Duration
-	stream   int
-	job      bool
-	work     time.Duration
-	variant  int
-	canceled bool
+	due time.Duration
+	// stream is the index of the plan's stream: of Jobs if isJob is true, else of Requests.
+	stream int
+	isJob  bool
+	// work is how long the request, or each task of the job, takes at a stand-in.
+	work time.Duration
+	// variant is the index of the variant that the load goes to.
+	variant int
+	// cancel makes the run cancel the job once it is accepted.
+	cancel bool
 }
 
-// At returns when the arrival is due.
-func (a Arrival) At() time.Duration { return a.at }
+// At returns the time after the start of the run at which the request or job is due.
+func (a Arrival) At() time.Duration { return a.due }
 
-// Schedule returns all arrivals of a plan in order of time; each variant gets
-// the plan's rates. The same seed gives the same schedule.
+// Schedule returns all arrivals of a plan in order of time. The total rate is the
+// plan's rate times the number of variants, so that each variant gets the plan's
+// rate on average. The same seed gives the same schedule.
 func (p *Plan) Schedule(seed uint64, variants int) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var out []Arrival
 	for i := range p.Requests {
 		s := &p.Requests[i]
 		for _, at := range arrivals(random, s.Rate, p.Duration, variants) {
-			a := Arrival{at: at, stream: i, variant: random.IntN(variants)}
+			a := Arrival{due: at, stream: i, variant: random.IntN(variants)}
 			a.work = time.Duration(random.ExpFloat64() * float64(s.Work))
 			if random.Float64() < s.StragglerShare {
 				a.work = s.StragglerWork
@@ -38,41 +43,43 @@
 	for i := range p.Jobs {
 		s := &p.Jobs[i]
 		for _, at := range arrivals(random, s.Rate, p.Duration, variants) {
-			a := Arrival{at: at, stream: i, job: true, variant: random.IntN(variants), work: s.Run}
+			a := Arrival{due: at, stream: i, isJob: true, variant: random.IntN(variants), work: s.Run}
 			if random.Float64() < s.StragglerShare {
 				a.work = s.StragglerRun
 			}
-			a.canceled = random.Float64() < s.CancelShare
+			a.cancel = random.Float64() < s.CancelShare
 			out = append(out, a)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Arrival) int { return int(a.at - b.at) })
+	slices.SortStableFunc(out, func(a, b Arrival) int { return int(a.due - b.due) })
 	return out
 }
 
-// arrivals draws the moments of a Poisson process of varying rate, times factor, by thinning.
+// arrivals draws the times of a Poisson process whose rate is factor times that
+// of steps, by thinning.
 func arrivals(random *rand.Rand, steps []Step, length time.Duration, factor int) []time.Duration {
-	most := 0.0
+	maxRate := 0.0
 	for _, s := range steps {
-		most = max(most, s.PerSecond)
+		maxRate = max(maxRate, s.PerSecond)
 	}
-	if most == 0 {
+	if maxRate == 0 {
 		return nil
 	}
 	var out []time.Duration
 	at := time.Duration(0)
 	for {
-		at += time.Duration(random.ExpFloat64() / (most * float64(factor)) * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / (maxRate * float64(factor)) * float64(time.Second))
 		if at >= length {
 			return out
 		}
-		if random.Float64()*most < rateAt(steps, at) {
+		if random.Float64()*maxRate < rateAt(steps, at) {
 			out = append(out, at)
 		}
 	}
 }
 
-// rateAt interpolates between steps; before the first and after the last the rate is constant.
+// rateAt returns the rate at a time, interpolated between steps. Before the first
+// and after the last step the rate is constant.
 func rateAt(steps []Step, at time.Duration) float64 {
 	for i, s := range steps {
 		if at >= s.At {
@@ -82,8 +89,8 @@
 			return s.PerSecond
 		}
 		before := steps[i-1]
-		part := float64(at-before.At) / float64(s.At-before.At)
-		return before.PerSecond + part*(s.PerSecond-before.PerSecond)
+		fraction := float64(at-before.At) / float64(s.At-before.At)
+		return before.PerSecond + fraction*(s.PerSecond-before.PerSecond)
 	}
 	return steps[len(steps)-1].PerSecond
 }
