--- a/experiments/experiments_test.go
+++ b/experiments/experiments_test.go
@@ -1,7 +1,8 @@
 //go:build experiments
 
-// Package experiments drives the experiments of this folder's data files
-// against real processes: it starts and stops them, and runs the load tool.
+// Package experiments runs the experiments that the plans in this folder
+// describe: it starts, stops and restarts real processes and runs the load tool
+// against them.
 package experiments
 
 import (
@@ -18,36 +19,40 @@
 	"savoryhoist.example/savoryhoist/internal/load"
 )
 
-// outFolder is the git-ignored folder of reports.
+// outFolder is the folder of the reports, which git ignores.
 const outFolder = "../out/experiments"
 
-// seedVariable names the environment variable with the seed; 1 if unset.
+// seedVariable names the environment variable with the seed, which defaults to 1.
 const seedVariable = "SEED"
 
 // baselineVariable names the environment variable with the path of an earlier
-// version of the program. Half of each experiment's load then goes, interleaved,
-// to a second site of that version; its faults are the same, its processes get
+// version of the program. If it is set, half of each experiment's load goes,
+// interleaved, to a second site of that version, which gets the same faults but
 // no signals.
 const baselineVariable = "BASELINE"
 
-// betweenRestarts is the pause after each process of a rolling restart.
-const betweenRestarts = 300 * time.Millisecond
+// restartPause is the pause before the restart of each process in a rolling restart.
+const restartPause = 300 * time.Millisecond
 
-// conclusion is the JSON form of one experiment's result beside the load tool's own.
-type conclusion struct {
+// experimentResult is the result of one experiment in its JSON form: that of the
+// load tool, and the resource usage of the processes.
+type experimentResult struct {
 	load.Result
 
-	// EntryCPU and AgentCPU are shares of a core, the most of any process.
-	EntryCPU float64 `json:"entry-cpu-share"`
-	AgentCPU float64 `json:"agent-cpu-share"`
-	// EntryMemory and AgentMemory are the most resident memory of any process.
-	EntryMemory int64 `json:"entry-memory-mb"`
-	AgentMemory int64 `json:"agent-memory-mb"`
-	// BundleSpread is the longest time until a bundle was in force at every process.
-	BundleSpread float64 `json:"bundle-spread-ms,omitempty"`
+	// MaxEntryCPU and MaxAgentCPU are the highest processor usage of any entry or
+	// agent, as a share of one core.
+	MaxEntryCPU float64 `json:"entry-cpu-share"`
+	MaxAgentCPU float64 `json:"agent-cpu-share"`
+	// MaxEntryMemoryMB and MaxAgentMemoryMB are the largest resident memory of any
+	// entry or agent.
+	MaxEntryMemoryMB int64 `json:"entry-memory-mb"`
+	MaxAgentMemoryMB int64 `json:"agent-memory-mb"`
+	// MaxBundleSpreadMS is the longest time from the publication of a bundle until
+	// it was in force at every entry and agent.
+	MaxBundleSpreadMS float64 `json:"bundle-spread-ms,omitempty"`
 }
 
-// summary is the last line of a run of all experiments.
+// summary is the JSON form of the result of all experiments of a run.
 type summary struct {
 	Target      string   `json:"target"`
 	Passed      bool     `json:"passed"`
@@ -64,12 +69,13 @@
 	return "1"
 }
 
+// TestExperiments runs every experiment in turn and writes a summary.
 func TestExperiments(t *testing.T) {
 	began := time.Now()
-	binary := build(t)
+	binary := buildProgram(t)
 	files, err := filepath.Glob("[0-9]*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("data files: got %d (%v), want some", len(files), err)
+		t.Fatalf("plans: got %d (%v), want at least one", len(files), err)
 	}
 	out := summary{Target: "experiments", Passed: true, Seed: seed(), Failed: []string{}}
 	for _, file := range files {
@@ -104,6 +110,8 @@
 	}
 }
 
+// runExperiment starts the plan's site, runs the load tool against it, injects the
+// plan's signals, restarts and bundles meanwhile, and checks and writes the result.
 func runExperiment(t *testing.T, binary, file string, plan *load.Plan) {
 	t.Helper()
 	s := startSite(t, binary, plan.Site)
@@ -115,23 +123,23 @@
 		baseline := startSite(t, earlier, plan.Site)
 		args = append(args, "--baseline-entry-urls", baseline.entryURLs(), "--baseline-standin-url", baseline.standin)
 	}
-	before := sampleAll(s.all)
+	before := sampleUsage(s.all)
 	tool := exec.Command(binary, args...)
 	tool.Stderr = os.Stderr
 	if err := tool.Start(); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	out := conclusion{}
+	out := experimentResult{}
 	var group sync.WaitGroup
 	for _, signal := range plan.Signals {
-		group.Go(func() { s.signal(began, signal) })
+		group.Go(func() { s.sendSignal(began, signal) })
 	}
 	if plan.Restart {
 		group.Go(func() { s.restartAll(began, plan.Duration) })
 	}
 	if plan.BundleRaces > 0 {
-		group.Go(func() { out.BundleSpread = s.raceBundles(plan.BundleRaces) })
+		group.Go(func() { out.MaxBundleSpreadMS = s.raceBundles(plan.BundleRaces) })
 	}
 	err := tool.Wait()
 	group.Wait()
@@ -139,12 +147,12 @@
 		t.Errorf("load tool: %v", err)
 	}
 	readResult(t, filepath.Join(folder, "result.json"), &out.Result)
-	out.use(before, sampleAll(s.all), time.Since(began))
+	out.setMaxUsage(before, sampleUsage(s.all), time.Since(began))
 	writeJSON(t, filepath.Join(folder, "conclusion.json"), out)
 	for _, v := range out.Violations {
 		t.Error(v)
 	}
-	report(out)
+	printResult(out)
 }
 
 func readResult(t *testing.T, path string, out *load.Result) {
@@ -158,8 +166,8 @@
 	}
 }
 
-// report prints one line of figures.
-func report(c conclusion) {
+// printResult prints the result as one line of JSON, without the points of plots.
+func printResult(c experimentResult) {
 	for i := range c.Requests {
 		c.Requests[i].Quantiles, c.Requests[i].Series = nil, nil
 	}
@@ -167,18 +175,19 @@
 	fmt.Println(string(line))
 }
 
-// signal sends a signal to a process at its moment and brings the process back.
-func (s *site) signal(began time.Time, signal load.Signal) {
-	p := s.find(signal.Process)
+// sendSignal sends a signal to a process when it is due, and then resumes the
+// process or starts it again.
+func (s *site) sendSignal(began time.Time, signal load.Signal) {
+	p := s.processByName(signal.Process)
 	time.Sleep(time.Until(began.Add(signal.At)))
 	switch signal.Send {
 	case "pause":
-		s.check(p.cmd.Process.Signal(syscall.SIGSTOP))
+		s.reportError(p.cmd.Process.Signal(syscall.SIGSTOP))
 		time.Sleep(signal.Back)
-		s.check(p.cmd.Process.Signal(syscall.SIGCONT))
+		s.reportError(p.cmd.Process.Signal(syscall.SIGCONT))
 	case "kill":
-		s.check(p.cmd.Process.Kill())
-		_ = p.end()
+		s.reportError(p.cmd.Process.Kill())
+		_ = p.wait()
 		time.Sleep(signal.Back)
 		s.start(p)
 	case "term":
@@ -188,24 +197,26 @@
 	}
 }
 
-// check notes an error; it is called beside the test's goroutine.
-func (s *site) check(err error) {
+// reportError marks the test as failed. Unlike must, it may be called from other
+// goroutines than the test's.
+func (s *site) reportError(err error) {
 	if err != nil {
 		s.t.Error(err)
 	}
 }
 
-// restartAll stops and starts every entry and agent in turn; load must go on meanwhile.
+// restartAll stops and starts every entry and agent in turn. It must finish
+// within length, while load is still being sent.
 func (s *site) restartAll(began time.Time, length time.Duration) {
 	for _, p := range append(append([]*process{}, s.entries...), s.agents...) {
-		time.Sleep(betweenRestarts)
+		time.Sleep(restartPause)
 		s.stop(p)
 		s.start(p)
 		for !isOK(p.url+"/readyz") && time.Since(began) < length {
-			time.Sleep(readyPoll)
+			time.Sleep(readyPollInterval)
 		}
 	}
 	if took := time.Since(began); took > length {
-		s.t.Errorf("rolling restart: took %s, want less than the load's %s", took.Round(time.Second), length)
+		s.t.Errorf("rolling restart took %s, want less than the load's duration of %s", took.Round(time.Second), length)
 	}
 }
--- a/experiments/races_test.go
+++ b/experiments/races_test.go
@@ -13,15 +13,15 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// spreadBound is how soon a bundle must be in force at every process.
-const spreadBound = 5 * time.Second
+// bundleSpreadLimit is the time within which a bundle must be in force at every entry and agent.
+const bundleSpreadLimit = 5 * time.Second
 
-// raceBundles publishes pairs of bundles with the same parent at two entries at
-// once and returns the longest time, in milliseconds, until the winner was in
-// force at every entry and agent.
+// raceBundles publishes pairs of bundles with the same parent, each pair at two
+// entries at the same time. It returns the longest time, in milliseconds, until
+// the accepted bundle was in force at every entry and agent.
 func (s *site) raceBundles(races int) float64 {
 	longest := time.Duration(0)
-	parent := s.signed(s.document)
+	parent := s.signBundle(s.document)
 	document := *s.document
 	for race := range races {
 		var candidates [2]*bundle.Signed
@@ -30,7 +30,7 @@
 			next.Version = document.Version + 1
 			next.Parent = bundle.Digest(parent.Content())
 			next.Teams = append(append([]bundle.Team{}, document.Teams...), bundle.Team{Name: fmt.Sprintf("team-%d-%d", race, i)})
-			candidates[i] = s.signed(&next)
+			candidates[i] = s.signBundle(&next)
 		}
 		began := time.Now()
 		winner := s.publishBoth(candidates)
@@ -40,18 +40,20 @@
 		parent = candidates[winner]
 		document.Version++
 		digest := bundle.Digest(parent.Content())
-		for !s.inForce(digest) && time.Since(began) < readyWithin {
-			time.Sleep(readyPoll)
+		for !s.bundleInForce(digest) && time.Since(began) < readyTimeout {
+			time.Sleep(readyPollInterval)
 		}
 		longest = max(longest, time.Since(began))
 	}
-	if longest > spreadBound {
-		s.t.Errorf("bundle in force everywhere: got %s, want at most %s", longest, spreadBound)
+	if longest > bundleSpreadLimit {
+		s.t.Errorf("bundle in force everywhere: got %s, want at most %s", longest, bundleSpreadLimit)
 	}
 	return float64(longest.Milliseconds())
 }
 
-// publishBoth publishes two bundles at once and returns which one was accepted, or -1.
+// publishBoth publishes two bundles at the same time and returns the index of the
+// accepted one. If not exactly one is accepted and the other one refused as a
+// conflict, the test fails and the result is -1.
 func (s *site) publishBoth(candidates [2]*bundle.Signed) int {
 	var statuses [2]int
 	var group sync.WaitGroup
@@ -69,8 +71,8 @@
 	return -1
 }
 
-// inForce reports whether every entry and every agent has the bundle.
-func (s *site) inForce(digest string) bool {
+// bundleInForce reports whether the bundle with this digest is in force at every entry and agent.
+func (s *site) bundleInForce(digest string) bool {
 	workers := make(map[string]bool)
 	for _, e := range s.entries {
 		var status entry.Status
--- a/experiments/scale_test.go
+++ b/experiments/scale_test.go
@@ -15,48 +15,52 @@
 	"savoryhoist.example/savoryhoist/internal/load"
 )
 
-// Times of a measurement at one size.
+// Times of the measurement with one number of agents.
 const (
-	scaleSettle = 5 * time.Second
-	scaleIdle   = 10 * time.Second
+	scaleSettleTime = 5 * time.Second
+	scaleIdleTime   = 10 * time.Second
 )
 
 // scaleSizes are the numbers of agents measured.
 var scaleSizes = []int{25, 50, 100}
 
-// scaleResult is the JSON form of what control costs at one size.
+// scaleResult is the JSON form of the resource usage of entries and agents at all sizes.
 type scaleResult struct {
-	Target string    `json:"target"`
-	Sizes  []scaleAt `json:"sizes"`
+	Target string       `json:"target"`
+	Sizes  []scalePoint `json:"sizes"`
 }
 
-// scaleAt is what control costs with a number of agents and three entries.
-type scaleAt struct {
+// scalePoint is the resource usage with a given number of agents and three
+// entries, without load and under the load of scale.yaml.
+type scalePoint struct {
 	Agents int       `json:"agents"`
 	Idle   scaleCost `json:"idle"`
 	Busy   scaleCost `json:"busy"`
 }
 
-// scaleCost is what processes use while nothing, or the plan's load, goes on.
+// scaleCost is the resource usage during one measurement: means and maxima over
+// all agents or entries. Processor usage is a share of one core.
 type scaleCost struct {
-	AgentCPU     float64 `json:"agent-cpu-share"`
-	AgentCPUMost float64 `json:"agent-cpu-share-max"`
-	AgentMB      float64 `json:"agent-memory-mb"`
-	AgentMBMost  float64 `json:"agent-memory-mb-max"`
-	EntryCPU     float64 `json:"entry-cpu-share"`
-	EntryCPUMost float64 `json:"entry-cpu-share-max"`
-	EntryMB      float64 `json:"entry-memory-mb"`
-	EntryMBMost  float64 `json:"entry-memory-mb-max"`
-	// LinkBytes is what agents and entries sent each other a second, for one agent.
-	LinkBytes float64 `json:"link-bytes-per-agent"`
-	Requests  int     `json:"requests,omitempty"`
-	Starts    int     `json:"starts,omitempty"`
+	AgentCPU    float64 `json:"agent-cpu-share"`
+	AgentCPUMax float64 `json:"agent-cpu-share-max"`
+	AgentMB     float64 `json:"agent-memory-mb"`
+	AgentMBMax  float64 `json:"agent-memory-mb-max"`
+	EntryCPU    float64 `json:"entry-cpu-share"`
+	EntryCPUMax float64 `json:"entry-cpu-share-max"`
+	EntryMB     float64 `json:"entry-memory-mb"`
+	EntryMBMax  float64 `json:"entry-memory-mb-max"`
+	// PeerBytesPerAgentPerS is the traffic between agents and entries in bytes per
+	// second, divided by the number of agents.
+	PeerBytesPerAgentPerS float64 `json:"link-bytes-per-agent"`
+	Requests              int     `json:"requests,omitempty"`
+	Starts                int     `json:"starts,omitempty"`
 }
 
-// TestScale measures many agents; run it by scale.sh, in a network of its own,
-// so that the bytes counted are the site's.
+// TestScale measures the resource usage of entries and agents with many agents.
+// Run it by scale.sh, in a network of its own, so that only the site's traffic is
+// counted.
 func TestScale(t *testing.T) {
-	binary := build(t)
+	binary := buildProgram(t)
 	plan, err := load.ReadPlan("scale.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -67,11 +71,11 @@
 		size.Workers = agents
 		t.Run(strconv.Itoa(agents), func(t *testing.T) {
 			s := startSite(t, binary, size)
-			at := scaleAt{Agents: agents}
-			time.Sleep(scaleSettle)
-			at.Idle = s.cost(func() { time.Sleep(scaleIdle) })
+			at := scalePoint{Agents: agents}
+			time.Sleep(scaleSettleTime)
+			at.Idle = s.measureCost(func() { time.Sleep(scaleIdleTime) })
 			folder := filepath.Join(outFolder, "scale-"+strconv.Itoa(agents))
-			busy := s.cost(func() { s.load("scale.yaml", folder) })
+			busy := s.measureCost(func() { s.runLoadTool("scale.yaml", folder) })
 			var result load.Result
 			readResult(t, filepath.Join(folder, "result.json"), &result)
 			busy.Requests, busy.Starts = result.Requests[0].Sent, result.Jobs[0].Starts
@@ -83,47 +87,50 @@
 	writeJSON(t, "../out/scale.json", out)
 }
 
-// load runs the load tool against the site.
-func (s *site) load(file, folder string) {
+// runLoadTool runs the load tool with the plan in file against the site and lets
+// it write its report to folder.
+func (s *site) runLoadTool(file, folder string) {
 	tool := exec.Command(s.binary, "load", file, "--entry-urls", s.entryURLs(), "--standin-url", s.standin,
 		"--report", folder, "--seed", seed())
 	tool.Stderr = os.Stderr
-	s.check(tool.Run())
+	s.reportError(tool.Run())
 }
 
-// cost returns what the site's processes use while fn runs.
-func (s *site) cost(fn func()) scaleCost {
-	before, bytes, began := sampleAll(s.all), s.linkBytes(), time.Now()
+// measureCost returns the resource usage of the site's processes while fn runs.
+func (s *site) measureCost(fn func()) scaleCost {
+	before, bytes, began := sampleUsage(s.all), s.peerLinkBytes(), time.Now()
 	fn()
 	length := time.Since(began).Seconds()
-	after := sampleAll(s.all)
-	c := scaleCost{LinkBytes: (s.linkBytes() - bytes) / length / float64(len(s.agents))}
-	c.AgentCPU, c.AgentCPUMost, c.AgentMB, c.AgentMBMost = uses(s.agents, before, after, length)
-	c.EntryCPU, c.EntryCPUMost, c.EntryMB, c.EntryMBMost = uses(s.entries, before, after, length)
+	after := sampleUsage(s.all)
+	c := scaleCost{PeerBytesPerAgentPerS: (s.peerLinkBytes() - bytes) / length / float64(len(s.agents))}
+	c.AgentCPU, c.AgentCPUMax, c.AgentMB, c.AgentMBMax = meanAndMaxUsage(s.agents, before, after, length)
+	c.EntryCPU, c.EntryCPUMax, c.EntryMB, c.EntryMBMax = meanAndMaxUsage(s.entries, before, after, length)
 	return c
 }
 
-// uses returns mean and most of processor shares and resident memory.
-func uses(processes []*process, before, after map[string]sample, seconds float64) (cpu, cpuMost, memory, memoryMost float64) {
+// meanAndMaxUsage returns the mean and the maximum of the processes' processor
+// usage, as a share of one core, and of their resident memory, in megabytes.
+func meanAndMaxUsage(processes []*process, before, after map[string]usageSample, seconds float64) (meanCPU, maxCPU, meanMB, maxMB float64) {
 	for _, p := range processes {
 		share := (after[p.name].cpu - before[p.name].cpu).Seconds() / seconds
-		resident := float64(after[p.name].memory) / 1024
-		cpu += share / float64(len(processes))
-		memory += resident / float64(len(processes))
-		cpuMost, memoryMost = max(cpuMost, share), max(memoryMost, resident)
+		residentMB := float64(after[p.name].memoryKB) / 1024
+		meanCPU += share / float64(len(processes))
+		meanMB += residentMB / float64(len(processes))
+		maxCPU, maxMB = max(maxCPU, share), max(maxMB, residentMB)
 	}
-	return cpu, cpuMost, memory, memoryMost
+	return meanCPU, maxCPU, meanMB, maxMB
 }
 
-// Sizes of headers on the loopback device, in bytes.
+// Bytes of headers of each TCP segment on the loopback device: Ethernet, IPv4,
+// and TCP with time stamps.
 const (
-	tcpHeaders = 14 + 20 + 32
+	tcpHeaderBytes = 14 + 20 + 32
 )
 
-// linkBytes estimates the bytes of the site's datagrams so far: all bytes of
-// the loopback device less those of TCP, which the stand-ins' process and
-// the callers' connections account for.
-func (s *site) linkBytes() float64 {
+// peerLinkBytes estimates how many bytes entries and agents have sent each other
+// so far, as datagrams: all bytes on the loopback device less those of TCP, which
+// the stand-ins and the callers use.
+func (s *site) peerLinkBytes() float64 {
 	device, _ := os.ReadFile("/proc/net/dev")
 	var total float64
 	for line := range strings.Lines(string(device)) {
@@ -131,11 +138,12 @@
 			total, _ = strconv.ParseFloat(strings.Fields(rest)[0], 64)
 		}
 	}
-	return total - s.tcpBytes()
+	return total - s.tcpLoopbackBytes()
 }
 
-// tcpBytes adds up what the site's processes read from TCP, and the headers of all segments.
-func (s *site) tcpBytes() float64 {
+// tcpLoopbackBytes estimates the TCP traffic so far: the bytes that the site's
+// processes have read, and the headers of all segments.
+func (s *site) tcpLoopbackBytes() float64 {
 	var read float64
 	for _, p := range s.all {
 		if p.cmd == nil {
@@ -149,10 +157,11 @@
 			}
 		}
 	}
-	return read + tcpHeaders*tcpSegments()
+	return read + tcpHeaderBytes*tcpSegments()
 }
 
-// tcpSegments returns the TCP segments sent so far: the 12th value of its line.
+// tcpSegments returns the number of TCP segments sent so far: the 12th field of
+// the line of values for TCP in /proc/net/snmp.
 func tcpSegments() float64 {
 	data, _ := os.ReadFile("/proc/net/snmp")
 	for line := range strings.Lines(string(data)) {
--- a/experiments/site_test.go
+++ b/experiments/site_test.go
@@ -23,19 +23,20 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// Times and modes of the driver.
+// Settings of the sites that the driver starts.
 const (
-	readyWithin = time.Minute
-	readyPoll   = 20 * time.Millisecond
-	certificate = time.Hour
-	fileMode    = 0o600
-	rackSize    = 3
-	drainAfter  = "700ms"
-	heartbeat   = "500ms"
-	operator    = "alice"
+	readyTimeout        = time.Minute
+	readyPollInterval   = 20 * time.Millisecond
+	certificateValidity = time.Hour
+	fileMode            = 0o600
+	workersPerRack      = 3
+	drainAfter          = "700ms"
+	heartbeatEvery      = "500ms"
+	operatorName        = "alice"
 )
 
-// site is a site of real processes: stand-ins, entries and agents.
+// site is a deployment for one experiment: entries and agents, and one process
+// that serves the stand-ins of the platform's services.
 type site struct {
 	t         *testing.T
 	folder    string
@@ -48,51 +49,55 @@
 	entries   []*process
 	agents    []*process
 	all       []*process
-	peers     map[string][]string
+	// peers holds the peer addresses of the entries of each data centre.
+	peers map[string][]string
 }
 
-// process is one real process and how to start it again.
+// process is one process of a site, with what is needed to start it again.
 type process struct {
-	name   string
-	binary string
-	args   []string
-	url    string
-	cmd    *exec.Cmd
-	usage  time.Duration
+	name string
+	// binary is the program to run; if empty, the site's.
+	binary  string
+	args    []string
+	url     string
+	cmd     *exec.Cmd
+	cpuTime time.Duration
 }
 
-// present is the program of this version; it serves every site's stand-ins.
-var present string
+// currentBinary is the path of the program built from this version. It serves the
+// stand-ins of every site, also of a baseline site.
+var currentBinary string
 
-func build(t *testing.T) string {
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "savoryhoist")
-	present = binary
+	currentBinary = binary
 	if out, err := exec.Command("go", "build", "-o", binary, "..").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	return binary
 }
 
-// startSite starts a plan's site and returns when every process is ready.
+// startSite starts the site of a plan, publishes its first bundle and returns when
+// every process is ready.
 func startSite(t *testing.T, binary string, size load.Site) *site {
 	t.Helper()
 	s := &site{t: t, folder: t.TempDir(), binary: binary, peers: make(map[string][]string)}
 	t.Cleanup(s.stopAll)
 	var err error
-	s.authority, err = link.NewAuthority(time.Now(), certificate)
+	s.authority, err = link.NewAuthority(time.Now(), certificateValidity)
 	s.must(err)
 	s.must(os.WriteFile(s.path("authority.pem"), s.authority.PEM(), fileMode))
 	var public string
 	s.key, public, err = bundle.GenerateKey(rand.Reader)
 	s.must(err)
-	s.roots, err = bundle.ParseRoots(operator+"="+public, 1)
+	s.roots, err = bundle.ParseRoots(operatorName+"="+public, 1)
 	s.must(err)
 	template, err := os.ReadFile(size.Bundle + ".yaml")
 	s.must(err)
 	s.document, err = bundle.ParseTemplate(template, s.roots)
 	s.must(err)
-	if binary == present { // earlier versions know no data centres in a bundle
+	if binary == currentBinary { // earlier versions do not support data centres in a bundle
 		for _, name := range size.DataCentres {
 			s.document.DataCentres = append(s.document.DataCentres, bundle.DataCentre{Name: name})
 		}
@@ -133,27 +138,27 @@
 	address := s.freeAddress()
 	s.standin = "http://" + address
 	args := []string{"standin", "--listen", address, "--workers", fmt.Sprint(size.Workers), "--slots", fmt.Sprint(size.Slots)}
-	s.all = append(s.all, &process{name: "standin", binary: present, args: args, url: s.standin + "/counts"})
+	s.all = append(s.all, &process{name: "standin", binary: currentBinary, args: args, url: s.standin + "/counts"})
 }
 
-func (s *site) common(role link.Role, dataCentre, name, public string) []string {
-	pem, key, err := s.authority.Issue(time.Now(), certificate, link.NewPeer(role, dataCentre, name))
+func (s *site) processArgs(role link.Role, dataCentre, name, public string) []string {
+	pem, key, err := s.authority.Issue(time.Now(), certificateValidity, link.NewPeer(role, dataCentre, name))
 	s.must(err)
 	s.must(os.WriteFile(s.path(name+".pem"), pem, fileMode))
 	s.must(os.WriteFile(s.path(name+"-key.pem"), key, fileMode))
 	return []string{
-		string(role), "--name", name, "--data-centre", dataCentre, "--operators", operator + "=" + public, "--drain-after", drainAfter,
+		string(role), "--name", name, "--data-centre", dataCentre, "--operators", operatorName + "=" + public, "--drain-after", drainAfter,
 		"--certificate", s.path(name + ".pem"), "--key", s.path(name + "-key.pem"), "--authorities", s.path("authority.pem"),
 	}
 }
 
 func (s *site) addEntry(i int, dataCentre, public string) {
 	name := fmt.Sprintf("entry-%d", i+1)
-	door, peer := s.freeAddress(), s.freeAddress()
+	caller, peer := s.freeAddress(), s.freeAddress()
 	s.peers[dataCentre] = append(s.peers[dataCentre], peer)
-	args := append(s.common(link.RoleEntry, dataCentre, name, public),
-		"--open", "--log-url", s.standin+"/log", "--listen", door, "--peer-listen", peer)
-	p := &process{name: name, args: args, url: "http://" + door}
+	args := append(s.processArgs(link.RoleEntry, dataCentre, name, public),
+		"--open", "--log-url", s.standin+"/log", "--listen", caller, "--peer-listen", peer)
+	p := &process{name: name, args: args, url: "http://" + caller}
 	s.entries = append(s.entries, p)
 	s.all = append(s.all, p)
 }
@@ -161,9 +166,9 @@
 func (s *site) addAgent(i int, dataCentre, public string) {
 	name := fmt.Sprintf("worker-%d", i+1)
 	admin := s.freeAddress()
-	args := append(s.common(link.RoleAgent, dataCentre, name, public),
-		"--service", s.document.Services[0].Name, "--rack", fmt.Sprintf("rack-%d", i/rackSize+1),
-		"--listen", s.freeAddress(), "--admin-listen", admin, "--heartbeat-every", heartbeat,
+	args := append(s.processArgs(link.RoleAgent, dataCentre, name, public),
+		"--service", s.document.Services[0].Name, "--rack", fmt.Sprintf("rack-%d", i/workersPerRack+1),
+		"--listen", s.freeAddress(), "--admin-listen", admin, "--heartbeat-every", heartbeatEvery,
 		"--runner-url", fmt.Sprintf("%s/runners/%d", s.standin, i+1),
 		"--worker-url", fmt.Sprintf("%s/workers/%d", s.standin, i+1),
 		"--entries", strings.Join(s.peers[dataCentre], ","))
@@ -180,13 +185,13 @@
 	return strings.Join(out, ",")
 }
 
-func (s *site) find(name string) *process {
+func (s *site) processByName(name string) *process {
 	for _, p := range s.all {
 		if p.name == name {
 			return p
 		}
 	}
-	s.t.Fatalf("no process is called %q", name)
+	s.t.Fatalf("no process has the name %q", name)
 	return nil
 }
 
@@ -199,35 +204,37 @@
 	s.must(f.Close())
 }
 
-// end waits for a process that was told to end and notes what it used.
-func (p *process) end() error {
+// wait waits until a process that was told to end has ended, and adds up the
+// processor time that it used.
+func (p *process) wait() error {
 	err := p.cmd.Wait()
-	p.usage += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
+	p.cpuTime += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 	p.cmd = nil
 	return err
 }
 
-// stop ends a process as a planned stop and checks that it exits cleanly.
+// stop ends a process by SIGTERM and checks that it exits with code 0.
 func (s *site) stop(p *process) {
 	s.must(p.cmd.Process.Signal(syscall.SIGTERM))
-	if err := p.end(); err != nil {
+	if err := p.wait(); err != nil {
 		s.t.Errorf("%s after SIGTERM: got %v, want a clean exit", p.name, err)
 	}
 }
 
-// stopAll kills what still runs; a failed test keeps the processes' logs.
+// stopAll kills the processes that still run. If the test has failed, it copies
+// their logs to out/logs.
 func (s *site) stopAll() {
 	for _, p := range s.all {
 		if p.cmd != nil && p.cmd.Process != nil {
 			_ = p.cmd.Process.Kill()
-			_ = p.end()
+			_ = p.wait()
 		}
 	}
 	if s.t.Failed() {
-		kept := filepath.Join("..", "out", "logs", filepath.Base(s.t.Name()))
-		_ = os.RemoveAll(kept)
-		_ = os.CopyFS(kept, os.DirFS(s.folder))
-		s.t.Logf("logs of the processes are in %s", kept)
+		logFolder := filepath.Join("..", "out", "logs", filepath.Base(s.t.Name()))
+		_ = os.RemoveAll(logFolder)
+		_ = os.CopyFS(logFolder, os.DirFS(s.folder))
+		s.t.Logf("logs of the processes are in %s", logFolder)
 	}
 }
 
@@ -245,26 +252,27 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (s *site) eventually(what string, fn func() bool) {
+func (s *site) eventually(condition string, fn func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(readyPoll) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if fn() {
 			return
 		}
 	}
-	s.t.Fatalf("%s: not within %s", what, readyWithin)
+	s.t.Fatalf("%s: not true within %s", condition, readyTimeout)
 }
 
-// signed returns the document as a bundle signed by the operator.
-func (s *site) signed(d *bundle.Document) *bundle.Signed {
+// signBundle returns the document as a bundle with the operator's signature.
+func (s *site) signBundle(d *bundle.Document) *bundle.Signed {
 	content, err := bundle.Format(d)
 	s.must(err)
 	signed := bundle.NewSigned(content)
-	signed.Sign(operator, s.key)
+	signed.Sign(operatorName, s.key)
 	return signed
 }
 
-// publish sends a signed bundle to an entry and returns the status of the answer.
+// publish sends a signed bundle to an entry and returns the status code of the
+// response, or 0 if there is none.
 func (s *site) publish(entry *process, signed *bundle.Signed) int {
 	data, err := signed.Encode()
 	s.must(err)
@@ -277,6 +285,6 @@
 }
 
 func (s *site) publishFirst() {
-	signed := s.signed(s.document)
+	signed := s.signBundle(s.document)
 	s.eventually("first bundle in force", func() bool { return s.publish(s.entries[0], signed) == http.StatusOK })
 }
--- a/experiments/usage_test.go
+++ b/experiments/usage_test.go
@@ -10,29 +10,32 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of processor times under /proc.
+// ticksPerSecond is the number of clock ticks per second, the unit of processor
+// times under /proc.
 const ticksPerSecond = 100
 
-// sample is what a process has used so far.
-type sample struct {
-	pid    int
-	cpu    time.Duration
-	memory int64
+// usageSample is the processor time that a process has used since its start, and
+// its resident memory now.
+type usageSample struct {
+	pid      int
+	cpu      time.Duration
+	memoryKB int64
 }
 
-// sampleAll reads the use of every running process.
-func sampleAll(processes []*process) map[string]sample {
-	out := make(map[string]sample)
+// sampleUsage returns the usage of every running process by its name.
+func sampleUsage(processes []*process) map[string]usageSample {
+	out := make(map[string]usageSample)
 	for _, p := range processes {
 		if p.cmd != nil && p.cmd.Process != nil {
 			pid := p.cmd.Process.Pid
-			out[p.name] = sample{pid: pid, cpu: cpuTime(pid), memory: residentKB(pid)}
+			out[p.name] = usageSample{pid: pid, cpu: cpuTime(pid), memoryKB: residentKB(pid)}
 		}
 	}
 	return out
 }
 
-// cpuTime reads user and system time, the 14th and 15th field of a process's stat.
+// cpuTime returns the user and system time of a process: the 14th and 15th field
+// of /proc/PID/stat.
 func cpuTime(pid int) time.Duration {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(data), ") ")
@@ -45,7 +48,7 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// residentKB reads a process's resident memory.
+// residentKB returns the resident memory of a process in kilobytes.
 func residentKB(pid int) int64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(data)) {
@@ -57,20 +60,21 @@
 	return 0
 }
 
-// use fills in the most that any entry and any agent used between two samples.
-// A process that was restarted meanwhile counts from its start.
-func (c *conclusion) use(before, after map[string]sample, length time.Duration) {
+// setMaxUsage sets the highest usage of any entry and any agent between two
+// samples that are length apart. A process that was restarted in between counts
+// from its start.
+func (c *experimentResult) setMaxUsage(before, after map[string]usageSample, length time.Duration) {
 	for name, a := range after {
 		spent := a.cpu
 		if b := before[name]; b.pid == a.pid {
 			spent -= b.cpu
 		}
-		share, memory := spent.Seconds()/length.Seconds(), a.memory>>10
+		share, memoryMB := spent.Seconds()/length.Seconds(), a.memoryKB>>10
 		switch {
 		case strings.HasPrefix(name, "entry-"):
-			c.EntryCPU, c.EntryMemory = max(c.EntryCPU, share), max(c.EntryMemory, memory)
+			c.MaxEntryCPU, c.MaxEntryMemoryMB = max(c.MaxEntryCPU, share), max(c.MaxEntryMemoryMB, memoryMB)
 		case strings.HasPrefix(name, "worker-"):
-			c.AgentCPU, c.AgentMemory = max(c.AgentCPU, share), max(c.AgentMemory, memory)
+			c.MaxAgentCPU, c.MaxAgentMemoryMB = max(c.MaxAgentCPU, share), max(c.MaxAgentMemoryMB, memoryMB)
 		}
 	}
 }
