--- a/tools/plot/main.go
+++ b/tools/plot/main.go
@@ -1,5 +1,6 @@
-// Command plot draws the plots of reports that savoryhoist load has written.
-// It is apart from the program, so that agents do not carry a plot library.
+// Command plot draws the plots for reports that savoryhoist load has written: its
+// arguments are the folders of the reports. It is a separate program, so that the
+// binary of the agents does not contain a plotting library.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"savoryhoist.example/savoryhoist/internal/load"
 )
 
-// Sizes of a plot.
+// Size of a plot.
 const (
 	width  = 7 * vg.Inch
 	height = 4 * vg.Inch
@@ -31,7 +32,7 @@
 	}
 }
 
-// draw draws the plots of the report in folder.
+// draw draws the two plots of the report in folder: latency over time and latency by quantile.
 func draw(folder string) error {
 	data, err := os.ReadFile(filepath.Join(folder, "result.json"))
 	if err != nil {
@@ -54,7 +55,7 @@
 	return save(quantiles, filepath.Join(folder, load.QuantilesPlot), &r, func(s *load.StreamResult) []load.Point { return s.Quantiles })
 }
 
-// save draws one line for each stream and variant.
+// save draws one line for each stream and variant and writes the plot to path.
 func save(p *plot.Plot, path string, r *load.Result, points func(*load.StreamResult) []load.Point) error {
 	p.Y.Label.Text = "milliseconds"
 	p.Legend.Top = true
