--- a/experiments/experiments_test.go
+++ b/experiments/experiments_test.go
@@ -135,7 +135,7 @@
 	for _, signal := range plan.Signals {
 		group.Go(func() { s.sendSignal(began, signal) })
 	}
-	if plan.Restart {
+	if plan.RollingRestart {
 		group.Go(func() { s.restartAll(began, plan.Duration) })
 	}
 	if plan.BundleRaces > 0 {
@@ -180,19 +180,19 @@
 func (s *site) sendSignal(began time.Time, signal load.Signal) {
 	p := s.processByName(signal.Process)
 	time.Sleep(time.Until(began.Add(signal.At)))
-	switch signal.Send {
+	switch signal.Action {
 	case "pause":
 		s.reportError(p.cmd.Process.Signal(syscall.SIGSTOP))
-		time.Sleep(signal.Back)
+		time.Sleep(signal.ResumeAfter)
 		s.reportError(p.cmd.Process.Signal(syscall.SIGCONT))
 	case "kill":
 		s.reportError(p.cmd.Process.Kill())
 		_ = p.wait()
-		time.Sleep(signal.Back)
+		time.Sleep(signal.ResumeAfter)
 		s.start(p)
 	case "term":
 		s.stop(p)
-		time.Sleep(signal.Back)
+		time.Sleep(signal.ResumeAfter)
 		s.start(p)
 	}
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -14,8 +14,8 @@
 	"savoryhoist.example/savoryhoist/internal/load"
 )
 
-// ErrPromise means that the system violated a guarantee during the run.
-var ErrPromise = errors.New("a guarantee was violated")
+// ErrGuarantee means that the system violated a guarantee during the run.
+var ErrGuarantee = errors.New("a guarantee was violated")
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
@@ -56,7 +56,7 @@
 	if err != nil {
 		return errors.Mark(err, ErrUsage)
 	}
-	run := load.NewRun(load.Settings{Plan: plan, Seed: uint64(cmd.Int("seed")), Variants: variants, Progress: os.Stderr})
+	run := load.NewRun(load.Settings{Plan: plan, Seed: uint64(cmd.Int("seed")), Variants: variants, ProgressWriter: os.Stderr})
 	observed, err := run.Do(ctx)
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 	return reportLoad(cmd, plan, observed)
 }
 
-func reportLoad(cmd *cli.Command, plan *load.Plan, observed *load.Seen) error {
+func reportLoad(cmd *cli.Command, plan *load.Plan, observed *load.Observations) error {
 	result := observed.Result()
 	folder := cmd.String("report")
 	if folder == "" {
@@ -82,7 +82,7 @@
 	}
 	_, _ = fmt.Fprintln(cmd.Root().Writer, string(data))
 	if !result.Passed {
-		return errors.Wrapf(ErrPromise, "see %s", filepath.Join(folder, "report.md"))
+		return errors.Wrapf(ErrGuarantee, "see %s", filepath.Join(folder, "report.md"))
 	}
 	return nil
 }
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -10,13 +10,13 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// Seen holds all observations of callers and the counts of the stand-ins in a run.
-type Seen struct {
+// Observations holds all observations of callers and the counts of the stand-ins in a run.
+type Observations struct {
 	plan     *Plan
 	seed     uint64
 	variants []string
-	requests []RequestSeen
-	jobs     []JobSeen
+	requests []RequestObservation
+	jobs     []JobObservation
 	counts   []standin.Counts
 	// hasCounts reports for each variant whether the counts of its stand-ins are known.
 	hasCounts []bool
@@ -24,8 +24,8 @@
 }
 
 // collect returns the observations of the run and the counts of the stand-ins.
-func (r *Run) collect(ctx context.Context) (*Seen, error) {
-	s := &Seen{plan: r.settings.Plan, seed: r.settings.Seed}
+func (r *Run) collect(ctx context.Context) (*Observations, error) {
+	s := &Observations{plan: r.settings.Plan, seed: r.settings.Seed}
 	for _, v := range r.settings.Variants {
 		c, err := r.standinCounts(ctx, v.Standin)
 		if err != nil {
@@ -42,7 +42,7 @@
 }
 
 // Violations returns a description of every violated guarantee.
-func (s *Seen) Violations() []string {
+func (s *Observations) Violations() []string {
 	var out []string
 	for _, err := range s.errs {
 		out = append(out, err.Error())
@@ -62,7 +62,7 @@
 	return append(out, s.checkOutcomeShares()...)
 }
 
-func (s *Seen) checkRequest(q *RequestSeen) []string {
+func (s *Observations) checkRequest(q *RequestObservation) []string {
 	var out []string
 	violated := func(format string, args ...any) { out = append(out, q.id+": "+fmt.Sprintf(format, args...)) }
 	runs, hasCounts := s.counts[q.variant].Requests[q.id], s.hasCounts[q.variant]
@@ -84,19 +84,19 @@
 	if q.neverRepeat && runs > 1 {
 		violated("marked as not to be repeated but worked on %d times", runs)
 	}
-	if q.outcome == problem.Run && q.status != http.StatusOK && !s.plan.Expect.ServiceErrors {
+	if q.outcome == problem.Run && q.status != http.StatusOK && !s.plan.Expect.AllowServiceErrors {
 		violated("status %d: %s", q.status, q.detail)
 	}
 	return out
 }
 
-func (s *Seen) checkJob(j *JobSeen) []string {
+func (s *Observations) checkJob(j *JobObservation) []string {
 	violated := func(format string, args ...any) []string {
 		return []string{fmt.Sprintf("job %s (%s): ", j.key, j.id) + fmt.Sprintf(format, args...)}
 	}
 	expect := s.plan.Expect
 	if !j.accepted {
-		if expect.JobRefusals {
+		if expect.AllowJobRefusals {
 			return nil
 		}
 		return violated("was not accepted: %s", j.detail)
@@ -105,7 +105,7 @@
 	case j.phase == "succeeded":
 	case j.phase == "cancelled" && j.cancelled:
 		return nil
-	case isEnded(j.phase) && expect.JobFailures:
+	case isEnded(j.phase) && expect.AllowJobFailures:
 		return nil
 	default:
 		return violated("is %q after the settle time", j.phase)
@@ -120,7 +120,7 @@
 		if len(runs) == 0 {
 			out = append(out, violated("task %d succeeded but never ran", i)...)
 		}
-		if len(runs) > 1 && !expect.Repeats {
+		if len(runs) > 1 && !expect.AllowReruns {
 			out = append(out, violated("task %d was started %d times", i, len(runs))...)
 		}
 	}
@@ -155,7 +155,7 @@
 
 // checkOutcomeShares checks that the shares of requests that were refused, or
 // whose outcome is unknown, are within the plan's limits.
-func (s *Seen) checkOutcomeShares() []string {
+func (s *Observations) checkOutcomeShares() []string {
 	if len(s.requests) == 0 {
 		return nil
 	}
@@ -175,10 +175,10 @@
 	}
 	var out []string
 	total := float64(len(s.requests))
-	if share := float64(refused) / total; share > s.plan.Expect.MostRefused {
+	if share := float64(refused) / total; share > s.plan.Expect.MaxRefusedShare {
 		out = append(out, fmt.Sprintf("%d of %d requests were refused (for example: %s)", refused, len(s.requests), detail))
 	}
-	if share := float64(unknown) / total; share > s.plan.Expect.MostUnknown {
+	if share := float64(unknown) / total; share > s.plan.Expect.MaxUnknownShare {
 		out = append(out, fmt.Sprintf("%d of %d requests have an unknown outcome (for example: %s)", unknown, len(s.requests), detail))
 	}
 	return out
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -27,7 +27,7 @@
 				r.addError(err)
 			}
 		}
-		_, _ = fmt.Fprintf(r.settings.Progress, "%s: %s %v\n", r.settings.Plan.Name, f.Path, f.Set)
+		_, _ = fmt.Fprintf(r.settings.ProgressWriter, "%s: %s %v\n", r.settings.Plan.Name, f.Path, f.Set)
 	}
 }
 
--- a/internal/load/job.go
+++ b/internal/load/job.go
@@ -14,8 +14,8 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// JobSeen is what a team observed of one job.
-type JobSeen struct {
+// JobObservation is what a team observed of one job.
+type JobObservation struct {
 	key     string
 	id      string
 	stream  int
@@ -48,7 +48,7 @@
 // observation. watchJobs follows the job to its end.
 func (r *Run) runJob(ctx context.Context, key string, a Arrival) {
 	s := &r.settings.Plan.Jobs[a.stream]
-	observed := JobSeen{key: key, stream: a.stream, variant: a.variant, tasks: s.Tasks, due: a.due, outcome: problem.Unknown}
+	observed := JobObservation{key: key, stream: a.stream, variant: a.variant, tasks: s.Tasks, due: a.due, outcome: problem.Unknown}
 	for range maxCallAttempts {
 		r.submitOnce(ctx, s, a, &observed)
 		if observed.accepted || !delay.For(ctx, callRetryDelay) {
@@ -63,9 +63,9 @@
 	r.jobs = append(r.jobs, observed)
 }
 
-func (r *Run) submitOnce(ctx context.Context, s *JobStream, a Arrival, observed *JobSeen) {
+func (r *Run) submitOnce(ctx context.Context, s *JobStream, a Arrival, observed *JobObservation) {
 	body, err := json.Marshal(map[string]any{
-		"class": s.Class, "tasks": s.Tasks, "size": s.Size, "expected-ms": s.Run.Milliseconds(),
+		"class": s.Class, "tasks": s.Tasks, "size": s.Size, "expected-ms": s.TaskDuration.Milliseconds(),
 		"payload": map[string]any{"run-ms": a.work.Milliseconds()},
 	})
 	if err != nil {
@@ -88,7 +88,7 @@
 
 // cancel requests the cancellation of a job until an entry accepts it, at most
 // maxCallAttempts times, and reports whether one did.
-func (r *Run) cancel(ctx context.Context, observed *JobSeen) bool {
+func (r *Run) cancel(ctx context.Context, observed *JobObservation) bool {
 	for range maxCallAttempts {
 		status, _, err := r.callReadyEntry(ctx, observed.variant, http.MethodDelete, "/jobs/"+observed.id, "", "", nil)
 		if err == nil && status == http.StatusAccepted {
@@ -155,7 +155,7 @@
 				return
 			}
 			if settled == nil {
-				settled = time.After(r.settings.Plan.Settle)
+				settled = time.After(r.settings.Plan.SettleTime)
 			}
 		default:
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -70,13 +70,13 @@
 	Want        []string                 `yaml:"want"`
 }
 
-func (c *checkCase) observations() *Seen {
-	s := &Seen{plan: &Plan{Expect: Expect{MostRefused: c.MostRefused, Repeats: c.Repeats}}, hasCounts: []bool{true}}
+func (c *checkCase) observations() *Observations {
+	s := &Observations{plan: &Plan{Expect: Expectations{MaxRefusedShare: c.MostRefused, AllowReruns: c.Repeats}}, hasCounts: []bool{true}}
 	for _, q := range c.Requests {
-		s.requests = append(s.requests, RequestSeen{id: q.ID, status: q.Status, outcome: q.Outcome, bodyMatches: q.Whole, neverRepeat: q.Never})
+		s.requests = append(s.requests, RequestObservation{id: q.ID, status: q.Status, outcome: q.Outcome, bodyMatches: q.Whole, neverRepeat: q.Never})
 	}
 	for _, j := range c.Jobs {
-		s.jobs = append(s.jobs, JobSeen{id: j.ID, accepted: j.Accepted, phase: j.Phase, tasks: j.Tasks})
+		s.jobs = append(s.jobs, JobObservation{id: j.ID, accepted: j.Accepted, phase: j.Phase, tasks: j.Tasks})
 	}
 	s.counts = []standin.Counts{{Requests: c.Runs, Tasks: c.Tasks, Overcommitted: c.Overfull}}
 	return s
@@ -103,7 +103,7 @@
 func TestScheduleFollowsRate(t *testing.T) {
 	p := &Plan{
 		Duration: 10 * time.Second,
-		Requests: []Stream{{Rate: []Step{{At: 0, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 1000}}}},
+		Requests: []RequestStream{{Rate: []RateStep{{At: 0, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 100}, {At: 5 * time.Second, PerSecond: 1000}}}},
 	}
 	first, second := p.Schedule(7, 2), p.Schedule(7, 2)
 	var firstHalf, secondHalf, secondVariant int
@@ -111,7 +111,7 @@
 		if a != second[i] {
 			t.Fatalf("arrival %d: got %v and %v from one seed, want the same", i, a, second[i])
 		}
-		if a.At() < 5*time.Second {
+		if a.Due() < 5*time.Second {
 			firstHalf++
 		} else {
 			secondHalf++
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -22,24 +22,24 @@
 // bundles are for the test driver in the folder experiments, which starts the processes.
 type Plan struct {
 	Name string `yaml:"name"`
-	// About describes what the experiment shows.
-	About string `yaml:"about"`
+	// Description describes what the experiment shows.
+	Description string `yaml:"about"`
 	// Duration is how long load is sent.
 	Duration time.Duration `yaml:"duration"`
-	// Settle is how long jobs may take to end after the last load was sent.
-	Settle   time.Duration `yaml:"settle"`
-	Team     string        `yaml:"team"`
-	Site     Site          `yaml:"site"`
-	Requests []Stream      `yaml:"requests"`
-	Jobs     []JobStream   `yaml:"jobs"`
-	Faults   []Fault       `yaml:"faults"`
-	Signals  []Signal      `yaml:"signals"`
-	// Restart lets the driver restart every process in turn.
-	Restart bool `yaml:"restart"`
+	// SettleTime is how long jobs may take to end after the last load was sent.
+	SettleTime time.Duration   `yaml:"settle"`
+	Team       string          `yaml:"team"`
+	Site       Site            `yaml:"site"`
+	Requests   []RequestStream `yaml:"requests"`
+	Jobs       []JobStream     `yaml:"jobs"`
+	Faults     []Fault         `yaml:"faults"`
+	Signals    []Signal        `yaml:"signals"`
+	// RollingRestart lets the driver restart every process in turn.
+	RollingRestart bool `yaml:"restart"`
 	// BundleRaces is how many pairs of bundles with the same parent the driver
 	// publishes, both bundles of a pair at the same time.
-	BundleRaces int    `yaml:"bundle-races"`
-	Expect      Expect `yaml:"expect"`
+	BundleRaces int          `yaml:"bundle-races"`
+	Expect      Expectations `yaml:"expect"`
 }
 
 // Site is the size of the site that the driver starts.
@@ -56,27 +56,27 @@
 	Slots int `yaml:"slots"`
 }
 
-// Stream is a stream of requests.
-type Stream struct {
+// RequestStream is a stream of requests.
+type RequestStream struct {
 	Name    string `yaml:"name"`
 	Service string `yaml:"service"`
 	Class   string `yaml:"class"`
 	// Rate is the arrival rate, interpolated linearly between its steps.
-	Rate []Step `yaml:"rate"`
-	// Work is the mean of the exponential distribution from which the work time of
+	Rate []RateStep `yaml:"rate"`
+	// MeanWork is the mean of the exponential distribution from which the work time of
 	// each request is drawn.
-	Work      time.Duration `yaml:"work"`
+	MeanWork  time.Duration `yaml:"work"`
 	BodyBytes int           `yaml:"body-bytes"`
 	// StragglerShare is the share of requests whose work time is StragglerWork.
 	StragglerShare float64       `yaml:"straggler-share"`
 	StragglerWork  time.Duration `yaml:"straggler-work"`
 	Deadline       time.Duration `yaml:"deadline"`
-	// Never marks the requests as ones that must not be repeated.
-	Never bool `yaml:"never-repeat"`
+	// NeverRepeat marks the requests as ones that must not be repeated.
+	NeverRepeat bool `yaml:"never-repeat"`
 }
 
-// Step is the rate at a time after the start.
-type Step struct {
+// RateStep is the rate at a time after the start.
+type RateStep struct {
 	At        time.Duration `yaml:"at"`
 	PerSecond float64       `yaml:"per-second"`
 }
@@ -85,15 +85,15 @@
 type JobStream struct {
 	Name  string           `yaml:"name"`
 	Class string           `yaml:"class"`
-	Rate  []Step           `yaml:"rate"`
+	Rate  []RateStep       `yaml:"rate"`
 	Tasks int              `yaml:"tasks"`
 	Size  worker.Resources `yaml:"size"`
-	// Run is how long each task runs; it is also the expected duration that the
+	// TaskDuration is how long each task runs; it is also the expected duration that the
 	// job states.
-	Run time.Duration `yaml:"run"`
+	TaskDuration time.Duration `yaml:"run"`
 	// StragglerShare is the share of jobs whose tasks run for StragglerRun.
-	StragglerShare float64       `yaml:"straggler-share"`
-	StragglerRun   time.Duration `yaml:"straggler-run"`
+	StragglerShare    float64       `yaml:"straggler-share"`
+	StragglerDuration time.Duration `yaml:"straggler-run"`
 	// CancelShare is the share of jobs that are cancelled as soon as they are accepted.
 	CancelShare float64 `yaml:"cancel-share"`
 }
@@ -110,28 +110,28 @@
 type Signal struct {
 	At      time.Duration `yaml:"at"`
 	Process string        `yaml:"process"`
-	// Send is kill (SIGKILL), term (SIGTERM) or pause (SIGSTOP, later SIGCONT).
-	Send string `yaml:"send"`
-	// Back is how long after the signal the process is started again, or resumed.
-	Back time.Duration `yaml:"back"`
+	// Action is kill (SIGKILL), term (SIGTERM) or pause (SIGSTOP, later SIGCONT).
+	Action string `yaml:"send"`
+	// ResumeAfter is how long after the signal the process is started again, or resumed.
+	ResumeAfter time.Duration `yaml:"back"`
 }
 
-// Expect states which violations an experiment tolerates. All other guarantees
+// Expectations states which violations an experiment tolerates. All other guarantees
 // must always hold.
-type Expect struct {
-	// MostRefused and MostUnknown are the largest tolerated shares of requests that
+type Expectations struct {
+	// MaxRefusedShare and MostUnknown are the largest tolerated shares of requests that
 	// are refused, or whose outcome stays unknown.
-	MostRefused float64 `yaml:"most-refused"`
-	MostUnknown float64 `yaml:"most-unknown"`
-	// ServiceErrors allows responses that report errors of the service itself.
-	ServiceErrors bool `yaml:"service-errors"`
-	// Repeats allows tasks to be started more than once, because a process or a
+	MaxRefusedShare float64 `yaml:"most-refused"`
+	MaxUnknownShare float64 `yaml:"most-unknown"`
+	// AllowServiceErrors allows responses that report errors of the service itself.
+	AllowServiceErrors bool `yaml:"service-errors"`
+	// AllowReruns allows tasks to be started more than once, because a process or a
 	// worker failed.
-	Repeats bool `yaml:"repeats"`
-	// JobFailures allows jobs to fail, because a worker fails its tasks.
-	JobFailures bool `yaml:"job-failures"`
-	// JobRefusals allows submissions to be refused or to have an unknown outcome.
-	JobRefusals bool `yaml:"job-refusals"`
+	AllowReruns bool `yaml:"repeats"`
+	// AllowJobFailures allows jobs to fail, because a worker fails its tasks.
+	AllowJobFailures bool `yaml:"job-failures"`
+	// AllowJobRefusals allows submissions to be refused or to have an unknown outcome.
+	AllowJobRefusals bool `yaml:"job-refusals"`
 }
 
 // ReadPlan reads a plan from a file and validates it.
@@ -146,7 +146,7 @@
 
 // ParsePlan decodes a plan and validates it.
 func ParsePlan(data []byte) (*Plan, error) {
-	p := &Plan{Settle: 30 * time.Second, Team: "nursery"}
+	p := &Plan{SettleTime: 30 * time.Second, Team: "nursery"}
 	if err := yaml.UnmarshalWithOptions(data, p, yaml.Strict()); err != nil {
 		return nil, errors.Mark(err, ErrPlan)
 	}
@@ -179,7 +179,7 @@
 		require(isShare(s.CancelShare), at+".cancel-share", "must be from 0 to 1")
 	}
 	for i, s := range p.Signals {
-		known := s.Send == "kill" || s.Send == "term" || s.Send == "pause"
+		known := s.Action == "kill" || s.Action == "term" || s.Action == "pause"
 		require(known, fmt.Sprintf("signals[%d].send", i), "want kill, term or pause")
 	}
 	return errs
@@ -187,7 +187,7 @@
 
 func isShare(v float64) bool { return v >= 0 && v <= 1 }
 
-func validRate(steps []Step) bool {
+func validRate(steps []RateStep) bool {
 	for i, s := range steps {
 		if s.PerSecond < 0 || (i > 0 && s.At < steps[i-1].At) {
 			return false
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -21,7 +21,7 @@
 )
 
 // WriteReport writes result.json and report.md into folder.
-func (s *Seen) WriteReport(folder string, r *Result) error {
+func (s *Observations) WriteReport(folder string, r *Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return err
 	}
@@ -35,17 +35,17 @@
 	return os.WriteFile(filepath.Join(folder, "report.md"), []byte(s.markdown(r)), fileMode)
 }
 
-func (s *Seen) markdown(r *Result) string {
+func (s *Observations) markdown(r *Result) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&b, format+"\n", args...) }
-	line("# %s\n\n%s\n\nSeed %d, %s of load.\n", r.Name, strings.TrimSpace(s.plan.About), r.Seed, s.plan.Duration)
+	line("# %s\n\n%s\n\nSeed %d, %s of load.\n", r.Name, strings.TrimSpace(s.plan.Description), r.Seed, s.plan.Duration)
 	if len(r.Requests) > 0 {
 		line("| requests | variant | sent | answered | refused | unknown | p50 ms | p99 ms | p99.9 ms | max ms |")
 		line("|---|---|---|---|---|---|---|---|---|---|")
 	}
 	for _, q := range r.Requests {
 		line("| %s | %s | %d | %d | %d | %d | %.1f | %.1f | %.1f | %.1f |", q.Stream, q.Variant, q.Sent, q.Answered,
-			q.Refused, q.Unknown, q.P50, q.P99, q.P999, q.Most)
+			q.Refused, q.Unknown, q.P50, q.P99, q.P999, q.Max)
 	}
 	if len(r.Jobs) > 0 {
 		line("\n| jobs | variant | submitted | accepted | succeeded | cancelled | failed | starts | p50 ms | max ms |")
@@ -53,7 +53,7 @@
 	}
 	for _, j := range r.Jobs {
 		line("| %s | %s | %d | %d | %d | %d | %d | %d | %.0f | %.0f |", j.Stream, j.Variant, j.Submitted, j.Accepted,
-			j.Succeeded, j.Cancelled, j.Failed, j.Starts, j.P50, j.Most)
+			j.Succeeded, j.Cancelled, j.Failed, j.Starts, j.P50, j.Max)
 	}
 	for _, q := range r.Ratios {
 		line("\nRatio to the baseline of %s: p50 %.2f, p99 %.2f.", q.Stream, q.P50, q.P99)
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -12,8 +12,8 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// RequestSeen is what a caller observed of one request.
-type RequestSeen struct {
+// RequestObservation is what a caller observed of one request.
+type RequestObservation struct {
 	id          string
 	stream      int
 	variant     int
@@ -33,7 +33,7 @@
 // runRequest sends one request and records its observation.
 func (r *Run) runRequest(ctx context.Context, id string, a Arrival) {
 	s := &r.settings.Plan.Requests[a.stream]
-	observed := RequestSeen{id: id, stream: a.stream, variant: a.variant, neverRepeat: s.Never, due: a.due, outcome: problem.Unknown}
+	observed := RequestObservation{id: id, stream: a.stream, variant: a.variant, neverRepeat: s.NeverRepeat, due: a.due, outcome: problem.Unknown}
 	r.sendRequest(ctx, s, a, &observed)
 	observed.latency = time.Since(r.start) - a.due
 	r.mu.Lock()
@@ -42,7 +42,7 @@
 }
 
 // sendRequest sends one request and fills in status, outcome and details of the response.
-func (r *Run) sendRequest(ctx context.Context, s *Stream, a Arrival, observed *RequestSeen) {
+func (r *Run) sendRequest(ctx context.Context, s *RequestStream, a Arrival, observed *RequestObservation) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	base := r.balancers[a.variant].Pick()
@@ -76,7 +76,7 @@
 	}
 }
 
-func (r *Run) setHeaders(req *http.Request, s *Stream, id string, work time.Duration) {
+func (r *Run) setHeaders(req *http.Request, s *RequestStream, id string, work time.Duration) {
 	req.Header.Set("Savoryhoist-Team", r.settings.Plan.Team)
 	req.Header.Set(standin.HeaderRequest, id)
 	req.Header.Set(standin.HeaderWork, work.String())
@@ -86,7 +86,7 @@
 	if s.Deadline > 0 {
 		req.Header.Set(link.HeaderDeadline, s.Deadline.String())
 	}
-	if s.Never {
+	if s.NeverRepeat {
 		req.Header.Set(link.HeaderRepeat, "never")
 	}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -41,7 +41,7 @@
 	P50      float64 `json:"p50-ms"`
 	P99      float64 `json:"p99-ms"`
 	P999     float64 `json:"p999-ms"`
-	Most     float64 `json:"max-ms"`
+	Max      float64 `json:"max-ms"`
 	// Quantiles and Series are the points of the plots: latency by quantile, and
 	// the 99th percentile of latency by time of arrival.
 	Quantiles []Point `json:"quantiles,omitempty"`
@@ -68,7 +68,7 @@
 	CancelMisses int     `json:"cancel-misses"`
 	Starts       int     `json:"starts"`
 	P50          float64 `json:"p50-ms"`
-	Most         float64 `json:"max-ms"`
+	Max          float64 `json:"max-ms"`
 }
 
 // Ratio is the latency of a stream of requests at the last variant of a run,
@@ -83,7 +83,7 @@
 const maxReportedViolations = 20
 
 // Result computes the result of a run from its observations.
-func (s *Seen) Result() *Result {
+func (s *Observations) Result() *Result {
 	violations := s.Violations()
 	r := &Result{Name: s.plan.Name, Seed: s.seed, Passed: len(violations) == 0, Violations: violations}
 	if n := len(violations); n > maxReportedViolations {
@@ -118,7 +118,7 @@
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-func (s *Seen) streamResult(stream, variant int, name string) StreamResult {
+func (s *Observations) streamResult(stream, variant int, name string) StreamResult {
 	out := StreamResult{Stream: s.plan.Requests[stream].Name, Variant: name}
 	histogram := newHistogram()
 	for i := range s.requests {
@@ -138,7 +138,7 @@
 		}
 	}
 	out.P50, out.P99 = percentileMS(histogram, 50), percentileMS(histogram, 99)
-	out.P999, out.Most = percentileMS(histogram, 99.9), percentileMS(histogram, 100)
+	out.P999, out.Max = percentileMS(histogram, 99.9), percentileMS(histogram, 100)
 	for _, nines := range []float64{0, 1, 2, 3} {
 		percentile := 100 * (1 - math.Pow(10, -nines))
 		out.Quantiles = append(out.Quantiles, Point{X: nines, Y: percentileMS(histogram, percentile)})
@@ -147,7 +147,7 @@
 	return out
 }
 
-func (s *Seen) jobResult(stream, variant int, name string) JobResult {
+func (s *Observations) jobResult(stream, variant int, name string) JobResult {
 	out := JobResult{Stream: s.plan.Jobs[stream].Name, Variant: name}
 	histogram := newHistogram()
 	for i := range s.jobs {
@@ -174,11 +174,11 @@
 			out.Failed++
 		}
 	}
-	out.P50, out.Most = percentileMS(histogram, 50), percentileMS(histogram, 100)
+	out.P50, out.Max = percentileMS(histogram, 50), percentileMS(histogram, 100)
 	return out
 }
 
-func (s *Seen) ratios(r *Result) []Ratio {
+func (s *Observations) ratios(r *Result) []Ratio {
 	if len(s.variants) < 2 {
 		return nil
 	}
@@ -198,7 +198,7 @@
 const seriesInterval = 500 * time.Millisecond
 
 // series returns the 99th percentile of a stream's latency by time of arrival.
-func (s *Seen) series(stream, variant int) []Point {
+func (s *Observations) series(stream, variant int) []Point {
 	intervals := make([]*hdrhistogram.Histogram, int(s.plan.Duration/seriesInterval)+1)
 	for i := range s.requests {
 		q := &s.requests[i]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -30,8 +30,8 @@
 	Plan     *Plan
 	Seed     uint64
 	Variants []Variant
-	// Progress gets a line of progress every progressInterval.
-	Progress io.Writer
+	// ProgressWriter gets a line of progress every progressInterval.
+	ProgressWriter io.Writer
 }
 
 // Run executes a plan once.
@@ -42,8 +42,8 @@
 	start     time.Time
 
 	mu       sync.Mutex
-	requests []RequestSeen
-	jobs     []JobSeen
+	requests []RequestObservation
+	jobs     []JobObservation
 	errs     []error
 }
 
@@ -70,7 +70,7 @@
 
 // Do sends the plan's load, waits until its jobs have ended or the settle time is
 // over, and returns the observations of callers and stand-ins.
-func (r *Run) Do(ctx context.Context) (*Seen, error) {
+func (r *Run) Do(ctx context.Context) (*Observations, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -134,7 +134,7 @@
 		r.mu.Lock()
 		requests, jobs := len(r.requests), len(r.jobs)
 		r.mu.Unlock()
-		_, _ = fmt.Fprintf(r.settings.Progress, "%s: %s of %s, %d requests, %d jobs\n", r.settings.Plan.Name,
+		_, _ = fmt.Fprintf(r.settings.ProgressWriter, "%s: %s of %s, %d requests, %d jobs\n", r.settings.Plan.Name,
 			time.Since(r.start).Round(time.Second), r.settings.Plan.Duration, requests, jobs)
 	}
 }
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -20,8 +20,8 @@
 	cancel bool
 }
 
-// At returns the time after the start of the run at which the request or job is due.
-func (a Arrival) At() time.Duration { return a.due }
+// Due returns the time after the start of the run at which the request or job is due.
+func (a Arrival) Due() time.Duration { return a.due }
 
 // Schedule returns all arrivals of a plan in order of time. The total rate is the
 // plan's rate times the number of variants, so that each variant gets the plan's
@@ -33,7 +33,7 @@
 		s := &p.Requests[i]
 		for _, at := range arrivals(random, s.Rate, p.Duration, variants) {
 			a := Arrival{due: at, stream: i, variant: random.IntN(variants)}
-			a.work = time.Duration(random.ExpFloat64() * float64(s.Work))
+			a.work = time.Duration(random.ExpFloat64() * float64(s.MeanWork))
 			if random.Float64() < s.StragglerShare {
 				a.work = s.StragglerWork
 			}
@@ -43,9 +43,9 @@
 	for i := range p.Jobs {
 		s := &p.Jobs[i]
 		for _, at := range arrivals(random, s.Rate, p.Duration, variants) {
-			a := Arrival{due: at, stream: i, isJob: true, variant: random.IntN(variants), work: s.Run}
+			a := Arrival{due: at, stream: i, isJob: true, variant: random.IntN(variants), work: s.TaskDuration}
 			if random.Float64() < s.StragglerShare {
-				a.work = s.StragglerRun
+				a.work = s.StragglerDuration
 			}
 			a.cancel = random.Float64() < s.CancelShare
 			out = append(out, a)
@@ -57,7 +57,7 @@
 
 // arrivals draws the times of a Poisson process whose rate is factor times that
 // of steps, by thinning.
-func arrivals(random *rand.Rand, steps []Step, length time.Duration, factor int) []time.Duration {
+func arrivals(random *rand.Rand, steps []RateStep, length time.Duration, factor int) []time.Duration {
 	maxRate := 0.0
 	for _, s := range steps {
 		maxRate = max(maxRate, s.PerSecond)
@@ -80,7 +80,7 @@
 
 // rateAt returns the rate at a time, interpolated between steps. Before the first
 // and after the last step the rate is constant.
-func rateAt(steps []Step, at time.Duration) float64 {
+func rateAt(steps []RateStep, at time.Duration) float64 {
 	for i, s := range steps {
 		if at >= s.At {
 			continue
