--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -168,7 +168,7 @@
 	return c.beginTerm(ctx, own, found, reason)
 }
 
-// newestClaim returns the newest claim and the end offset of store.TopicDispatch.
+// newestClaim returns the newest claim and the end offset of store.TopicLeadership.
 func (c *Coordinator) newestClaim(ctx context.Context) (leadership.Claim, uint64, error) {
 	type found struct {
 		claim leadership.Claim
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -91,7 +91,7 @@
 	// TaskDuration is how long each task runs; it is also the expected duration that the
 	// job states.
 	TaskDuration time.Duration `yaml:"run"`
-	// StragglerShare is the share of jobs whose tasks run for StragglerRun.
+	// StragglerShare is the share of jobs whose tasks run for StragglerDuration.
 	StragglerShare    float64       `yaml:"straggler-share"`
 	StragglerDuration time.Duration `yaml:"straggler-run"`
 	// CancelShare is the share of jobs that are cancelled as soon as they are accepted.
@@ -119,7 +119,7 @@
 // Expectations states which violations an experiment tolerates. All other guarantees
 // must always hold.
 type Expectations struct {
-	// MaxRefusedShare and MostUnknown are the largest tolerated shares of requests that
+	// MaxRefusedShare and MaxUnknownShare are the largest tolerated shares of requests that
 	// are refused, or whose outcome stays unknown.
 	MaxRefusedShare float64 `yaml:"most-refused"`
 	MaxUnknownShare float64 `yaml:"most-unknown"`
