--- a/internal/bench/request/baseline.go
+++ b/internal/bench/request/baseline.go
@@ -2,90 +2,93 @@
 
 import "time"
 
-// server is an endpoint without an agent: a runner with slots and a line in
-// the order of arrival, bounded by its connections.
-type server struct {
+// fifoEndpoint simulates an endpoint without an agent: a runner with
+// slotsPerEndpoint slots and a FIFO queue. It refuses requests beyond
+// maxConnections.
+type fifoEndpoint struct {
 	s       *sim
 	index   int
 	running int
-	line    []*call
-	ended   func(c *call, ok bool)
+	queue   []*call
+	onEnd   func(c *call, ok bool)
 }
 
-// receive takes in a request or refuses it.
-func (v *server) receive(c *call) {
-	if v.running+len(v.line) >= connections {
-		v.ended(c, false)
+// receive queues a request, or refuses it if all connections are in use.
+func (v *fifoEndpoint) receive(c *call) {
+	if v.running+len(v.queue) >= maxConnections {
+		v.onEnd(c, false)
 		return
 	}
-	v.line = append(v.line, c)
-	v.work()
+	v.queue = append(v.queue, c)
+	v.startQueued()
 }
 
-func (v *server) work() {
-	for v.running < slots && len(v.line) > 0 {
-		c := v.line[0]
-		v.line = v.line[1:]
+func (v *fifoEndpoint) startQueued() {
+	for v.running < slotsPerEndpoint && len(v.queue) > 0 {
+		c := v.queue[0]
+		v.queue = v.queue[1:]
 		if c.settled {
-			v.ended(c, true)
+			v.onEnd(c, true)
 			continue
 		}
 		v.running++
-		ok, spent := runAt(v.s, v.index, c)
-		v.s.at(spent, func() {
+		ok, spent := startAttempt(v.s, v.index, c)
+		v.s.schedule(spent, func() {
 			v.running--
-			v.ended(c, ok)
-			v.work()
+			v.onEnd(c, ok)
+			v.startQueued()
 		})
 	}
 }
 
-// runAt returns whether a request succeeds at an endpoint and how long it
-// holds its slot; a caller that gives up ends it.
-func runAt(s *sim, index int, c *call) (bool, time.Duration) {
+// startAttempt starts a request at an endpoint and returns whether it will
+// succeed and how long it will occupy its slot, at most until its deadline, when
+// the caller disconnects.
+func startAttempt(s *sim, index int, c *call) (bool, time.Duration) {
 	if index == failingEndpoint {
-		return false, failTime
+		return false, failDelay
 	}
-	s.begin(c)
-	return true, min(took(index, c.work), max(c.deadline.Sub(s.now), 0))
+	s.markStarted(c)
+	return true, min(serviceTimeAt(index, c.serviceTime), max(c.deadline.Sub(s.now), 0))
 }
 
-// spread routes each request by pick, without a queue of its own.
-type spreader struct {
-	s       *sim
-	servers [endpoints]*server
-	sent    [][endpoints]int
-	next    []int
-	pick    func(p *spreader, c *call) int
+// directPolicy sends each request at once to the endpoint that pick returns; it
+// has no queue of its own.
+type directPolicy struct {
+	s          *sim
+	servers    [endpointCount]*fifoEndpoint
+	inFlight   [][endpointCount]int
+	lastPicked []int
+	pick       func(p *directPolicy, c *call) int
 }
 
-func newSpreader(s *sim, pick func(p *spreader, c *call) int) policy {
-	p := &spreader{s: s, pick: pick, sent: make([][endpoints]int, s.deployment.entries), next: make([]int, s.deployment.entries)}
-	for i := range p.next {
-		p.next[i] = s.random.IntN(endpoints)
+func newDirectPolicy(s *sim, pick func(p *directPolicy, c *call) int) policy {
+	p := &directPolicy{s: s, pick: pick, inFlight: make([][endpointCount]int, s.deployment.entries), lastPicked: make([]int, s.deployment.entries)}
+	for i := range p.lastPicked {
+		p.lastPicked[i] = s.random.IntN(endpointCount)
 	}
 	for i := range p.servers {
-		p.servers[i] = &server{s: s, index: i, ended: func(c *call, ok bool) { p.ended(i, c, ok) }}
+		p.servers[i] = &fifoEndpoint{s: s, index: i, onEnd: func(c *call, ok bool) { p.attemptEnded(i, c, ok) }}
 	}
 	return p
 }
 
-func (p *spreader) arrive(c *call) {
+func (p *directPolicy) arrive(c *call) {
 	i := p.pick(p, c)
-	c.attempt++
-	p.sent[c.entry][i]++
-	p.s.at(hopTime, func() { p.servers[i].receive(c) })
+	c.attempts++
+	p.inFlight[c.entry][i]++
+	p.s.schedule(hopDelay, func() { p.servers[i].receive(c) })
 }
 
-func (p *spreader) ended(i int, c *call, ok bool) {
-	p.s.at(hopTime, func() {
-		p.sent[c.entry][i]--
+func (p *directPolicy) attemptEnded(i int, c *call, ok bool) {
+	p.s.schedule(hopDelay, func() {
+		p.inFlight[c.entry][i]--
 		switch {
 		case c.settled:
 		case ok:
 			p.s.settle(c, answered)
-		case c.attempt < mostAttempts:
-			c.skip = i
+		case c.attempts < maxAttempts:
+			c.excluded = i
 			p.arrive(c)
 		default:
 			p.s.settle(c, refused)
@@ -94,9 +97,9 @@
 }
 
 func newRandom(s *sim) policy {
-	return newSpreader(s, func(p *spreader, c *call) int {
+	return newDirectPolicy(s, func(p *directPolicy, c *call) int {
 		for {
-			if i := p.s.random.IntN(endpoints); i != c.skip {
+			if i := p.s.random.IntN(endpointCount); i != c.excluded {
 				return i
 			}
 		}
@@ -104,23 +107,23 @@
 }
 
 func newRoundRobin(s *sim) policy {
-	return newSpreader(s, func(p *spreader, c *call) int {
+	return newDirectPolicy(s, func(p *directPolicy, c *call) int {
 		for {
-			p.next[c.entry] = (p.next[c.entry] + 1) % endpoints
-			if p.next[c.entry] != c.skip {
-				return p.next[c.entry]
+			p.lastPicked[c.entry] = (p.lastPicked[c.entry] + 1) % endpointCount
+			if p.lastPicked[c.entry] != c.excluded {
+				return p.lastPicked[c.entry]
 			}
 		}
 	})
 }
 
 func newLeastInFlight(s *sim) policy {
-	return newSpreader(s, func(p *spreader, c *call) int {
+	return newDirectPolicy(s, func(p *directPolicy, c *call) int {
 		best := -1
-		offset := p.s.random.IntN(endpoints)
-		for k := range endpoints {
-			i := (k + offset) % endpoints
-			if i != c.skip && (best < 0 || p.sent[c.entry][i] < p.sent[c.entry][best]) {
+		offset := p.s.random.IntN(endpointCount)
+		for k := range endpointCount {
+			i := (k + offset) % endpointCount
+			if i != c.excluded && (best < 0 || p.inFlight[c.entry][i] < p.inFlight[c.entry][best]) {
 				best = i
 			}
 		}
@@ -128,61 +131,62 @@
 	})
 }
 
-// oneLine is one FIFO queue before all endpoints that knows at once which
-// slots are free.
-type oneLine struct {
+// centralQueue is a policy with one FIFO queue in front of all endpoints, which
+// knows without delay which slots are free.
+type centralQueue struct {
 	s       *sim
-	running [endpoints]int
-	line    []*call
+	running [endpointCount]int
+	queue   []*call
 }
 
-func newOneLine(s *sim) policy { return &oneLine{s: s} }
+func newCentralQueue(s *sim) policy { return &centralQueue{s: s} }
 
-func (p *oneLine) arrive(c *call) {
-	p.line = append(p.line, c)
-	p.work()
+func (p *centralQueue) arrive(c *call) {
+	p.queue = append(p.queue, c)
+	p.startQueued()
 }
 
-func (p *oneLine) work() {
-	for len(p.line) > 0 {
-		c := p.line[0]
+func (p *centralQueue) startQueued() {
+	for len(p.queue) > 0 {
+		c := p.queue[0]
 		if c.settled {
-			p.line = p.line[1:]
+			p.queue = p.queue[1:]
 			continue
 		}
-		i := p.free(c.skip)
+		i := p.freeEndpoint(c.excluded)
 		if i < 0 {
 			return
 		}
-		p.line = p.line[1:]
+		p.queue = p.queue[1:]
 		p.running[i]++
-		c.attempt++
-		p.s.at(hopTime, func() { p.start(i, c) })
+		c.attempts++
+		p.s.schedule(hopDelay, func() { p.start(i, c) })
 	}
 }
 
-func (p *oneLine) start(i int, c *call) {
-	ok, spent := runAt(p.s, i, c)
-	p.s.at(spent+hopTime, func() {
+func (p *centralQueue) start(i int, c *call) {
+	ok, spent := startAttempt(p.s, i, c)
+	p.s.schedule(spent+hopDelay, func() {
 		p.running[i]--
 		switch {
 		case ok:
 			p.s.settle(c, answered)
-		case c.attempt < mostAttempts:
-			c.skip = i
-			p.line = append([]*call{c}, p.line...)
+		case c.attempts < maxAttempts:
+			c.excluded = i
+			p.queue = append([]*call{c}, p.queue...)
 		default:
 			p.s.settle(c, refused)
 		}
-		p.work()
+		p.startQueued()
 	})
 }
 
-// free returns a random endpoint with a free slot, or -1.
-func (p *oneLine) free(skip int) int {
-	offset := p.s.random.IntN(endpoints)
-	for k := range endpoints {
-		if i := (k + offset) % endpoints; i != skip && p.running[i] < slots {
+// freeEndpoint returns a random endpoint other than excluded that has a free
+// slot, or -1.
+func (p *centralQueue) freeEndpoint(excluded int) int {
+	offset := p.s.random.IntN(endpointCount)
+	for k := range endpointCount {
+		if i := (k + offset) % endpointCount; i != excluded && p.running[i] < slotsPerEndpoint {
 			return i
 		}
 	}
--- a/internal/bench/request/bench.go
+++ b/internal/bench/request/bench.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Settings configure the bench.
+// Settings configure the benchmark.
 type Settings struct {
-	// Length is the virtual time of each run.
+	// Length is the measured virtual time of each simulation, after the warm-up.
 	Length time.Duration
-	// Seeds is the number of seeds of each run.
+	// Seeds is the number of seeds with which each simulation runs.
 	Seeds int
-	// Calls is the number of requests sent over each way to measure hops.
+	// Calls is the number of requests with which the latency of each path to a
+	// runner, and of each link, is measured.
 	Calls int
 }
 
-// Summary is the last line of the bench.
+// Summary is the benchmark's last line of output.
 type Summary struct {
 	Target                    string             `json:"target"`
 	CrestP99RatioToRoundRobin float64            `json:"crest-p99-ratio-to-round-robin"`
@@ -37,7 +38,8 @@
 	Seeds                     int                `json:"seeds"`
 }
 
-// Run measures everything and ends with one line of JSON.
+// Run writes all results to w as tables and text lines, and a Summary in JSON as
+// the last line.
 func Run(ctx context.Context, w io.Writer, s Settings) error {
 	sum := Summary{Target: "bench-request", Seeds: s.Seeds, LinkP50US: map[string]float64{}, LinkP99US: map[string]float64{}}
 	sum.OverloadGoodputRatio, sum.OverloadUsefulWorkRatio = math.Inf(1), math.Inf(1)
--- a/internal/bench/request/hop.go
+++ b/internal/bench/request/hop.go
@@ -15,89 +15,92 @@
 )
 
 const (
-	// hopBody is the size of the requests and answers, in bytes.
-	hopBody = 1024
-	// hopParts is how often the two ways take turns.
-	hopParts = 10
+	// bodyBytes is the size of the bodies of requests and responses.
+	bodyBytes = 1024
+	// hopRounds is how often the two paths are measured in turn.
+	hopRounds = 10
 )
 
-// way is a way to a runner under measurement.
-type way struct {
-	name   string
-	url    string
-	header http.Header
-	client *http.Client
-	times  []time.Duration
-	cpu    time.Duration
+// requestPath is a path to a runner whose latency and processor time are
+// measured.
+type requestPath struct {
+	name      string
+	url       string
+	header    http.Header
+	client    *http.Client
+	latencies []time.Duration
+	cpu       time.Duration
 }
 
-// measureHops compares the way through entry and agent with a chain of two
-// empty net/http hops before the same runner, in turns.
+// measureHops compares the path through entry and agent with a chain of two
+// net/http proxies that only forward, before the same runner. The two paths are
+// measured in turn, after a round that isn't counted.
 func (sum *Summary) measureHops(ctx context.Context, w io.Writer, calls int) error {
-	s, err := startSite(ctx)
+	s, err := startTestbed(ctx)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	inner, err := s.host(emptyHop(s.runner))
+	inner, err := s.serve(passThroughHandler(s.runner))
 	if err != nil {
 		return err
 	}
-	outer, err := s.host(emptyHop(inner))
+	outer, err := s.serve(passThroughHandler(inner))
 	if err != nil {
 		return err
 	}
-	ways := [...]*way{
-		{name: "entry and agent", url: "http://" + s.entry.Address() + "/services/" + siteService + "/x", header: http.Header{entry.HeaderTeam: {siteTeam}}},
+	paths := [...]*requestPath{
+		{name: "entry and agent", url: "http://" + s.entry.Address() + "/services/" + testbedService + "/x", header: http.Header{entry.HeaderTeam: {testbedTeam}}},
 		{name: "two empty hops", url: outer + "/x"},
 	}
-	for i := range ways {
-		ways[i].client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
+	for i := range paths {
+		paths[i].client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConnections}}
 	}
-	for part := range hopParts + 1 {
-		for _, y := range ways {
-			if err := y.measure(ctx, calls/hopParts, part > 0); err != nil {
-				return errors.Wrap(err, y.name)
+	for part := range hopRounds + 1 {
+		for _, p := range paths {
+			if err := p.measure(ctx, calls/hopRounds, part > 0); err != nil {
+				return errors.Wrap(err, p.name)
 			}
 		}
 	}
-	for _, y := range ways {
-		_, _ = fmt.Fprintf(w, "%s: p50 %.0f us, p99 %.0f us, %.0f us of processor time a request of 1 KB\n", y.name,
-			us(quantile(y.times, 0.5)), us(quantile(y.times, 0.99)), us(y.cpu)/float64(len(y.times)))
+	for _, p := range paths {
+		_, _ = fmt.Fprintf(w, "%s: p50 %.0f us, p99 %.0f us, %.0f us of processor time a request of 1 KB\n", p.name,
+			us(quantile(p.latencies, 0.5)), us(quantile(p.latencies, 0.99)), us(p.cpu)/float64(len(p.latencies)))
 	}
-	sum.HopP50Ratio = quantile(ways[0].times, 0.5).Seconds() / quantile(ways[1].times, 0.5).Seconds()
-	sum.HopCPURatio = ways[0].cpu.Seconds() / ways[1].cpu.Seconds()
+	sum.HopP50Ratio = quantile(paths[0].latencies, 0.5).Seconds() / quantile(paths[1].latencies, 0.5).Seconds()
+	sum.HopCPURatio = paths[0].cpu.Seconds() / paths[1].cpu.Seconds()
 	return nil
 }
 
-// measure sends requests one after the other; the first part is not counted.
-func (y *way) measure(ctx context.Context, calls int, count bool) error {
-	body := bytes.Repeat([]byte("x"), hopBody)
+// measure sends requests one after the other and, if count is set, records their
+// latencies and the processor time.
+func (p *requestPath) measure(ctx context.Context, calls int, count bool) error {
+	body := bytes.Repeat([]byte("x"), bodyBytes)
 	before := processorTime()
 	for range calls {
 		began := time.Now()
-		if err := y.call(ctx, body); err != nil {
+		if err := p.call(ctx, body); err != nil {
 			return err
 		}
 		if count {
-			y.times = append(y.times, time.Since(began))
+			p.latencies = append(p.latencies, time.Since(began))
 		}
 	}
 	if count {
-		y.cpu += processorTime() - before
+		p.cpu += processorTime() - before
 	}
 	return nil
 }
 
-func (y *way) call(ctx context.Context, body []byte) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, y.url, bytes.NewReader(body))
+func (p *requestPath) call(ctx context.Context, body []byte) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	for k, v := range y.header {
+	for k, v := range p.header {
 		req.Header[k] = v
 	}
-	resp, err := y.client.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -107,14 +110,14 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || !bytes.Equal(got, body) {
-		return errors.Newf("status %d, %d bytes", resp.StatusCode, len(got))
+		return errors.Newf("response differs from the request: status %d, %d bytes", resp.StatusCode, len(got))
 	}
 	return nil
 }
 
-// emptyHop passes requests on and does nothing else.
-func emptyHop(to string) http.Handler {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections, DisableCompression: true}}
+// passThroughHandler forwards requests to a base URL and does nothing else.
+func passThroughHandler(to string) http.Handler {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConnections, DisableCompression: true}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -138,7 +141,7 @@
 	})
 }
 
-// processorTime returns the processor time of this process.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/internal/bench/request/links.go
+++ b/internal/bench/request/links.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	// linkLoss is the part of packets lost by a lossy link.
-	linkLoss = 0.01
-	// linkDelay is the one-way delay of the links between data centres.
+	// lossRate is the fraction of packets that a lossy link drops.
+	lossRate = 0.01
+	// linkDelay is the one-way delay of a link between data centres.
 	linkDelay = 4 * time.Millisecond
-	// tcpLossDelay is what a lost segment of a short exchange costs over TCP:
-	// the sender's least retransmission time. A shim in this process cannot
-	// lose segments of the kernel's TCP, so it delays them.
+	// tcpLossDelay is the delay that a lost TCP segment causes in a short
+	// exchange: the sender's minimum retransmission timeout. A proxy in this
+	// process can't drop segments of the kernel's TCP, so it delays the data.
 	tcpLossDelay = 200 * time.Millisecond
-	// linkCalls is the most calls over one link, one after the other.
-	linkCalls = 400
-	// linkStop bounds the wait for the server's end.
-	linkStop = time.Second
-	// datagramSize is the largest datagram that is passed on.
-	datagramSize = 2048
+	// maxLinkCalls limits the requests sent over one link, one after the other.
+	maxLinkCalls = 400
+	// linkShutdownTimeout limits the graceful shutdown of the server.
+	linkShutdownTimeout = time.Second
+	// maxDatagramBytes is the size of the largest datagram that is forwarded.
+	maxDatagramBytes = 2048
 )
 
-// measureLinks compares the link's two transports, without loss and with it.
+// measureLinks measures the latency of requests over the two transports of
+// package link, TCP and QUIC, without and with packet loss.
 func (sum *Summary) measureLinks(ctx context.Context, w io.Writer, calls int) error {
 	now := time.Now()
-	authority, err := link.NewAuthority(now, siteValid)
+	authority, err := link.NewAuthority(now, certificateLifetime)
 	if err != nil {
 		return err
 	}
-	server, err := issue(authority, link.RoleAgent, "worker-1")
+	server, err := issueIdentity(authority, link.RoleAgent, "worker-1")
 	if err != nil {
 		return err
 	}
-	client, err := issue(authority, link.RoleEntry, "entry-1")
+	client, err := issueIdentity(authority, link.RoleEntry, "entry-1")
 	if err != nil {
 		return err
 	}
@@ -56,21 +57,21 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer func() {
-		ended, stop := context.WithTimeout(ctx, linkStop)
+		ended, stop := context.WithTimeout(ctx, linkShutdownTimeout)
 		defer stop()
 		_ = s.Shutdown(ended)
 	}()
 	group.Go(func() { _ = s.ServeTCP() })
 	group.Go(func() { _ = s.ServeQUIC() })
-	for _, loss := range []float64{0, linkLoss} {
+	for _, loss := range []float64{0, lossRate} {
 		for _, transport := range []string{"tcp", "quic"} {
-			shim, err := newShim(transport, s.Address(), loss)
+			shim, err := newLinkProxy(transport, s.Address(), loss)
 			if err != nil {
 				return err
 			}
 			group.Go(shim.run)
 			name := fmt.Sprintf("%s-loss-%g", transport, loss)
-			times, err := callLink(ctx, client, transport, shim.address(), min(calls, linkCalls))
+			times, err := measureLink(ctx, client, transport, shim.address(), min(calls, maxLinkCalls))
 			shim.close()
 			if err != nil {
 				return errors.Wrap(err, name)
@@ -82,14 +83,14 @@
 	return nil
 }
 
-func callLink(ctx context.Context, id *link.Identity, transport, address string, calls int) ([]time.Duration, error) {
+func measureLink(ctx context.Context, id *link.Identity, transport, address string, calls int) ([]time.Duration, error) {
 	client := link.NewClient(id, link.RoleAgent)
 	defer func() { _ = client.Close() }()
-	way := client.Requests()
+	roundTripper := client.Requests()
 	if transport == "quic" {
-		way = client.Control()
+		roundTripper = client.Control()
 	}
-	body := bytes.Repeat([]byte("x"), hopBody)
+	body := bytes.Repeat([]byte("x"), bodyBytes)
 	var times []time.Duration
 	for i := range calls {
 		began := time.Now()
@@ -97,7 +98,7 @@
 		if err != nil {
 			return nil, err
 		}
-		resp, err := way.RoundTrip(req)
+		resp, err := roundTripper.RoundTrip(req)
 		if err != nil {
 			return nil, err
 		}
@@ -113,37 +114,38 @@
 	return times, nil
 }
 
-// shim passes traffic on with a delay, and loses some of it.
-type shim struct {
-	to     string
-	loss   float64
-	ln     net.Listener
-	udp    *net.UDPConn
-	mu     sync.Mutex
-	random *rand.Rand
-	open   []io.Closer
-	group  sync.WaitGroup
+// linkProxy forwards traffic to a server with linkDelay and simulates packet
+// loss: it drops datagrams and delays TCP data by tcpLossDelay.
+type linkProxy struct {
+	target   string
+	lossRate float64
+	listener net.Listener
+	udp      *net.UDPConn
+	mu       sync.Mutex
+	random   *rand.Rand
+	conns    []io.Closer
+	group    sync.WaitGroup
 }
 
-func newShim(transport, to string, loss float64) (*shim, error) {
-	s := &shim{to: to, loss: loss, random: rand.New(rand.NewPCG(1, 1))} //nolint:gosec // a bench needs fixed seeds
+func newLinkProxy(transport, to string, loss float64) (*linkProxy, error) {
+	s := &linkProxy{target: to, lossRate: loss, random: rand.New(rand.NewPCG(1, 1))} //nolint:gosec // fixed seed for repeatable results
 	var err error
 	if transport == "quic" {
 		s.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		return s, err
 	}
-	s.ln, err = new(net.ListenConfig).Listen(context.Background(), "tcp", loopback)
+	s.listener, err = new(net.ListenConfig).Listen(context.Background(), "tcp", loopback)
 	return s, err
 }
 
-func (s *shim) address() string {
+func (s *linkProxy) address() string {
 	if s.udp != nil {
 		return s.udp.LocalAddr().String()
 	}
-	return s.ln.Addr().String()
+	return s.listener.Addr().String()
 }
 
-func (s *shim) run() {
+func (s *linkProxy) run() {
 	if s.udp != nil {
 		s.runUDP()
 	} else {
@@ -152,34 +154,34 @@
 	s.group.Wait()
 }
 
-func (s *shim) close() {
+func (s *linkProxy) close() {
 	if s.udp != nil {
 		_ = s.udp.Close()
 	} else {
-		_ = s.ln.Close()
+		_ = s.listener.Close()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.open {
+	for _, c := range s.conns {
 		_ = c.Close()
 	}
 }
 
-func (s *shim) lost() bool {
+func (s *linkProxy) lost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.random.Float64() < s.loss
+	return s.random.Float64() < s.lossRate
 }
 
-func (s *shim) track(c io.Closer) {
+func (s *linkProxy) track(c io.Closer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = append(s.open, c)
+	s.conns = append(s.conns, c)
 }
 
-// runUDP passes datagrams of one client on and back.
-func (s *shim) runUDP() {
-	conn, err := new(net.Dialer).DialContext(context.Background(), "udp", s.to)
+// runUDP forwards datagrams between one client and the server.
+func (s *linkProxy) runUDP() {
+	conn, err := new(net.Dialer).DialContext(context.Background(), "udp", s.target)
 	if err != nil {
 		return
 	}
@@ -187,7 +189,7 @@
 	var back *net.UDPAddr
 	var mu sync.Mutex
 	s.group.Go(func() {
-		buffer := make([]byte, datagramSize)
+		buffer := make([]byte, maxDatagramBytes)
 		for {
 			n, err := conn.Read(buffer)
 			if err != nil {
@@ -202,7 +204,7 @@
 			}
 		}
 	})
-	buffer := make([]byte, datagramSize)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := s.udp.ReadFromUDP(buffer)
 		if err != nil {
@@ -218,13 +220,13 @@
 	}
 }
 
-func (s *shim) runTCP() {
+func (s *linkProxy) runTCP() {
 	for {
-		in, err := s.ln.Accept()
+		in, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.to)
+		out, err := new(net.Dialer).DialContext(context.Background(), "tcp", s.target)
 		if err != nil {
 			_ = in.Close()
 			continue
@@ -236,9 +238,9 @@
 	}
 }
 
-func (s *shim) pipe(from, to net.Conn) {
+func (s *linkProxy) pipe(from, to net.Conn) {
 	defer func() { _ = to.Close() }()
-	buffer := make([]byte, datagramSize)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
--- a/internal/bench/request/result.go
+++ b/internal/bench/request/result.go
@@ -5,83 +5,84 @@
 	"time"
 )
 
-// ending says how a request ended.
-type ending uint8
+// outcome is how a request ended; late means that its deadline passed first.
+type outcome uint8
 
 const (
-	answered ending = iota
+	answered outcome = iota
 	refused
 	late
 )
 
-// result holds the figures of a run.
+// result holds the figures of one simulation.
 type result struct {
 	length  time.Duration
 	end     time.Time
 	classes [2]classResult
-	// goodInTime and goodWork are the requests answered before the end of the
-	// run and before their deadlines, and their work.
-	goodInTime int
-	goodWork   time.Duration
+	// goodRequests counts the requests answered before the end of the simulation
+	// and before their deadlines, and goodWork is the sum of their service times.
+	goodRequests int
+	goodWork     time.Duration
 }
 
-// classResult holds the figures of one class. A request without an answer in
-// time counts as one that took its whole deadline.
+// classResult holds the figures of one class. A request that was not answered
+// before its deadline counts with the whole time to its deadline as latency.
 type classResult struct {
-	times, crest, waits []time.Duration
-	good, refused, late int
+	latencies, crestLatencies, queueTimes []time.Duration
+	answered, refused, late               int
 }
 
-func (r *result) add(now time.Time, c *call, end ending) {
+func (r *result) add(now time.Time, c *call, end outcome) {
 	k := &r.classes[c.class]
-	spent := now.Sub(c.at)
+	spent := now.Sub(c.arrivedAt)
 	switch end {
 	case answered:
-		k.good++
+		k.answered++
 		if !now.After(r.end) {
-			r.goodInTime++
-			r.goodWork += c.work
+			r.goodRequests++
+			r.goodWork += c.serviceTime
 		}
 	case refused:
 		k.refused++
-		spent = c.deadline.Sub(c.at)
+		spent = c.deadline.Sub(c.arrivedAt)
 	case late:
 		k.late++
 	}
-	k.times = append(k.times, spent)
-	if c.crest {
-		k.crest = append(k.crest, spent)
+	k.latencies = append(k.latencies, spent)
+	if c.atCrest {
+		k.crestLatencies = append(k.crestLatencies, spent)
 	}
-	if c.began {
-		k.waits = append(k.waits, c.wait)
+	if c.started {
+		k.queueTimes = append(k.queueTimes, c.queueTime)
 	}
 }
 
-// merge adds another run of the same kind.
+// merge adds the figures of another simulation of the same scenario and policy.
 func (r *result) merge(o *result) {
 	r.length += o.length
 	r.goodWork += o.goodWork
-	r.goodInTime += o.goodInTime
+	r.goodRequests += o.goodRequests
 	for i := range r.classes {
 		k, ok := &r.classes[i], &o.classes[i]
-		k.times = append(k.times, ok.times...)
-		k.crest = append(k.crest, ok.crest...)
-		k.waits = append(k.waits, ok.waits...)
-		k.good += ok.good
+		k.latencies = append(k.latencies, ok.latencies...)
+		k.crestLatencies = append(k.crestLatencies, ok.crestLatencies...)
+		k.queueTimes = append(k.queueTimes, ok.queueTimes...)
+		k.answered += ok.answered
 		k.refused += ok.refused
 		k.late += ok.late
 	}
 }
 
-// goodput returns the requests answered in time, a second.
+// goodput returns the requests answered in time per second.
 func (r *result) goodput() float64 {
-	return float64(r.goodInTime) / r.length.Seconds()
+	return float64(r.goodRequests) / r.length.Seconds()
 }
 
-// usefulSlots returns the mean number of slots at work for answers in time.
+// usefulSlots returns the mean number of slots busy with requests that were
+// answered in time.
 func (r *result) usefulSlots() float64 { return r.goodWork.Seconds() / r.length.Seconds() }
 
-// quantile returns the part q of values, which it sorts.
+// quantile sorts values in place and returns their q-quantile.
 func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/internal/bench/request/sim.go
+++ b/internal/bench/request/sim.go
@@ -1,6 +1,7 @@
-// Package request measures the policy for interactive requests: the deciding
-// code of pkg/endpoint against simple policies kept here, in virtual time, the
-// cost of a routing decision, and the cost of the way through entry and agent.
+// Package request benchmarks the routing of interactive requests. It compares the
+// policy of pkg/endpoint with simple baseline policies in a discrete-event
+// simulation, and measures the cost of a routing decision, of the path through
+// entry and agent, and of the transports of package link.
 package request
 
 import (
@@ -10,131 +11,144 @@
 	"time"
 )
 
-// Sizes of the bench.
+// Sizes and times of the simulation.
 const (
-	endpoints   = 11
-	slots       = 8
-	connections = 64
-	// slowFactor is how many times longer requests take at the slow endpoint.
+	endpointCount    = 11
+	slotsPerEndpoint = 8
+	maxConnections   = 64
+	// slowFactor multiplies service times at the slow endpoint.
 	slowFactor = 4
-	// stragglerFactor is how many times longer than a short request a straggler is.
+	// stragglerFactor is the mean service time of a straggler, a rare very long
+	// request, divided by that of the short class; stragglerShare is the
+	// fraction of requests that are stragglers.
 	stragglerFactor = 50
-	stragglerPart   = 0.02
-	// spread is the standard deviation of the logarithm of service times.
-	spread = 0.5
-	// failTime is how long the failing endpoint takes to fail.
-	failTime = time.Millisecond
-	// hopTime is the time between entry and agent, one way.
-	hopTime = 200 * time.Microsecond
-	// reportEvery and reportLag are about load reports.
-	reportEvery = 500 * time.Millisecond
-	reportLag   = 250 * time.Millisecond
-	// warmUp is left out of the figures.
+	stragglerShare  = 0.02
+	// serviceTimeSigma is the standard deviation of the logarithm of service
+	// times, which are log-normally distributed.
+	serviceTimeSigma = 0.5
+	// failDelay is how long the failing endpoint takes to fail a request.
+	failDelay = time.Millisecond
+	// hopDelay is the one-way delay between entry and agent.
+	hopDelay = 200 * time.Microsecond
+	// reportInterval is the time between an agent's load reports, and reportDelay
+	// the time until the entries have received one.
+	reportInterval = 500 * time.Millisecond
+	reportDelay    = 250 * time.Millisecond
+	// warmUp is the time at the start whose requests are left out of the results.
 	warmUp = 3 * time.Second
-	// mostAttempts bounds the attempts of every policy.
-	mostAttempts = 4
+	// maxAttempts limits the attempts for one request under every policy.
+	maxAttempts = 4
 )
 
-// class is one class of requests of a deployment.
+// class is a class of requests of a deployment; share is its fraction of all
+// requests.
 type class struct {
-	name     string
-	priority int
-	part     float64
-	mean     time.Duration
-	deadline time.Duration
-	// declared is what the bundle says of the mean; it is far off.
-	declared time.Duration
+	name            string
+	priority        int
+	share           float64
+	meanServiceTime time.Duration
+	deadline        time.Duration
+	// declaredServiceTime is the mean service time that the bundle declares; it
+	// is at least three times the real one.
+	declaredServiceTime time.Duration
 }
 
-// deployment is one user's service.
+// deployment describes the service of one user of the scheduler.
 type deployment struct {
 	name    string
 	entries int
-	// classes holds the short class first and the long one second; the
-	// stragglers belong to the long one.
+	// classes holds the class of short requests, then that of long ones, which
+	// includes the stragglers.
 	classes [2]class
 }
 
 var deployments = [...]deployment{
 	{name: "kunjabon", entries: 4, classes: [2]class{
-		{name: "preview", priority: 9, part: 0.93, mean: 20 * time.Millisecond, deadline: 500 * time.Millisecond, declared: 60 * time.Millisecond},
-		{name: "season-plan", priority: 3, part: 0.07, mean: 200 * time.Millisecond, deadline: 10 * time.Second, declared: time.Second},
+		{name: "preview", priority: 9, share: 0.93, meanServiceTime: 20 * time.Millisecond, deadline: 500 * time.Millisecond, declaredServiceTime: 60 * time.Millisecond},
+		{name: "season-plan", priority: 3, share: 0.07, meanServiceTime: 200 * time.Millisecond, deadline: 10 * time.Second, declaredServiceTime: time.Second},
 	}},
 	{name: "kauri", entries: 3, classes: [2]class{
-		{name: "fit-check", priority: 9, part: 0.88, mean: 30 * time.Millisecond, deadline: time.Second, declared: 90 * time.Millisecond},
-		{name: "shaping", priority: 3, part: 0.12, mean: 150 * time.Millisecond, deadline: 30 * time.Second, declared: 2 * time.Second},
+		{name: "fit-check", priority: 9, share: 0.88, meanServiceTime: 30 * time.Millisecond, deadline: time.Second, declaredServiceTime: 90 * time.Millisecond},
+		{name: "shaping", priority: 3, share: 0.12, meanServiceTime: 150 * time.Millisecond, deadline: 30 * time.Second, declaredServiceTime: 2 * time.Second},
 	}},
 }
 
-// meanWork returns the mean service time of all requests.
-func (d *deployment) meanWork() time.Duration {
+// meanServiceTime returns the mean service time of all requests.
+func (d *deployment) meanServiceTime() time.Duration {
 	short, long := &d.classes[0], &d.classes[1]
-	sum := short.part*float64(short.mean) + (long.part-stragglerPart)*float64(long.mean) +
-		stragglerPart*stragglerFactor*float64(short.mean)
+	sum := short.share*float64(short.meanServiceTime) + (long.share-stragglerShare)*float64(long.meanServiceTime) +
+		stragglerShare*stragglerFactor*float64(short.meanServiceTime)
 	return time.Duration(sum)
 }
 
-// capacity returns the number of requests a second that the endpoints can do.
+// capacity returns how many requests per second the endpoints can serve.
 func (d *deployment) capacity() float64 {
-	healthy := float64(endpoints-2) + 1.0/slowFactor
-	return healthy * slots / d.meanWork().Seconds()
+	healthy := float64(endpointCount-2) + 1.0/slowFactor
+	return healthy * slotsPerEndpoint / d.meanServiceTime().Seconds()
 }
 
-// call is one caller's request.
+// call is a caller's request.
 type call struct {
-	class    int
-	at       time.Time
-	deadline time.Time
-	work     time.Duration
-	entry    int
-	attempt  int
-	skip     int
-	began    bool
-	wait     time.Duration
-	settled  bool
-	crest    bool
+	// class is an index in deployment.classes.
+	class     int
+	arrivedAt time.Time
+	deadline  time.Time
+	// serviceTime is the time that a healthy endpoint takes for the request.
+	serviceTime time.Duration
+	entry       int
+	attempts    int
+	// excluded is the index of the endpoint where the last attempt failed, or -1.
+	excluded int
+	started  bool
+	// queueTime is the time from arrival to the first start.
+	queueTime time.Duration
+	settled   bool
+	atCrest   bool
 }
 
-// load is the offered load as a part of capacity at a time since the start.
-type load func(since time.Duration) float64
+// loadProfile returns the offered load as a fraction of the capacity, by the time
+// since the start.
+type loadProfile func(since time.Duration) float64
 
-func steady(level float64) load { return func(time.Duration) float64 { return level } }
+func steadyLoad(level float64) loadProfile { return func(time.Duration) float64 { return level } }
 
-// Shape of the swing: from low to high and back within seconds.
+// The load of the swing scenario goes from low to high and back within seconds.
 const (
 	swingLow    = 0.3
 	swingHigh   = 1.5
 	swingPeriod = 8 * time.Second
-	// crestFrom is the load from which on a request counts as sent at the crest.
-	crestFrom = 1.2
+	// crestMinLoad is the load from which requests count as arriving at the crest,
+	// the peak of the swing.
+	crestMinLoad = 1.2
 )
 
-func swing(since time.Duration) float64 {
+func swingLoad(since time.Duration) float64 {
 	phase := 2 * math.Pi * since.Seconds() / swingPeriod.Seconds()
-	// The flattened wave stays at the crest for a while.
+	// The clipped sine stays at its maximum for a while.
 	wave := max(-1, min(1, 1.6*math.Sin(phase)))
 	return (swingLow+swingHigh)/2 + wave*(swingHigh-swingLow)/2
 }
 
-// event is something that happens at a time.
+// event is a function to run at a virtual time; seq orders events at the same
+// time.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at  time.Time
+	seq int
+	run func()
 }
 
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at.Before(h[j].at) || h[i].order < h[j].order && h[i].at.Equal(h[j].at)
+	return h[i].at.Before(h[j].at) || h[i].seq < h[j].seq && h[i].at.Equal(h[j].at)
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push adds an element for package heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop removes the last element for package heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
@@ -143,13 +157,14 @@
 	return e
 }
 
-// policy is a way to route requests.
+// policy routes requests from entries to endpoints.
 type policy interface {
-	// arrive takes in a caller's request at its entry.
+	// arrive handles a request that a caller has sent to its entry.
 	arrive(c *call)
 }
 
-// sim is one run in virtual time.
+// sim is one simulation in virtual time. Arrivals have a random source of their
+// own, so that they are the same under every policy.
 type sim struct {
 	deployment *deployment
 	random     *rand.Rand
@@ -158,98 +173,100 @@
 	start      time.Time
 	end        time.Time
 	events     eventHeap
-	order      int
+	lastSeq    int
 	policy     policy
-	load       load
+	load       loadProfile
 	result     *result
 }
 
-func (s *sim) at(d time.Duration, fn func()) {
-	s.order++
-	heap.Push(&s.events, event{at: s.now.Add(d), order: s.order, do: fn})
+// schedule runs fn after d of virtual time.
+func (s *sim) schedule(d time.Duration, fn func()) {
+	s.lastSeq++
+	heap.Push(&s.events, event{at: s.now.Add(d), seq: s.lastSeq, run: fn})
 }
 
-// simulate runs one policy under a load and returns its figures.
-func simulate(d *deployment, newPolicy func(*sim) policy, l load, length time.Duration, seed uint64) *result {
+// simulate runs one policy under a load and returns the results.
+func simulate(d *deployment, newPolicy func(*sim) policy, l loadProfile, length time.Duration, seed uint64) *result {
 	s := &sim{
 		deployment: d, load: l, start: time.Unix(1, 0), result: &result{},
-		random: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // a bench needs fixed seeds
+		random: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds for repeatable results
 	}
 	s.now = s.start
 	s.end = s.start.Add(warmUp + length)
 	s.policy = newPolicy(s)
 	s.result.length, s.result.end = length, s.end
-	s.next()
+	s.scheduleArrival()
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	return s.result
 }
 
-// next schedules the next arrival.
-func (s *sim) next() {
+// scheduleArrival schedules the next request of the Poisson arrivals.
+func (s *sim) scheduleArrival() {
 	rate := s.load(s.now.Sub(s.start)) * s.deployment.capacity()
-	s.at(time.Duration(s.arrivals.ExpFloat64()/rate*float64(time.Second)), func() {
+	s.schedule(time.Duration(s.arrivals.ExpFloat64()/rate*float64(time.Second)), func() {
 		if s.now.After(s.end) {
 			return
 		}
 		s.arrive()
-		s.next()
+		s.scheduleArrival()
 	})
 }
 
 func (s *sim) arrive() {
 	d := s.deployment
-	c := &call{at: s.now, skip: -1, entry: s.arrivals.IntN(d.entries)}
-	factor := math.Exp(spread*s.arrivals.NormFloat64() - spread*spread/2)
+	c := &call{arrivedAt: s.now, excluded: -1, entry: s.arrivals.IntN(d.entries)}
+	factor := math.Exp(serviceTimeSigma*s.arrivals.NormFloat64() - serviceTimeSigma*serviceTimeSigma/2)
 	pick := s.arrivals.Float64()
 	switch {
-	case pick < d.classes[0].part:
-		c.work = time.Duration(factor * float64(d.classes[0].mean))
-	case pick < d.classes[0].part+stragglerPart:
+	case pick < d.classes[0].share:
+		c.serviceTime = time.Duration(factor * float64(d.classes[0].meanServiceTime))
+	case pick < d.classes[0].share+stragglerShare:
 		c.class = 1
-		c.work = time.Duration(factor * stragglerFactor * float64(d.classes[0].mean))
+		c.serviceTime = time.Duration(factor * stragglerFactor * float64(d.classes[0].meanServiceTime))
 	default:
 		c.class = 1
-		c.work = time.Duration(factor * float64(d.classes[1].mean))
+		c.serviceTime = time.Duration(factor * float64(d.classes[1].meanServiceTime))
 	}
 	c.deadline = s.now.Add(d.classes[c.class].deadline)
-	c.crest = s.load(s.now.Sub(s.start)) >= crestFrom
+	c.atCrest = s.load(s.now.Sub(s.start)) >= crestMinLoad
 	s.policy.arrive(c)
-	s.at(d.classes[c.class].deadline, func() { s.settle(c, late) })
+	s.schedule(d.classes[c.class].deadline, func() { s.settle(c, late) })
 }
 
-// took returns how long a request takes at an endpoint.
-func took(endpoint int, work time.Duration) time.Duration {
+// serviceTimeAt returns how long an endpoint takes for a request with the given
+// service time at a healthy endpoint.
+func serviceTimeAt(endpoint int, healthy time.Duration) time.Duration {
 	if endpoint == slowEndpoint {
-		return slowFactor * work
+		return slowFactor * healthy
 	}
-	return work
+	return healthy
 }
 
-// The two bad endpoints.
+// Indexes of the two faulty endpoints.
 const (
 	slowEndpoint    = 3
 	failingEndpoint = 7
 )
 
-// begin notes that a request is being worked on.
-func (s *sim) begin(c *call) {
-	if !c.began {
-		c.began = true
-		c.wait = s.now.Sub(c.at)
+// markStarted records how long a request waited until its first start.
+func (s *sim) markStarted(c *call) {
+	if !c.started {
+		c.started = true
+		c.queueTime = s.now.Sub(c.arrivedAt)
 	}
 }
 
-// settle notes the end of a request; only the first one counts.
-func (s *sim) settle(c *call, end ending) {
+// settle records the outcome of a request; only its first outcome counts.
+func (s *sim) settle(c *call, end outcome) {
 	if c.settled {
 		return
 	}
 	c.settled = true
-	if c.at.Sub(s.start) >= warmUp {
+	if c.arrivedAt.Sub(s.start) >= warmUp {
 		s.result.add(s.now, c, end)
 	}
 }
