--- a/internal/bench/batch/cpu.go
+++ b/internal/bench/batch/cpu.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// processTime returns the processor time that the process has used.
-func processTime() time.Duration {
+// processorTime returns the processor time that the process has used.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -1,6 +1,6 @@
-// Package batch measures the decisions about batch work: placement at several
-// fleet sizes, the guard on a surge, and how soon urgent work starts. It drives
-// the deciding packages in virtual time with fixed seeds.
+// Package batch benchmarks the scheduling of batch work: placement at several
+// fleet sizes, the colocation guard during a load surge, and how soon urgent work
+// starts. It runs the decision code in virtual time with fixed seeds.
 package batch
 
 import (
@@ -18,45 +18,46 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Sizes of the target.
+// The size that the system is designed for.
 const (
-	targetRunning       = 7500
-	targetQueue         = 23000
-	targetTeams         = 180
-	targetStarts        = 300 // per second
-	targetDataCentres   = 7
-	targetWorkers       = 1400
-	acceleratorsEvery   = 2 // every second worker has accelerators
-	acceleratorsAWorker = 4
-	workersARack        = 3
-	// sizesATeam is the number of sizes that a team's jobs have.
-	sizesATeam = 4
-	// sizeSteps is the number of sizes in each dimension.
+	targetRunning             = 7500
+	targetQueueLength         = 23000
+	targetTeams               = 180
+	targetStartsPerSecond     = 300
+	targetDataCentres         = 7
+	targetWorkers             = 1400
+	acceleratorWorkerInterval = 2 // every second worker has accelerators
+	acceleratorsPerWorker     = 4
+	workersPerRack            = 3
+	// sizesPerTeam is the number of different sizes among a team's jobs.
+	sizesPerTeam = 4
+	// sizeSteps is the number of different amounts of each resource.
 	sizeSteps = 20
-	// acceleratorJobs is of how many jobs one wants an accelerator.
-	acceleratorJobs = 50
+	// One in acceleratorJobInterval jobs requests an accelerator.
+	acceleratorJobInterval = 50
 )
 
-// workerSize is the size of one worker.
+// workerSize is the size of a worker without its accelerators.
 var workerSize = worker.Resources{MilliCPU: 16000, MemoryMB: 60000}
 
-// Times of the drive.
+// Times of a placement run.
 const (
-	tickEvery      = 100 * time.Millisecond
-	heartbeatEvery = 500 * time.Millisecond
-	// longestWait is how long ago the oldest work in the queue was submitted.
-	longestWait = 8 * time.Hour
-	// settleSeconds is how long a drive goes on before it is measured.
-	settleSeconds = 3
+	tickInterval      = 100 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	// maxQueueAge is the maximum age of a job in the queue when it is submitted.
+	maxQueueAge = 8 * time.Hour
+	// warmUpSeconds is the virtual time before the measurement.
+	warmUpSeconds = 3
 )
 
-// start is the virtual time at which every drive begins.
-var start = time.Unix(1_800_000_000, 0)
+// startTime is the virtual time at which every run begins.
+var startTime = time.Unix(1_800_000_000, 0)
 
-// ErrOverfull means that a worker was given more than it has.
-var ErrOverfull = errors.New("a worker was given more than it has")
+// ErrOverfull means that the tasks placed on a worker need more resources than it
+// has.
+var ErrOverfull = errors.New("tasks on a worker exceed its resources")
 
-// Load is the size of one placement drive.
+// Load is the load of a placement run.
 type Load struct {
 	// Workers is the number of workers.
 	Workers int
@@ -64,70 +65,73 @@
 	Running int
 	// Queue is the number of waiting tasks.
 	Queue int
-	// Starts is the number of task starts a second.
+	// Starts is the number of task starts per second.
 	Starts int
-	// Seconds is the virtual length.
+	// Seconds is the measured virtual time.
 	Seconds int
-	// Varied gives every job a size of its own instead of one of its team's.
+	// Varied gives every job a random size instead of one of its team's sizes.
 	Varied bool
 }
 
-// Placement is what a placement drive measured.
+// Placement is the result of a placement run.
 type Placement struct {
-	// PerPlacement is the mean time of one decision.
+	// PerPlacement is the mean time to decide one placement.
 	PerPlacement time.Duration
-	// LongestTick is the longest time of one look at the queue.
+	// LongestTick is the longest time of one scheduling pass over the queue.
 	LongestTick time.Duration
-	// CPU is the part of one core that everything took, per virtual second.
+	// CPU is the processor time of the whole run per virtual second, as a fraction
+	// of one core.
 	CPU float64
-	// MemoryMB is the heap that fold, queue and fleet take.
+	// MemoryMB is the heap that the state machine, the queue and the fleet take.
 	MemoryMB float64
 	// Placed is the number of tasks placed.
 	Placed int
 }
 
-// drive is a scheduler behind a log that takes every record, with everything
-// that an entry does for a record: encode, decode, fold, follow.
-type drive struct {
-	load      Load
-	scheduler queue.Scheduler
-	fold      job.StateMachine
-	random    *rand.Rand
-	now       time.Time
-	offset    uint64
-	seq       uint64
-	jobs      int
-	size      worker.Resources
-	running   []record.AssignmentID
-	pending   []record.Message
+// placementRun runs a scheduler with a log that accepts every record. It does all
+// that an entry does for a record: encode, decode, apply to the state machine and
+// update the scheduler.
+type placementRun struct {
+	load         Load
+	scheduler    queue.Scheduler
+	stateMachine job.StateMachine
+	random       *rand.Rand
+	now          time.Time
+	offset       uint64
+	nextSeq      uint64
+	submitted    int
+	typicalSize  worker.Resources
+	running      []record.AssignmentID
+	pending      []record.Message
 }
 
-// Place measures placement under a load.
+// Place measures placement under a load and checks that no worker is
+// overcommitted at the end.
 func Place(l Load) (Placement, error) {
-	before := heap()
-	d := &drive{load: l, now: start, seq: 1, random: rand.New(rand.NewPCG(7, uint64(l.Workers)))} //nolint:gosec // fixed seed
-	d.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
-	// The running tasks take most of the workers.
-	aWorker := int64((l.Running + l.Workers - 1) / l.Workers)
-	d.size = worker.Resources{MilliCPU: workerSize.MilliCPU * 9 / 10 / aWorker, MemoryMB: workerSize.MemoryMB * 9 / 10 / aWorker}
-	d.scheduler.Configure(d.now, document(l.Workers), &d.fold)
-	d.heartbeats(0, l.Workers)
+	before := heapBytes()
+	d := &placementRun{load: l, now: startTime, nextSeq: 1, random: rand.New(rand.NewPCG(7, uint64(l.Workers)))} //nolint:gosec // fixed seed
+	d.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
+	// The running tasks occupy at most nine tenths of the workers.
+	perWorker := int64((l.Running + l.Workers - 1) / l.Workers)
+	d.typicalSize = worker.Resources{MilliCPU: workerSize.MilliCPU * 9 / 10 / perWorker, MemoryMB: workerSize.MemoryMB * 9 / 10 / perWorker}
+	d.scheduler.Configure(d.now, newDocument(l.Workers), &d.stateMachine)
+	d.reportWorkers(0, l.Workers)
 	if err := d.fill(); err != nil {
 		return Placement{}, err
 	}
-	if _, err := d.steady(settleSeconds); err != nil {
+	if _, err := d.runSteadyLoad(warmUpSeconds); err != nil {
 		return Placement{}, err
 	}
-	out, err := d.steady(l.Seconds)
+	out, err := d.runSteadyLoad(l.Seconds)
 	if err != nil {
 		return Placement{}, err
 	}
-	out.MemoryMB = float64(heap()-before) / (1 << 20)
+	out.MemoryMB = float64(heapBytes()-before) / (1 << 20)
 	runtime.KeepAlive(d)
-	return out, d.check()
+	return out, d.checkCapacity()
 }
 
-func document(workers int) *bundle.Document {
+func newDocument(workers int) *bundle.Document {
 	d := &bundle.Document{BatchClasses: []bundle.BatchClass{
 		{Name: "urgent", Priority: 9, Urgent: true, MaxFailures: 3, TakeoverAfter: bundle.Duration(5 * time.Second)},
 		{Name: "shaping", Priority: 5, MaxFailures: 3, TakeoverAfter: bundle.Duration(10 * time.Second)},
@@ -138,42 +142,42 @@
 		quota := workerSize.Times(int64(workers))
 		quota.MilliCPU = quota.MilliCPU * int64(i%5+1) / (3 * targetTeams)
 		quota.MemoryMB = quota.MemoryMB * int64(i%5+1) / (3 * targetTeams)
-		d.Teams = append(d.Teams, bundle.Team{Name: team(i), Quota: quota})
+		d.Teams = append(d.Teams, bundle.Team{Name: teamName(i), Quota: quota})
 	}
 	return d
 }
 
-func team(i int) string { return fmt.Sprintf("team-%03d", i%targetTeams) }
+func teamName(i int) string { return fmt.Sprintf("team-%03d", i%targetTeams) }
 
 func workerName(i int) string { return fmt.Sprintf("worker-%04d", i) }
 
-// heartbeats reports the workers from first to before last.
-func (d *drive) heartbeats(first, last int) {
+// reportWorkers delivers reports of the workers from first to last-1.
+func (d *placementRun) reportWorkers(first, last int) {
 	for i := first; i < last; i++ {
 		r := worker.Report{
-			Name: workerName(i), Rack: fmt.Sprint("rack-", i/workersARack), Service: "planner", Total: workerSize, Ready: true,
+			Name: workerName(i), Rack: fmt.Sprint("rack-", i/workersPerRack), Service: "planner", Total: workerSize, Ready: true,
 			Load: d.random.Float64(), Pressure: d.random.Float64(),
 		}
-		if i%acceleratorsEvery == 0 {
-			r.Total.Accelerators = acceleratorsAWorker
+		if i%acceleratorWorkerInterval == 0 {
+			r.Total.Accelerators = acceleratorsPerWorker
 		}
 		r.Free = r.Total
-		d.fold.EachActive(r.Name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { r.Free = r.Free.Minus(j.Spec().Size) })
-		d.scheduler.ApplyReport(d.now, &r, []queue.ClassUse{{Class: "shaping", Granted: d.size, Used: d.size}})
+		d.stateMachine.EachActive(r.Name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { r.Free = r.Free.Minus(j.Spec().Size) })
+		d.scheduler.ApplyReport(d.now, &r, []queue.ClassUse{{Class: "shaping", Granted: d.typicalSize, Used: d.typicalSize}})
 	}
 }
 
-// fill brings the site to its running tasks and its queue.
-func (d *drive) fill() error {
+// fill starts tasks until as many run as the load asks for, then fills the queue.
+func (d *placementRun) fill() error {
 	for len(d.running) < d.load.Running {
-		for range min(targetStarts, d.load.Running-len(d.running)) {
-			d.submit("shaping", d.size)
+		for range min(targetStartsPerSecond, d.load.Running-len(d.running)) {
+			d.submit("shaping", d.typicalSize)
 		}
 		if err := d.flush(); err != nil {
 			return err
 		}
-		d.now = d.now.Add(tickEvery)
-		d.heartbeats(0, d.load.Workers)
+		d.now = d.now.Add(tickInterval)
+		d.reportWorkers(0, d.load.Workers)
 		if n, _ := d.decide(); n == 0 {
 			return errors.Newf("got %d tasks running, want %d", len(d.running), d.load.Running)
 		}
@@ -183,7 +187,7 @@
 	}
 	for range d.load.Queue {
 		d.submitAny("archive")
-		if len(d.pending) == targetStarts {
+		if len(d.pending) == targetStartsPerSecond {
 			if err := d.flush(); err != nil {
 				return err
 			}
@@ -192,46 +196,48 @@
 	return d.flush()
 }
 
-// submitAny submits a job of the next team, of one of the team's sizes.
-func (d *drive) submitAny(class string) {
-	n := uint64(d.random.IntN(sizesATeam))
-	from := rand.New(rand.NewPCG(uint64((d.jobs+1)%targetTeams), n)) //nolint:gosec // fixed seed
+// submitAny queues the submission of a job of the next team, with one of the
+// team's sizes unless the load asks for varied sizes.
+func (d *placementRun) submitAny(class string) {
+	n := uint64(d.random.IntN(sizesPerTeam))
+	from := rand.New(rand.NewPCG(uint64((d.submitted+1)%targetTeams), n)) //nolint:gosec // fixed seed
 	if d.load.Varied {
 		from = d.random
 	}
-	d.submit(class, d.varied(from))
+	d.submit(class, d.randomSize(from))
 }
 
-// varied returns a size from a tenth to twice the usual.
-func (d *drive) varied(from *rand.Rand) worker.Resources {
+// randomSize returns a size from a tenth to twice the typical size.
+func (d *placementRun) randomSize(from *rand.Rand) worker.Resources {
 	s := worker.Resources{
-		MilliCPU: d.size.MilliCPU * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
-		MemoryMB: d.size.MemoryMB * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
+		MilliCPU: d.typicalSize.MilliCPU * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
+		MemoryMB: d.typicalSize.MemoryMB * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
 	}
-	if from.IntN(acceleratorJobs) == 0 {
+	if from.IntN(acceleratorJobInterval) == 0 {
 		s.Accelerators = 1
 	}
 	return s
 }
 
-func (d *drive) submit(class string, size worker.Resources) {
-	d.jobs++
+func (d *placementRun) submit(class string, size worker.Resources) {
+	d.submitted++
 	d.pending = append(d.pending, &record.Submit{Spec: record.Spec{
-		ID: fmt.Sprintf("%020x", d.jobs), Team: team(d.jobs), Class: class, Tasks: 1, Size: size, MaxFailures: 3, TakeoverMS: 10000,
-		ExpectedMS: 60000, SubmittedAt: d.now.UnixMilli() - d.random.Int64N(longestWait.Milliseconds()), Payload: []byte(`{"run-ms":60000}`),
+		ID: fmt.Sprintf("%020x", d.submitted), Team: teamName(d.submitted), Class: class, Tasks: 1, Size: size, MaxFailures: 3, TakeoverMS: 10000,
+		ExpectedMS: 60000, SubmittedAt: d.now.UnixMilli() - d.random.Int64N(maxQueueAge.Milliseconds()), Payload: []byte(`{"run-ms":60000}`),
 	}})
 }
 
-// flush sends what is pending through the codec into the fold.
-func (d *drive) flush() error {
+// flush encodes and decodes the pending records and applies them to the state
+// machine.
+func (d *placementRun) flush() error {
 	if len(d.pending) == 0 {
 		return nil
 	}
-	data, err := record.Encode("entry", d.seq, d.pending)
+	data, err := record.Encode("entry", d.nextSeq, d.pending)
 	if err != nil {
 		return err
 	}
-	d.seq += uint64(len(d.pending))
+	d.nextSeq += uint64(len(d.pending))
 	d.pending = d.pending[:0]
 	d.offset++
 	records, _, err := record.Decode(d.offset, data)
@@ -239,7 +245,7 @@
 		return err
 	}
 	for _, r := range records {
-		if err := d.fold.Apply(r); err != nil {
+		if err := d.stateMachine.Apply(r); err != nil {
 			return err
 		}
 		if m, ok := r.Message().(*record.Assign); ok {
@@ -251,10 +257,11 @@
 	return nil
 }
 
-// decide returns the number of tasks placed and how long it took.
-func (d *drive) decide() (int, time.Duration) {
+// decide runs one scheduling pass and returns the number of tasks placed and how
+// long the pass took.
+func (d *placementRun) decide() (int, time.Duration) {
 	began := time.Now()
-	decisions := d.scheduler.Decide(d.now, &d.fold, func(string) time.Duration { return 0 }, d.random)
+	decisions := d.scheduler.Decide(d.now, &d.stateMachine, func(string) time.Duration { return 0 }, d.random)
 	took := time.Since(began)
 	placed := 0
 	for i := range decisions {
@@ -266,20 +273,21 @@
 	return placed, took
 }
 
-// steady ends and submits tasks at the rate of starts, for some virtual seconds.
-func (d *drive) steady(seconds int) (Placement, error) {
+// runSteadyLoad ends and submits tasks at the load's start rate for some virtual
+// seconds.
+func (d *placementRun) runSteadyLoad(seconds int) (Placement, error) {
 	var out Placement
 	var deciding time.Duration
-	cpu := processTime()
-	ticks := seconds * int(time.Second/tickEvery)
-	aTick := d.load.Starts / int(time.Second/tickEvery)
-	beats := int(heartbeatEvery / tickEvery)
+	cpu := processorTime()
+	ticks := seconds * int(time.Second/tickInterval)
+	perTick := d.load.Starts / int(time.Second/tickInterval)
+	ticksPerHeartbeat := int(heartbeatInterval / tickInterval)
 	for tick := range ticks {
-		d.now = d.now.Add(tickEvery)
-		first := tick % beats * d.load.Workers / beats
-		d.heartbeats(first, (tick%beats+1)*d.load.Workers/beats)
-		for range aTick {
-			d.finish()
+		d.now = d.now.Add(tickInterval)
+		first := tick % ticksPerHeartbeat * d.load.Workers / ticksPerHeartbeat
+		d.reportWorkers(first, (tick%ticksPerHeartbeat+1)*d.load.Workers/ticksPerHeartbeat)
+		for range perTick {
+			d.finishRandom()
 			d.submitAny("shaping")
 		}
 		if err := d.flush(); err != nil {
@@ -293,37 +301,38 @@
 			return out, err
 		}
 	}
-	out.CPU = float64(processTime()-cpu) / float64(time.Duration(seconds)*time.Second)
+	out.CPU = float64(processorTime()-cpu) / float64(time.Duration(seconds)*time.Second)
 	if out.Placed == 0 {
-		return out, errors.New("nothing was placed")
+		return out, errors.New("no task was placed")
 	}
 	out.PerPlacement = deciding / time.Duration(out.Placed)
 	return out, nil
 }
 
-// finish ends a random running task.
-func (d *drive) finish() {
+// finishRandom ends a random running task.
+func (d *placementRun) finishRandom() {
 	if len(d.running) == 0 {
 		return
 	}
 	i := d.random.IntN(len(d.running))
-	h := d.running[i]
+	a := d.running[i]
 	d.running[i] = d.running[len(d.running)-1]
 	d.running = d.running[:len(d.running)-1]
 	d.pending = append(d.pending,
-		&record.Started{Assignments: []record.AssignmentID{h}},
-		&record.Finished{Assignment: h, Outcome: record.OutcomeSucceeded},
-		&record.Forget{Jobs: []string{h.Task.Job}})
+		&record.Started{Assignments: []record.AssignmentID{a}},
+		&record.Finished{Assignment: a, Outcome: record.OutcomeSucceeded},
+		&record.Forget{Jobs: []string{a.Task.Job}})
 }
 
-// check returns an error if the log gave a worker more than it has.
-func (d *drive) check() error {
+// checkCapacity returns an error if the active tasks on a worker need more than it
+// has.
+func (d *placementRun) checkCapacity() error {
 	for i := range d.load.Workers {
 		left := workerSize
-		if i%acceleratorsEvery == 0 {
-			left.Accelerators = acceleratorsAWorker
+		if i%acceleratorWorkerInterval == 0 {
+			left.Accelerators = acceleratorsPerWorker
 		}
-		d.fold.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
+		d.stateMachine.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
 		if !left.Valid() {
 			return errors.Wrap(ErrOverfull, workerName(i))
 		}
@@ -331,8 +340,8 @@
 	return nil
 }
 
-// heap returns the live heap in bytes.
-func heap() uint64 {
+// heapBytes returns the size of the live heap.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/bench/batch/place_test.go
+++ b/internal/bench/batch/place_test.go
@@ -14,7 +14,7 @@
 
 func BenchmarkPlace1400(b *testing.B) {
 	for b.Loop() {
-		got, err := Place(Load{Workers: targetWorkers, Running: targetRunning, Queue: targetQueue, Starts: targetStarts, Seconds: 3})
+		got, err := Place(Load{Workers: targetWorkers, Running: targetRunning, Queue: targetQueueLength, Starts: targetStartsPerSecond, Seconds: 3})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -10,10 +10,10 @@
 	exploration "savoryhoist.example/savoryhoist/internal/explore/batch"
 )
 
-// ErrPromise means that something that must always hold did not.
-var ErrPromise = errors.New("a promise was broken")
+// ErrPromise means that a guarantee was violated.
+var ErrPromise = errors.New("a guarantee was violated")
 
-// Report is what one run of the bench prints.
+// Report is the benchmark's output.
 type Report struct {
 	PlaceUS11          float64 `json:"place-us-11"`
 	PlaceUS200         float64 `json:"place-us-200"`
@@ -45,29 +45,29 @@
 	Violations         int     `json:"violations"`
 }
 
-// placeSeconds is the virtual length of each placement drive.
-const placeSeconds = 5
+// placementSeconds is the measured virtual time of each placement run.
+const placementSeconds = 5
 
-// Limits of the exploration that goes with the bench.
+// Size of the exploration that is part of the benchmark.
 const (
-	exploreSeeds    = 300
-	exploreParallel = 2
+	explorationSeeds   = 300
+	explorationWorkers = 2
 )
 
-// surgeSeeds is the number of surges that are driven and added up.
+// surgeSeeds is the number of surges simulated under each policy.
 const surgeSeeds = 3
 
-// Run runs the whole bench. An error marked ErrPromise or ErrOverfull means
-// that a promise was broken; the report is then still filled in.
+// Run runs the whole benchmark. An error marked ErrPromise or ErrOverfull means
+// that a guarantee was violated; the report then holds what was measured so far.
 func Run(ctx context.Context) (Report, error) {
 	var r Report
-	if err := r.explore(ctx); err != nil {
+	if err := r.runExploration(ctx); err != nil {
 		return r, err
 	}
-	if err := r.place(); err != nil {
+	if err := r.measurePlacement(); err != nil {
 		return r, err
 	}
-	if err := r.surge(); err != nil {
+	if err := r.measureSurges(); err != nil {
 		return r, err
 	}
 	urgent, err := MeasureUrgent()
@@ -75,16 +75,17 @@
 		return r, err
 	}
 	r.UrgentStart, r.UrgentStartFull = urgent.Longest.Seconds(), urgent.LongestFull.Seconds()
-	if max(urgent.Longest, urgent.LongestFull) > urgentAim {
+	if max(urgent.Longest, urgent.LongestFull) > urgentTarget {
 		return r, errors.Wrapf(ErrPromise, "urgent work started after %v", max(urgent.Longest, urgent.LongestFull))
 	}
 	return r, nil
 }
 
-// explore checks the fold, the leases and the ledger together over some seeds.
-func (r *Report) explore(ctx context.Context) error {
+// runExploration checks the state machine, the leases and the workers' ledgers
+// together over some seeds.
+func (r *Report) runExploration(ctx context.Context) error {
 	jobs := []explore.Part{{Name: "jobs", Run: exploration.Run}}
-	found, explored := explore.Run(ctx, jobs, 1, exploreSeeds, exploreParallel)
+	found, explored := explore.Run(ctx, jobs, 1, explorationSeeds, explorationWorkers)
 	r.Explored = int(explored)
 	r.Violations += len(found)
 	if len(found) > 0 {
@@ -93,8 +94,8 @@
 	return nil
 }
 
-func (r *Report) place() error {
-	drives := []struct {
+func (r *Report) measurePlacement() error {
+	loads := []struct {
 		workers int
 		varied  bool
 		us, mb  *float64
@@ -104,28 +105,28 @@
 		{targetWorkers, true, &r.PlaceUS1400Varied, &r.MemoryMB1400},
 		{targetWorkers, false, &r.PlaceUS1400, &r.MemoryMB1400},
 	}
-	for _, d := range drives {
-		p, err := Place(Load{Workers: d.workers, Running: targetRunning, Queue: targetQueue, Starts: targetStarts, Seconds: placeSeconds, Varied: d.varied})
+	for _, d := range loads {
+		p, err := Place(Load{Workers: d.workers, Running: targetRunning, Queue: targetQueueLength, Starts: targetStartsPerSecond, Seconds: placementSeconds, Varied: d.varied})
 		if err != nil {
-			return r.broken(err)
+			return r.countViolation(err)
 		}
 		*d.us = float64(p.PerPlacement) / float64(time.Microsecond)
 		*d.mb = p.MemoryMB
 		r.CPUPercentOneEntry = p.CPU * 100
 		r.LongestTickMS1400 = float64(p.LongestTick) / float64(time.Millisecond)
 	}
-	// A data centre's stream carries its own share of the starts, and only its
-	// entries follow it.
+	// Each data centre has a stream of its own with its share of the starts, which
+	// only its own entries read.
 	p, err := Place(Load{
-		Workers: targetWorkers / targetDataCentres, Running: targetRunning / targetDataCentres, Queue: targetQueue / targetDataCentres,
-		Starts: roundUp(targetStarts/targetDataCentres, int(time.Second/tickEvery)), Seconds: 4 * placeSeconds,
+		Workers: targetWorkers / targetDataCentres, Running: targetRunning / targetDataCentres, Queue: targetQueueLength / targetDataCentres,
+		Starts: roundUp(targetStartsPerSecond/targetDataCentres, int(time.Second/tickInterval)), Seconds: 4 * placementSeconds,
 	})
 	r.CPUPercentStarts = p.CPU * 100
-	return r.broken(err)
+	return r.countViolation(err)
 }
 
-// broken counts an error that is a broken promise.
-func (r *Report) broken(err error) error {
+// countViolation counts an error that is a violated guarantee and returns it.
+func (r *Report) countViolation(err error) error {
 	if errors.Is(err, ErrOverfull) {
 		r.Violations++
 	}
@@ -134,13 +135,13 @@
 
 func roundUp(n, step int) int { return (n + step - 1) / step * step }
 
-func (r *Report) surge() error {
+func (r *Report) measureSurges() error {
 	var sums [3]Surge
 	for seed := range uint64(surgeSeeds) {
 		for p := range sums {
 			s, err := RunSurge(Policy(p), seed)
 			if err != nil {
-				return r.broken(err)
+				return r.countViolation(err)
 			}
 			sums[p].Evictions += s.Evictions
 			sums[p].Work += s.Work
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -16,143 +16,149 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Sizes and times of the surge.
+// Sizes and times of a surge.
 const (
 	surgeWorkers = 11
 	surgeLength  = 90 * time.Minute
-	surgeStep    = time.Second
-	// readingLag is how old a reading of the service's tail is.
-	readingLag = 2
-	// checkpointEvery is how often every task's progress is saved in any case.
-	checkpointEvery = 2 * time.Minute
-	// restartTime is how long a task takes to go on from its checkpoint.
+	surgeTick    = time.Second
+	// readingDelaySteps is how many steps pass until a policy sees a measured
+	// pressure.
+	readingDelaySteps = 2
+	// checkpointInterval is the longest time between two checkpoints of a task.
+	checkpointInterval = 2 * time.Minute
+	// restartTime is how long a task takes to resume from its checkpoint.
 	restartTime = 10 * time.Second
-	// waiting is the number of tasks kept waiting.
-	waiting = 40
+	// minWaitingTasks is the number of tasks to which the queue is filled up.
+	minWaitingTasks = 40
 )
 
-// Policy is how a worker protects its service.
+// Policy is how a worker protects its service from interference by batch tasks.
 type Policy uint8
 
 // The policies.
 const (
-	// PolicyNone does nothing.
+	// PolicyNone never acts.
 	PolicyNone Policy = iota
 	// PolicyGuard follows worker.Guard.
 	PolicyGuard
-	// PolicyEvict stops the largest task as soon as a reading is past the objective.
+	// PolicyEvict evicts the largest task as soon as the pressure is above 1.
 	PolicyEvict
 )
 
-// Surge is what became of services and batch work under one policy.
+// Surge is how services and batch work fared under one policy.
 type Surge struct {
-	// Evictions is the number of tasks moved before their end.
+	// Evictions counts the tasks that were stopped to run elsewhere.
 	Evictions int
-	// Work is the processor time of kept progress.
+	// Work is the processor time of progress that was checkpointed.
 	Work time.Duration
-	// Lost is the processor time of progress that was not kept.
+	// Lost is the processor time of progress that was lost.
 	Lost time.Duration
-	// Tail is the 99th percentile of the tail latency divided by its objective,
-	// over all seconds of all workers, weighted by their load.
+	// Tail is the 99th percentile of the pressure (tail latency divided by the
+	// latency objective) over all seconds of all workers, weighted by their load.
 	Tail float64
-	// Past is the part of the requests that came in seconds past the objective.
+	// Past is the fraction of the requests that arrived in seconds whose tail
+	// latency was above the objective.
 	Past float64
 }
 
-// slopes is how much each class truly raises the pressure on the service.
-var slopes = map[string]float64{"shaping": 0.7, "archive": 2.2, "watcher": 0.1}
+// interference is how much pressure tasks of a class add if they use the whole
+// worker while the service is at full load.
+var interference = map[string]float64{"shaping": 0.7, "archive": 2.2, "watcher": 0.1}
 
-// sizes is what a task of each class asks for.
-var sizes = map[string]worker.Resources{
+// taskSizes holds the resources that a task of each class requests.
+var taskSizes = map[string]worker.Resources{
 	"shaping": {MilliCPU: 4000, MemoryMB: 8000},
 	"archive": {MilliCPU: 3000, MemoryMB: 12000},
 	"watcher": {MilliCPU: 500, MemoryMB: 1000},
 }
 
-// runner is one task that runs.
-type runner struct {
-	hold    record.AssignmentID
-	class   string
-	percent int
-	left    time.Duration
-	// unsaved is the progress since the checkpoint.
-	unsaved time.Duration
-	saved   time.Time
-	ready   time.Time
+// taskRun is one run of a task. It makes progress from progressFrom on.
+type taskRun struct {
+	assignment record.AssignmentID
+	class      string
+	cpuPercent int
+	remaining  time.Duration
+	// unsaved is the progress since the last checkpoint.
+	unsaved        time.Duration
+	lastCheckpoint time.Time
+	progressFrom   time.Time
 }
 
-// host is one worker of the surge.
-type host struct {
-	name     string
-	load     float64
-	guard    worker.Guard
-	ledger   worker.Ledger
-	runs     map[string]*runner
-	readings []float64
+// simWorker is a simulated worker.
+type simWorker struct {
+	name      string
+	load      float64
+	guard     worker.Guard
+	ledger    worker.Ledger
+	runs      map[string]*taskRun
+	pressures []float64
 }
 
-type surge struct {
-	policy    Policy
-	scheduler queue.Scheduler
-	fold      job.StateMachine
-	random    *rand.Rand
-	noise     *rand.Rand
+// surgeRun is the simulation of one surge under one policy.
+type surgeRun struct {
+	policy       Policy
+	scheduler    queue.Scheduler
+	stateMachine job.StateMachine
+	// loadRandom varies the load and the pressure.
+	loadRandom *rand.Rand
+	// jobRandom varies the length of jobs and the scheduler's choices.
+	jobRandom *rand.Rand
 	now       time.Time
 	offset    uint64
-	jobs      int
-	hosts     []*host
-	// remaining is what a task still has to run, by job.
+	submitted int
+	workers   []*simWorker
+	// remaining is the work left at the last checkpoint, by job.
 	remaining map[string]time.Duration
 	samples   []sample
-	out       Surge
+	result    Surge
 }
 
 type sample struct{ pressure, load float64 }
 
-// RunSurge drives the surge under a policy. The same seed gives the same load
+// RunSurge simulates a load surge under a policy. The same seed gives the same load
 // and the same jobs under every policy.
 func RunSurge(p Policy, seed uint64) (Surge, error) {
-	s := &surge{
-		policy: p, now: start, remaining: make(map[string]time.Duration),
-		random: rand.New(rand.NewPCG(seed, 1)), noise: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds
+	s := &surgeRun{
+		policy: p, now: startTime, remaining: make(map[string]time.Duration),
+		loadRandom: rand.New(rand.NewPCG(seed, 1)), jobRandom: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds
 	}
-	s.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
+	s.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
 	for i := range surgeWorkers {
-		h := &host{name: workerName(i), runs: make(map[string]*runner)}
-		h.ledger.Rebuild(workerSize, nil, s.now)
-		s.hosts = append(s.hosts, h)
+		w := &simWorker{name: workerName(i), runs: make(map[string]*taskRun)}
+		w.ledger.Rebuild(workerSize, nil, s.now)
+		s.workers = append(s.workers, w)
 	}
 	s.scheduler.Configure(s.now, &bundle.Document{
 		BatchClasses: []bundle.BatchClass{{Name: "shaping", Priority: 5}, {Name: "archive", Priority: 1}, {Name: "watcher", Priority: 3}},
-		Teams:        []bundle.Team{{Name: team(0), Quota: workerSize.Times(surgeWorkers)}},
-	}, &s.fold)
-	for range int(surgeLength / surgeStep) {
-		if err := s.second(); err != nil {
-			return s.out, err
+		Teams:        []bundle.Team{{Name: teamName(0), Quota: workerSize.Times(surgeWorkers)}},
+	}, &s.stateMachine)
+	for range int(surgeLength / surgeTick) {
+		if err := s.step(); err != nil {
+			return s.result, err
 		}
 	}
 	s.summarise()
-	return s.out, nil
+	return s.result, nil
 }
 
-// second lets one second pass.
-func (s *surge) second() error {
-	s.now = s.now.Add(surgeStep)
-	for i, h := range s.hosts {
-		h.load = s.loadAt(i)
-		s.work(h)
-		s.measure(h)
-		s.protect(h)
+// step advances the simulation by surgeTick.
+func (s *surgeRun) step() error {
+	s.now = s.now.Add(surgeTick)
+	for i, w := range s.workers {
+		w.load = s.loadAt(i)
+		s.advance(w)
+		s.recordPressure(w)
+		s.applyPolicy(w)
 		r := worker.Report{
-			Name: h.name, Rack: fmt.Sprint("rack-", i/workersARack), Service: "lastbench", Total: workerSize, Free: h.ledger.Free(),
-			Ready: true, Load: h.load, Pressure: h.reading(),
+			Name: w.name, Rack: fmt.Sprint("rack-", i/workersPerRack), Service: "lastbench", Total: workerSize, Free: w.ledger.Free(),
+			Ready: true, Load: w.load, Pressure: w.delayedPressure(),
 		}
-		s.scheduler.ApplyReport(s.now, &r, h.uses())
+		s.scheduler.ApplyReport(s.now, &r, w.classUses())
 	}
-	for s.scheduler.Queue().Len() < waiting {
+	for s.scheduler.Queue().Len() < minWaitingTasks {
 		s.submit()
 	}
-	for _, d := range s.scheduler.Decide(s.now, &s.fold, func(string) time.Duration { return 0 }, s.noise) {
+	for _, d := range s.scheduler.Decide(s.now, &s.stateMachine, func(string) time.Duration { return 0 }, s.jobRandom) {
 		if m, ok := d.Message().(*record.Assign); ok {
 			if err := s.assign(m); err != nil {
 				return err
@@ -162,172 +168,174 @@
 	return nil
 }
 
-// loadAt is the load on a worker's service: it climbs to a crest, with waves of
-// two minutes and swings within seconds on top.
-func (s *surge) loadAt(i int) float64 {
-	at := s.now.Sub(start)
+// loadAt returns the load on a worker's service: it rises to a crest and falls
+// again, with waves of two minutes and random changes every second on top.
+func (s *surgeRun) loadAt(i int) float64 {
+	at := s.now.Sub(startTime)
 	crest := math.Sin(math.Pi * float64(at) / float64(surgeLength))
 	wave := math.Sin(2*math.Pi*at.Seconds()/120 + float64(i)/3)
-	return min(max(0.15+0.6*crest+0.15*wave+0.08*s.random.NormFloat64(), 0), 1)
+	return min(max(0.15+0.6*crest+0.15*wave+0.08*s.loadRandom.NormFloat64(), 0), 1)
 }
 
-func (s *surge) submit() {
-	s.jobs++
-	class := [...]string{"shaping", "shaping", "archive", "archive", "watcher"}[s.jobs%5]
-	id := fmt.Sprint("job-", s.jobs)
-	length := time.Duration(float64(6*time.Minute) * math.Exp(s.noise.NormFloat64()*0.5))
-	if s.jobs%20 == 0 {
+func (s *surgeRun) submit() {
+	s.submitted++
+	class := [...]string{"shaping", "shaping", "archive", "archive", "watcher"}[s.submitted%5]
+	id := fmt.Sprint("job-", s.submitted)
+	length := time.Duration(float64(6*time.Minute) * math.Exp(s.jobRandom.NormFloat64()*0.5))
+	if s.submitted%20 == 0 {
 		length *= 10
 	}
 	s.remaining[id] = length
 	s.apply(&record.Submit{Spec: record.Spec{
-		ID: id, Team: team(0), Class: class, Tasks: 1, Size: sizes[class], MaxFailures: 3, SubmittedAt: s.now.UnixMilli(),
+		ID: id, Team: teamName(0), Class: class, Tasks: 1, Size: taskSizes[class], MaxFailures: 3, SubmittedAt: s.now.UnixMilli(),
 	}})
 }
 
-func (s *surge) apply(m record.Message) record.Position {
+func (s *surgeRun) apply(m record.Message) record.Position {
 	s.offset++
 	at := record.NewPosition(s.offset, 0)
-	_ = s.fold.Apply(record.New(at, "entry", s.offset, m))
+	_ = s.stateMachine.Apply(record.New(at, "entry", s.offset, m))
 	return at
 }
 
-func (s *surge) assign(m *record.Assign) error {
+func (s *surgeRun) assign(m *record.Assign) error {
 	epoch := s.apply(m)
 	for _, p := range m.Placements {
-		j, _ := s.fold.Job(p.Task.Job)
+		j, _ := s.stateMachine.Job(p.Task.Job)
 		spec := j.Spec()
-		h := s.host(p.Worker)
-		hold := record.AssignmentID{Task: p.Task, Epoch: epoch}
-		if err := h.ledger.Admit(s.now, p.Task.Job, spec.Size); err != nil {
-			s.apply(&record.Released{Assignment: hold})
+		w := s.worker(p.Worker)
+		assignment := record.AssignmentID{Task: p.Task, Epoch: epoch}
+		if err := w.ledger.Admit(s.now, p.Task.Job, spec.Size); err != nil {
+			s.apply(&record.Released{Assignment: assignment})
 			continue
 		}
-		if h.runs[p.Task.Job] != nil {
-			return errors.Newf("%s runs twice", p.Task)
+		if w.runs[p.Task.Job] != nil {
+			return errors.Newf("task %s was started twice on a worker", p.Task)
 		}
-		h.runs[p.Task.Job] = &runner{
-			hold: hold, class: spec.Class, percent: 100, left: s.remaining[p.Task.Job], saved: s.now, ready: s.now.Add(restartTime),
+		w.runs[p.Task.Job] = &taskRun{
+			assignment: assignment, class: spec.Class, cpuPercent: 100, remaining: s.remaining[p.Task.Job], lastCheckpoint: s.now, progressFrom: s.now.Add(restartTime),
 		}
-		h.guard.TaskStarted(s.now, p.Task.Job)
+		w.guard.TaskStarted(s.now, p.Task.Job)
 	}
-	return checkSizes(s.hosts)
+	return checkSizes(s.workers)
 }
 
-// checkSizes returns an error if the tasks on a worker add up to more than it has.
-func checkSizes(hosts []*host) error {
-	for _, h := range hosts {
+// checkSizes returns an error if the tasks on a worker need more than it has.
+func checkSizes(workers []*simWorker) error {
+	for _, w := range workers {
 		var sum worker.Resources
-		for _, r := range h.runs {
-			sum = sum.Plus(sizes[r.class])
+		for _, r := range w.runs {
+			sum = sum.Plus(taskSizes[r.class])
 		}
 		if !sum.Fits(workerSize) {
-			return errors.Wrap(ErrOverfull, h.name)
+			return errors.Wrap(ErrOverfull, w.name)
 		}
 	}
 	return nil
 }
 
-func (s *surge) host(name string) *host {
-	for _, h := range s.hosts {
-		if h.name == name {
-			return h
+func (s *surgeRun) worker(name string) *simWorker {
+	for _, w := range s.workers {
+		if w.name == name {
+			return w
 		}
 	}
 	return nil
 }
 
-// work lets the tasks of a worker make progress.
-func (s *surge) work(h *host) {
-	for _, id := range h.order() {
-		r := h.runs[id]
-		if s.now.Before(r.ready) {
+// advance lets the tasks of a worker make progress for one step.
+func (s *surgeRun) advance(w *simWorker) {
+	for _, id := range w.sortedJobs() {
+		r := w.runs[id]
+		if s.now.Before(r.progressFrom) {
 			continue
 		}
-		done := surgeStep * time.Duration(r.percent) / 100
-		r.left -= done
+		done := surgeTick * time.Duration(r.cpuPercent) / 100
+		r.remaining -= done
 		r.unsaved += done
-		if s.now.Sub(r.saved) >= checkpointEvery {
-			s.save(h, id)
+		if s.now.Sub(r.lastCheckpoint) >= checkpointInterval {
+			s.checkpoint(w, id)
 		}
-		if r.left <= 0 {
-			s.save(h, id)
-			s.end(h, id)
-			s.apply(&record.Finished{Assignment: r.hold, Outcome: record.OutcomeSucceeded})
+		if r.remaining <= 0 {
+			s.checkpoint(w, id)
+			s.endRun(w, id)
+			s.apply(&record.Finished{Assignment: r.assignment, Outcome: record.OutcomeSucceeded})
 			s.apply(&record.Forget{Jobs: []string{id}})
 		}
 	}
 }
 
-// save keeps a task's progress.
-func (s *surge) save(h *host, id string) {
-	r := h.runs[id]
-	s.out.Work += cores(r.class, r.unsaved)
+// checkpoint saves a task's progress.
+func (s *surgeRun) checkpoint(w *simWorker, id string) {
+	r := w.runs[id]
+	s.result.Work += coreTime(r.class, r.unsaved)
 	r.unsaved = 0
-	r.saved = s.now
-	s.remaining[id] = max(r.left, 0)
-	h.guard.CheckpointSaved(s.now, id)
+	r.lastCheckpoint = s.now
+	s.remaining[id] = max(r.remaining, 0)
+	w.guard.CheckpointSaved(s.now, id)
 }
 
-func cores(class string, d time.Duration) time.Duration {
-	return time.Duration(float64(d) * float64(sizes[class].MilliCPU) / 1000)
+func coreTime(class string, d time.Duration) time.Duration {
+	return time.Duration(float64(d) * float64(taskSizes[class].MilliCPU) / 1000)
 }
 
-func (s *surge) end(h *host, id string) {
-	s.out.Lost += cores(h.runs[id].class, h.runs[id].unsaved)
-	delete(h.runs, id)
-	h.ledger.Release(id)
+func (s *surgeRun) endRun(w *simWorker, id string) {
+	s.result.Lost += coreTime(w.runs[id].class, w.runs[id].unsaved)
+	delete(w.runs, id)
+	w.ledger.Release(id)
 }
 
-// evict stops a task; what was not saved is lost.
-func (s *surge) evict(h *host, id string) {
-	hold := h.runs[id].hold
-	s.end(h, id)
-	s.out.Evictions++
-	s.apply(&record.Released{Assignment: hold, Ref: "saved"})
+// evict stops a task so that it can run elsewhere. Progress since its last
+// checkpoint is lost.
+func (s *surgeRun) evict(w *simWorker, id string) {
+	assignment := w.runs[id].assignment
+	s.endRun(w, id)
+	s.result.Evictions++
+	s.apply(&record.Released{Assignment: assignment, Ref: "saved"})
 }
 
-// measure takes the true pressure, with noise; the policies see it later.
-func (s *surge) measure(h *host) {
-	pressure := 0.25 + 0.25*h.load*h.load
-	for _, id := range h.order() {
-		r := h.runs[id]
-		if s.now.Before(r.ready) {
+// recordPressure records the current pressure on a worker's service, with noise.
+// Policies see it readingDelaySteps later.
+func (s *surgeRun) recordPressure(w *simWorker) {
+	pressure := 0.25 + 0.25*w.load*w.load
+	for _, id := range w.sortedJobs() {
+		r := w.runs[id]
+		if s.now.Before(r.progressFrom) {
 			continue
 		}
-		part := float64(sizes[r.class].MilliCPU) / float64(workerSize.MilliCPU)
-		pressure += h.load * slopes[r.class] * part * float64(r.percent) / 100
+		part := float64(taskSizes[r.class].MilliCPU) / float64(workerSize.MilliCPU)
+		pressure += w.load * interference[r.class] * part * float64(r.cpuPercent) / 100
 	}
-	pressure *= math.Exp(0.08 * s.random.NormFloat64())
-	h.readings = append(h.readings, pressure)
-	s.samples = append(s.samples, sample{pressure: pressure, load: h.load})
+	pressure *= math.Exp(0.08 * s.loadRandom.NormFloat64())
+	w.pressures = append(w.pressures, pressure)
+	s.samples = append(s.samples, sample{pressure: pressure, load: w.load})
 }
 
-// reading returns the lagging pressure.
-func (h *host) reading() float64 {
-	if len(h.readings) <= readingLag {
+// delayedPressure returns the pressure that policies see.
+func (w *simWorker) delayedPressure() float64 {
+	if len(w.pressures) <= readingDelaySteps {
 		return 0
 	}
-	return h.readings[len(h.readings)-1-readingLag]
+	return w.pressures[len(w.pressures)-1-readingDelaySteps]
 }
 
-func (h *host) order() []string {
-	out := make([]string, 0, len(h.runs))
-	for id := range h.runs {
+func (w *simWorker) sortedJobs() []string {
+	out := make([]string, 0, len(w.runs))
+	for id := range w.runs {
 		out = append(out, id)
 	}
 	sort.Strings(out)
 	return out
 }
 
-func (h *host) uses() []queue.ClassUse {
+func (w *simWorker) classUses() []queue.ClassUse {
 	var out []queue.ClassUse
-	for class, size := range sizes {
+	for class, size := range taskSizes {
 		u := queue.ClassUse{Class: class}
-		for _, r := range h.runs {
+		for _, r := range w.runs {
 			if r.class == class {
 				u.Granted = u.Granted.Plus(size)
-				u.Used.MilliCPU += size.MilliCPU * int64(r.percent) / 100
+				u.Used.MilliCPU += size.MilliCPU * int64(r.cpuPercent) / 100
 			}
 		}
 		if u.Granted.MilliCPU > 0 {
@@ -338,57 +346,58 @@
 	return out
 }
 
-func (s *surge) protect(h *host) {
+func (s *surgeRun) applyPolicy(w *simWorker) {
 	switch s.policy {
 	case PolicyGuard:
-		s.followGuard(h)
+		s.applyGuard(w)
 	case PolicyEvict:
-		s.evictLargest(h)
+		s.evictLargest(w)
 	}
 }
 
-func (s *surge) followGuard(h *host) {
+func (s *surgeRun) applyGuard(w *simWorker) {
 	var running []worker.GuardTask
-	for _, id := range h.order() {
-		class := h.runs[id].class
+	for _, id := range w.sortedJobs() {
+		class := w.runs[id].class
 		running = append(running, worker.GuardTask{
-			Key: id, Class: class, Share: float64(sizes[class].MilliCPU) / float64(workerSize.MilliCPU),
+			Key: id, Class: class, Share: float64(taskSizes[class].MilliCPU) / float64(workerSize.MilliCPU),
 		})
 	}
-	r := worker.ServiceReading{Service: "lastbench", Pressure: h.reading(), Load: h.load}
-	for _, a := range h.guard.Decide(s.now, &r, running) {
+	r := worker.ServiceReading{Service: "lastbench", Pressure: w.delayedPressure(), Load: w.load}
+	for _, a := range w.guard.Decide(s.now, &r, running) {
 		switch a.Kind() {
 		case worker.ActionThrottle:
-			h.runs[a.Key()].percent = a.CPUPercent()
+			w.runs[a.Key()].cpuPercent = a.CPUPercent()
 		case worker.ActionCheckpoint:
-			s.save(h, a.Key())
+			s.checkpoint(w, a.Key())
 		case worker.ActionMove:
-			s.save(h, a.Key())
-			s.evict(h, a.Key())
+			s.checkpoint(w, a.Key())
+			s.evict(w, a.Key())
 		}
 	}
 }
 
-func (s *surge) evictLargest(h *host) {
-	if h.reading() <= 1 {
+func (s *surgeRun) evictLargest(w *simWorker) {
+	if w.delayedPressure() <= 1 {
 		return
 	}
 	largest := ""
-	for _, id := range h.order() {
-		if largest == "" || sizes[h.runs[id].class].MilliCPU > sizes[h.runs[largest].class].MilliCPU {
+	for _, id := range w.sortedJobs() {
+		if largest == "" || taskSizes[w.runs[id].class].MilliCPU > taskSizes[w.runs[largest].class].MilliCPU {
 			largest = id
 		}
 	}
 	if largest != "" {
-		s.evict(h, largest)
+		s.evict(w, largest)
 	}
 }
 
-// summarise counts what still runs and weighs the samples.
-func (s *surge) summarise() {
-	for _, h := range s.hosts {
-		for _, id := range h.order() {
-			s.save(h, id)
+// summarise counts the progress of tasks that still run and computes Past and
+// Tail from the samples.
+func (s *surgeRun) summarise() {
+	for _, w := range s.workers {
+		for _, id := range w.sortedJobs() {
+			s.checkpoint(w, id)
 		}
 	}
 	sort.Slice(s.samples, func(i, k int) bool { return s.samples[i].pressure > s.samples[k].pressure })
@@ -399,11 +408,11 @@
 			past += x.load
 		}
 	}
-	s.out.Past = past / total
+	s.result.Past = past / total
 	sum := 0.0
 	for _, x := range s.samples {
 		if sum += x.load; sum >= total/100 {
-			s.out.Tail = x.pressure
+			s.result.Tail = x.pressure
 			return
 		}
 	}
--- a/internal/bench/batch/surge_test.go
+++ b/internal/bench/batch/surge_test.go
@@ -26,13 +26,13 @@
 
 func TestUrgentStartsAfterEntryDeath(t *testing.T) {
 	for _, full := range []bool{false, true} {
-		got, err := urgentStart(1, full)
+		got, err := measureUrgentStart(1, full)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("full %v: %v", full, got)
-		if want := urgentAim; got > want {
-			t.Errorf("got %v on a full site %v, want at most %v", got, full, want)
+		if want := urgentTarget; got > want {
+			t.Errorf("got a start after %v with full workers %v, want at most %v", got, full, want)
 		}
 	}
 }
