--- a/internal/bench/log/appends.go
+++ b/internal/bench/log/appends.go
@@ -18,42 +18,44 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// The load of the append measurement.
+// Load of the append measurement.
 const (
-	startsPerSecond   = 300
-	entriesPerCentre  = 3
-	appendsMeasured   = 5 * time.Second
-	appendsTick       = 10 * time.Millisecond
-	logDelayMS        = 5
-	maxAppendMS       = 60000
-	histogramAccuracy = 3
+	startsPerSecond      = 300
+	entriesPerDataCentre = 3
+	appendMeasurePeriod  = 5 * time.Second
+	appendTickInterval   = 10 * time.Millisecond
+	logDelayMS           = 5
+	maxAppendMS          = 60000
+	histogramDigits      = 3
 )
 
-// appendLoad is the writers of all entries and what they measured.
+// appendLoad holds the writers of all entries, by data centre, and the
+// measurements.
 type appendLoad struct {
-	writers [][]*services.Writer
-	group   sync.WaitGroup
-	mu      sync.Mutex
-	delays  *hdrhistogram.Histogram
-	records int
-	err     error
+	writers     [][]*services.Writer
+	group       sync.WaitGroup
+	mu          sync.Mutex
+	latenciesMS *hdrhistogram.Histogram
+	records     int
+	err         error
 }
 
-// measureAppends appends what 300 task starts a second cause: the assignment,
-// the start and the end of each, by any of the entries of a data centre.
+// measureAppends appends the records that 300 task starts per second cause: the
+// assignment, the start and the end of each task, by any of the entries of a data
+// centre.
 func measureAppends(ctx context.Context, r *Result) error {
-	l, err := newLab()
+	l, err := newHarness()
 	if err != nil {
 		return err
 	}
 	defer l.close()
 	service := new(standin.Log)
 	service.SetFaults(standin.LogFaults{DelayMS: logDelayMS})
-	url, err := l.host(service.Handler())
+	url, err := l.serve(service.Handler())
 	if err != nil {
 		return err
 	}
-	load := &appendLoad{delays: hdrhistogram.New(1, maxAppendMS, histogramAccuracy)}
+	load := &appendLoad{latenciesMS: hdrhistogram.New(1, maxAppendMS, histogramDigits)}
 	live, stop := context.WithCancel(ctx)
 	var writers sync.WaitGroup
 	for dc := range dataCentres {
@@ -70,16 +72,16 @@
 	}
 	r.Appends = float64(service.Appends()) / took
 	r.AppendsEach = float64(load.records) / took
-	r.AppendP99MS = float64(load.delays.ValueAtQuantile(99))
+	r.AppendP99MS = float64(load.latenciesMS.ValueAtQuantile(99))
 	return nil
 }
 
 func (a *appendLoad) addWriters(ctx context.Context, group *sync.WaitGroup, url, dataCentre string) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: entriesPerCentre}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: entriesPerDataCentre}}
 	var writers []*services.Writer
-	for i := range entriesPerCentre {
+	for i := range entriesPerDataCentre {
 		name := fmt.Sprintf("%s/entry-%d@1", dataCentre, i)
-		w := services.NewWriter(services.NewLog(client, url), entry.JobsStream(dataCentre), name, entriesPerCentre*entry.StreamGap)
+		w := services.NewWriter(services.NewLog(client, url), entry.JobsStream(dataCentre), name, entriesPerDataCentre*entry.StreamGap)
 		group.Go(func() { w.Run(ctx, time.Second) })
 		writers = append(writers, w)
 	}
@@ -89,20 +91,20 @@
 func (a *appendLoad) run(ctx context.Context) {
 	began := time.Now()
 	started := 0
-	for elapsed := time.Duration(0); elapsed < appendsMeasured && delay.For(ctx, appendsTick); elapsed = time.Since(began) {
+	for elapsed := time.Duration(0); elapsed < appendMeasurePeriod && delay.For(ctx, appendTickInterval); elapsed = time.Since(began) {
 		for ; started < int(elapsed.Seconds()*startsPerSecond); started++ {
-			hold := record.AssignmentID{Task: record.TaskID{Job: fmt.Sprintf("job-%d", started/8), Index: uint32(started % 8)}, Epoch: 1}
-			centre := a.writers[rand.IntN(dataCentres)]
-			a.append(ctx, centre, &record.Assign{Placements: []record.Placement{{Task: hold.Task, Worker: "worker-17"}}})
-			a.append(ctx, centre, &record.Started{Assignments: []record.AssignmentID{hold}})
-			a.append(ctx, centre, &record.Finished{Assignment: hold, Outcome: record.OutcomeSucceeded})
+			assignment := record.AssignmentID{Task: record.TaskID{Job: fmt.Sprintf("job-%d", started/8), Index: uint32(started % 8)}, Epoch: 1}
+			writers := a.writers[rand.IntN(dataCentres)]
+			a.append(ctx, writers, &record.Assign{Placements: []record.Placement{{Task: assignment.Task, Worker: "worker-17"}}})
+			a.append(ctx, writers, &record.Started{Assignments: []record.AssignmentID{assignment}})
+			a.append(ctx, writers, &record.Finished{Assignment: assignment, Outcome: record.OutcomeSucceeded})
 		}
 	}
 }
 
-// append adds one record through any entry of a data centre.
-func (a *appendLoad) append(ctx context.Context, centre []*services.Writer, m record.Message) {
-	w := centre[rand.IntN(len(centre))]
+// append appends one record through a random entry of a data centre.
+func (a *appendLoad) append(ctx context.Context, writers []*services.Writer, m record.Message) {
+	w := writers[rand.IntN(len(writers))]
 	a.records++
 	a.group.Go(func() {
 		began := time.Now()
@@ -112,6 +114,6 @@
 		if err != nil {
 			a.err = err
 		}
-		_ = a.delays.RecordValue(max(1, time.Since(began).Milliseconds()))
+		_ = a.latenciesMS.RecordValue(max(1, time.Since(began).Milliseconds()))
 	})
 }
--- a/internal/bench/log/bench.go
+++ b/internal/bench/log/bench.go
@@ -1,5 +1,5 @@
-// Package log measures the log client, the rolling of bundles, the control
-// messages between processes and the recovery of an entry.
+// Package log benchmarks the log client, the rollout of bundles, the control
+// messages between agents and entries, and the recovery of an entry from the log.
 package log
 
 import (
@@ -20,10 +20,10 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// ErrBroken means that a measurement saw a promise broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrBroken means that a guarantee was violated during a measurement.
+var ErrBroken = errors.New("a guarantee was violated")
 
-// Result is what the bench prints, in kebab case.
+// Result is the benchmark's output.
 type Result struct {
 	Appends      float64 `json:"appends-per-s-300-starts"`
 	AppendsEach  float64 `json:"appends-per-s-300-starts-one-each"`
@@ -36,13 +36,13 @@
 	TookS float64 `json:"took-s"`
 }
 
-// Sizes of the target.
+// The size that the system is designed for.
 const (
 	dataCentres   = 7
 	targetWorkers = 1400
 )
 
-// Run measures everything and returns the figures.
+// Run runs all measurements.
 func Run(ctx context.Context) (*Result, error) {
 	began := time.Now()
 	r := new(Result)
@@ -55,8 +55,8 @@
 	return r, nil
 }
 
-// lab is the keys and the servers of one measurement.
-type lab struct {
+// harness holds the keys and the servers of one measurement.
+type harness struct {
 	group     sync.WaitGroup
 	servers   []*http.Server
 	authority *link.Authority
@@ -64,12 +64,12 @@
 	roots     bundle.Operators
 }
 
-const labValid = time.Hour
+const certificateLifetime = time.Hour
 
-func newLab() (*lab, error) {
-	l := new(lab)
+func newHarness() (*harness, error) {
+	l := new(harness)
 	var err error
-	if l.authority, err = link.NewAuthority(time.Now(), labValid); err != nil {
+	if l.authority, err = link.NewAuthority(time.Now(), certificateLifetime); err != nil {
 		return nil, err
 	}
 	private, public, err := bundle.GenerateKey(rand.Reader)
@@ -81,15 +81,15 @@
 	return l, nil
 }
 
-func (l *lab) close() {
+func (l *harness) close() {
 	for _, s := range l.servers {
 		_ = s.Close()
 	}
 	l.group.Wait()
 }
 
-// host serves a handler and returns its URL.
-func (l *lab) host(h http.Handler) (string, error) {
+// serve starts a server for a handler on loopback and returns its URL.
+func (l *harness) serve(h http.Handler) (string, error) {
 	ln, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -100,8 +100,8 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
-func (l *lab) identity(role link.Role, dataCentre, name string) (*link.Identity, error) {
-	certificate, key, err := l.authority.Issue(time.Now(), labValid, link.NewPeer(role, dataCentre, name))
+func (l *harness) identity(role link.Role, dataCentre, name string) (*link.Identity, error) {
+	certificate, key, err := l.authority.Issue(time.Now(), certificateLifetime, link.NewPeer(role, dataCentre, name))
 	if err != nil {
 		return nil, err
 	}
@@ -109,12 +109,12 @@
 	return id, id.Load(certificate, key, l.authority.PEM())
 }
 
-func quiet() *plog.Logger {
+func discardLogger() *plog.Logger {
 	return &plog.Logger{Level: plog.FatalLevel, Writer: &plog.IOWriter{Writer: io.Discard}}
 }
 
-// cpuTime returns the processor time that this process has used.
-func cpuTime() time.Duration {
+// processorTime returns the processor time that this process has used.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -20,48 +20,54 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// The control measurement and the deployment that its figures are worked out for.
+// Sizes and times of the measurement of control messages, and of the deployment for
+// which their cost is computed.
 const (
-	controlMeasured = 1500 * time.Millisecond
-	controlPeriod   = 500 * time.Millisecond
-	// warmBeats is the heartbeats per agent after which connections are up.
-	warmBeats      = 3
-	tasksPerWorker = 5
-	// toldEntries is the number of entries that an agent tells.
-	toldEntries = 3
-	// targetPeriod is the heartbeat period at the target size.
-	targetPeriod = 2 * time.Second
-	// targetEntries is the number of entries in a data centre at the target size.
-	targetEntries = 8
+	controlMeasurePeriod     = 1500 * time.Millisecond
+	controlHeartbeatInterval = 500 * time.Millisecond
+	// warmUpHeartbeats is the number of heartbeats per agent after which all
+	// connections are established.
+	warmUpHeartbeats = 3
+	tasksPerWorker   = 5
+	// entriesPerAgent is the number of entries to which an agent sends heartbeats.
+	entriesPerAgent = 3
+	// targetHeartbeatInterval is the heartbeat interval at the target size.
+	targetHeartbeatInterval = 2 * time.Second
+	// targetEntriesPerDataCentre is the number of entries in a data centre at the
+	// target size.
+	targetEntriesPerDataCentre = 8
 )
 
-// ControlResult is what control messages cost.
+// ControlResult is the cost of control messages.
 type ControlResult struct {
-	// BytesPerHeartbeat is on the wire, both ways, with IP and UDP headers.
+	// BytesPerHeartbeat counts the bytes in both directions, with IP and UDP
+	// headers.
 	BytesPerHeartbeat float64 `json:"bytes-per-heartbeat"`
 	Datagrams         float64 `json:"datagrams-per-heartbeat"`
 	CPUPerHeartbeatUS float64 `json:"cpu-us-per-heartbeat"`
 	Bytes11           float64 `json:"control-bytes-per-s-11"`
 	Bytes100          float64 `json:"control-bytes-per-s-100"`
 	Bytes400          float64 `json:"control-bytes-per-s-400"`
-	// AgentBytes and EntryBytes are per node at the target size.
+	// AgentBytes and EntryBytes are the bytes per second of one agent and of one
+	// entry at the target size.
 	AgentBytes float64 `json:"control-bytes-per-s-1400-agent"`
 	EntryBytes float64 `json:"control-bytes-per-s-1400-entry"`
 	Bytes1400  float64 `json:"control-bytes-per-s-1400"`
 	CPU1400    float64 `json:"control-cpu-percent-1400"`
-	// EntriesNeeded is how many entries a data centre needs at the target size
-	// for an entry to stay within its bytes.
+	// EntriesNeeded is the number of entries that a data centre needs at the
+	// target size for each to stay within maxNodeBytesPerSecond.
 	EntriesNeeded int `json:"control-entries-per-data-centre"`
 }
 
-// maxNodeBytes is what a node may spend for control, in bytes a second.
-const maxNodeBytes = 18000
+// maxNodeBytesPerSecond is the limit for the control messages of one node.
+const maxNodeBytesPerSecond = 18000
 
-// measureControl sends heartbeats of 11, 100 and 400 agents to one entry.
+// measureControl measures the heartbeats of 11, 100 and 400 agents to one entry and
+// computes the cost per heartbeat and at the target size.
 func measureControl(ctx context.Context, r *Result) error {
-	var samples []controlSample
+	var samples []controlRates
 	for _, agents := range []int{11, 100, 400} {
-		s, err := controlOf(ctx, agents)
+		s, err := measureControlRates(ctx, agents)
 		if err != nil {
 			return errors.Wrapf(err, "%d agents", agents)
 		}
@@ -69,87 +75,91 @@
 	}
 	r.Bytes11, r.Bytes100, r.Bytes400 = samples[0].bytes, samples[1].bytes, samples[2].bytes
 	first, last := samples[0], samples[2]
-	beats := last.beats - first.beats
-	r.BytesPerHeartbeat = (last.bytes - first.bytes) / beats
-	r.Datagrams = (last.datagrams - first.datagrams) / beats
-	r.CPUPerHeartbeatUS = (last.cpu - first.cpu) / beats * 1e6
-	agentBeats := toldEntries / targetPeriod.Seconds()
-	centreBeats := agentBeats * targetWorkers / dataCentres
-	entryBeats := centreBeats / targetEntries
-	r.AgentBytes = agentBeats * r.BytesPerHeartbeat
-	r.EntryBytes = entryBeats * r.BytesPerHeartbeat
+	heartbeats := last.heartbeats - first.heartbeats
+	r.BytesPerHeartbeat = (last.bytes - first.bytes) / heartbeats
+	r.Datagrams = (last.datagrams - first.datagrams) / heartbeats
+	r.CPUPerHeartbeatUS = (last.cpu - first.cpu) / heartbeats * 1e6
+	agentHeartbeats := entriesPerAgent / targetHeartbeatInterval.Seconds()
+	dataCentreHeartbeats := agentHeartbeats * targetWorkers / dataCentres
+	entryHeartbeats := dataCentreHeartbeats / targetEntriesPerDataCentre
+	r.AgentBytes = agentHeartbeats * r.BytesPerHeartbeat
+	r.EntryBytes = entryHeartbeats * r.BytesPerHeartbeat
 	r.Bytes1400 = max(r.AgentBytes, r.EntryBytes)
-	r.CPU1400 = entryBeats * r.CPUPerHeartbeatUS / 1e6 * 100
-	r.EntriesNeeded = int(centreBeats*r.BytesPerHeartbeat/maxNodeBytes) + 1
+	r.CPU1400 = entryHeartbeats * r.CPUPerHeartbeatUS / 1e6 * 100
+	r.EntriesNeeded = int(dataCentreHeartbeats*r.BytesPerHeartbeat/maxNodeBytesPerSecond) + 1
 	return nil
 }
 
-// controlSample is what one run used in a second.
-type controlSample struct{ beats, bytes, datagrams, cpu float64 }
+// controlRates are the heartbeats, bytes, datagrams and processor seconds per
+// second of one run.
+type controlRates struct{ heartbeats, bytes, datagrams, cpu float64 }
 
-// controlOf measures bytes through a relay and processor time without it.
-func controlOf(ctx context.Context, agents int) (controlSample, error) {
-	l, err := newLab()
+// measureControlRates measures heartbeats, bytes and datagrams through a proxy, and
+// the processor time per heartbeat without it.
+func measureControlRates(ctx context.Context, agents int) (controlRates, error) {
+	l, err := newHarness()
 	if err != nil {
-		return controlSample{}, err
+		return controlRates{}, err
 	}
 	live, stop := context.WithCancel(ctx)
-	c := &controlSite{lab: l, log: new(standin.Log)}
+	c := &controlTestbed{harness: l, log: new(standin.Log)}
 	defer func() {
 		for _, client := range c.clients {
 			_ = client.Close()
 		}
 		stop()
 		c.running.Wait()
-		if c.relay != nil {
-			c.relay.close()
+		if c.proxy != nil {
+			c.proxy.close()
 		}
 		l.close()
 	}()
 	if err := c.start(live, agents); err != nil {
-		return controlSample{}, err
+		return controlRates{}, err
 	}
-	counted, err := c.measure(ctx, c.relay.address())
+	counted, err := c.measure(ctx, c.proxy.address())
 	if err != nil {
-		return controlSample{}, err
+		return controlRates{}, err
 	}
 	direct, err := c.measure(ctx, c.entry.PeerAddress())
-	counted.cpu = direct.cpu * counted.beats / direct.beats
+	counted.cpu = direct.cpu * counted.heartbeats / direct.heartbeats
 	return counted, err
 }
 
-type controlSite struct {
-	*lab
+// controlTestbed runs one entry, with a proxy in front of it, and the clients of
+// simulated agents.
+type controlTestbed struct {
+	*harness
 	log        *standin.Log
 	entry      *entry.Entry
-	relay      *relay
+	proxy      *udpProxy
 	running    sync.WaitGroup
 	clients    []*link.Client
 	heartbeats []*link.Heartbeat
 }
 
-const controlCentre = "dc-1"
+const controlDataCentre = "dc-1"
 
-func (c *controlSite) start(ctx context.Context, agents int) error {
-	url, err := c.host(c.log.Handler())
+func (c *controlTestbed) start(ctx context.Context, agents int) error {
+	url, err := c.serve(c.log.Handler())
 	if err != nil {
 		return err
 	}
-	id, err := c.identity(link.RoleEntry, controlCentre, "entry-1")
+	id, err := c.identity(link.RoleEntry, controlDataCentre, "entry-1")
 	if err != nil {
 		return err
 	}
 	c.entry, err = entry.New(time.Now(), entry.Settings{
-		Name: "entry-1", DataCentre: controlCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: url, Roots: c.roots, DrainAfter: siteDrain, Open: true,
-	}, id, quiet())
+		Name: "entry-1", DataCentre: controlDataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
+		LogURL: url, Roots: c.roots, DrainAfter: drainDelay, Open: true,
+	}, id, discardLogger())
 	if err != nil {
 		return err
 	}
-	if c.relay, err = newRelay(); err != nil {
+	if c.proxy, err = newUDPProxy(); err != nil {
 		return err
 	}
-	if err := c.relay.serveFor(c.entry.ListenAddress()); err != nil {
+	if err := c.proxy.setServer(c.entry.ListenAddress()); err != nil {
 		return err
 	}
 	for i := range agents {
@@ -161,10 +171,11 @@
 	return nil
 }
 
-// addAgent makes one agent's client and heartbeat and puts its tasks into the log.
-func (c *controlSite) addAgent(i int) error {
+// addAgent prepares the client and the heartbeat of one agent and appends its tasks
+// to the log.
+func (c *controlTestbed) addAgent(i int) error {
 	name := fmt.Sprintf("worker-%d", i)
-	id, err := c.identity(link.RoleAgent, controlCentre, name)
+	id, err := c.identity(link.RoleAgent, controlDataCentre, name)
 	if err != nil {
 		return err
 	}
@@ -179,43 +190,43 @@
 	}
 	epoch := record.NewPosition(uint64(i), 1)
 	for t := range uint32(tasksPerWorker) {
-		hold := record.AssignmentID{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
-		assign.Placements = append(assign.Placements, record.Placement{Task: hold.Task, Worker: name})
-		started.Assignments = append(started.Assignments, hold)
-		h.Tasks = append(h.Tasks, lease.Report{Hold: hold, State: lease.Running})
+		assignment := record.AssignmentID{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
+		assign.Placements = append(assign.Placements, record.Placement{Task: assignment.Task, Worker: name})
+		started.Assignments = append(started.Assignments, assignment)
+		h.Tasks = append(h.Tasks, lease.Report{Hold: assignment, State: lease.Running})
 	}
 	c.heartbeats = append(c.heartbeats, h)
 	data, err := record.Encode(name, 1, []record.Message{&record.Submit{Spec: spec}, assign, started})
 	if err != nil {
 		return err
 	}
-	c.log.Append(entry.JobsStream(controlCentre), data)
+	c.log.Append(entry.JobsStream(controlDataCentre), data)
 	return nil
 }
 
-// measure sends every agent's heartbeats to an address for a while, first
-// without counting, so that connections are up.
-func (c *controlSite) measure(ctx context.Context, address string) (controlSample, error) {
+// measure sends every agent's heartbeats to an address. It starts to count when
+// all connections should be established, after warmUpHeartbeats per agent.
+func (c *controlTestbed) measure(ctx context.Context, address string) (controlRates, error) {
 	var group sync.WaitGroup
-	var beats, failed atomic.Int64
+	var heartbeats, failed atomic.Int64
 	sending, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range c.clients {
-		group.Go(func() { c.beat(sending, i, address, &beats, &failed) })
+		group.Go(func() { c.sendHeartbeats(sending, i, address, &heartbeats, &failed) })
 	}
-	for beats.Load() < warmBeats*int64(len(c.clients)) && delay.For(ctx, rollPoll) {
+	for heartbeats.Load() < warmUpHeartbeats*int64(len(c.clients)) && delay.For(ctx, pollInterval) {
 		continue
 	}
-	beats.Store(0)
-	bytes, datagrams := c.relay.bytes.Load(), c.relay.datagrams.Load()
-	cpu, began := cpuTime(), time.Now()
-	delay.For(ctx, controlMeasured)
+	heartbeats.Store(0)
+	bytes, datagrams := c.proxy.bytes.Load(), c.proxy.datagrams.Load()
+	cpu, began := processorTime(), time.Now()
+	delay.For(ctx, controlMeasurePeriod)
 	took := time.Since(began).Seconds()
-	s := controlSample{
-		beats:     float64(beats.Load()) / took,
-		bytes:     float64(c.relay.bytes.Load()-bytes) / took,
-		datagrams: float64(c.relay.datagrams.Load()-datagrams) / took,
-		cpu:       (cpuTime() - cpu).Seconds() / took,
+	s := controlRates{
+		heartbeats: float64(heartbeats.Load()) / took,
+		bytes:      float64(c.proxy.bytes.Load()-bytes) / took,
+		datagrams:  float64(c.proxy.datagrams.Load()-datagrams) / took,
+		cpu:        (processorTime() - cpu).Seconds() / took,
 	}
 	stop()
 	group.Wait()
@@ -225,34 +236,34 @@
 	return s, ctx.Err()
 }
 
-func (c *controlSite) beat(ctx context.Context, i int, address string, beats, failed *atomic.Int64) {
-	delay.For(ctx, rand.N(controlPeriod))
+func (c *controlTestbed) sendHeartbeats(ctx context.Context, i int, address string, heartbeats, failed *atomic.Int64) {
+	delay.For(ctx, rand.N(controlHeartbeatInterval))
 	h := *c.heartbeats[i]
 	var sender link.Sender
 	for ctx.Err() == nil {
 		h.Round++
-		if err := c.call(ctx, i, address, &sender, &h); err == nil {
-			beats.Add(1)
+		if err := c.sendHeartbeat(ctx, i, address, &sender, &h); err == nil {
+			heartbeats.Add(1)
 		} else if ctx.Err() == nil {
 			failed.Add(1)
 		}
-		delay.For(ctx, controlPeriod)
+		delay.For(ctx, controlHeartbeatInterval)
 	}
 }
 
-// call sends one heartbeat as an agent does.
-func (c *controlSite) call(ctx context.Context, i int, address string, sender *link.Sender, h *link.Heartbeat) error {
+// sendHeartbeat sends one heartbeat as an agent does.
+func (c *controlTestbed) sendHeartbeat(ctx context.Context, i int, address string, sender *link.Sender, h *link.Heartbeat) error {
 	sent, digest, err := sender.Compact(address, h)
 	if err != nil {
 		return err
 	}
-	var reading link.Reading
-	if err := c.clients[i].Call(ctx, address, link.PathHeartbeat, sent, &reading); err != nil {
+	var reply link.Reading
+	if err := c.clients[i].Call(ctx, address, link.PathHeartbeat, sent, &reply); err != nil {
 		return err
 	}
-	sender.Sent(address, digest, &reading)
-	if len(reading.Lease.Stop)+len(reading.Lease.Start) > 0 {
-		return errors.Wrap(ErrBroken, "the entry does not know the tasks that were reported")
+	sender.Sent(address, digest, &reply)
+	if len(reply.Lease.Stop)+len(reply.Lease.Start) > 0 {
+		return errors.Wrap(ErrBroken, "the entry ordered starts or stops, so it does not know the reported tasks")
 	}
 	return nil
 }
--- a/internal/bench/log/recovery.go
+++ b/internal/bench/log/recovery.go
@@ -18,16 +18,18 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// The stream of the recovery measurement: a data centre's share of the target.
+// Sizes and times of the recovery measurement. The numbers of jobs and tasks are a
+// data centre's share of the target size.
 const (
-	recoveryJobs      = 3286
-	recoveryOpenTasks = 1072
-	recoveryWithin    = 20 * time.Second
-	snapshotEvery     = 8192
-	snapshotBytes     = 256 << 10
+	recoveryKnownJobs       = 3286
+	recoveryOpenTasks       = 1072
+	recoveryTimeout         = 20 * time.Second
+	snapshotIntervalBatches = 8192
+	maxSnapshotPartBytes    = 256 << 10
 )
 
-// RecoveryResult is what the start of an entry costs.
+// RecoveryResult is the cost of an entry's start: the time until it knows all tasks
+// and the memory that it then uses.
 type RecoveryResult struct {
 	Recovery4K  float64 `json:"recovery-s-4096-batches"`
 	Recovery64K float64 `json:"recovery-s-65536-batches"`
@@ -35,7 +37,7 @@
 	RecoveryMB  float64 `json:"recovery-mb"`
 }
 
-// measureRecovery starts an entry on streams of two lengths.
+// measureRecovery starts an entry with streams of two lengths.
 func measureRecovery(ctx context.Context, r *Result) error {
 	var err error
 	if r.Recovery4K, _, err = recoverEntry(ctx, 4096); err != nil {
@@ -46,40 +48,41 @@
 	return err
 }
 
-// streamWriter fills a stream and folds what it wrote.
+// streamWriter writes records to a stream and applies them to a state machine.
 type streamWriter struct {
-	log    *standin.Log
-	fold   job.StateMachine
-	seq    uint64
-	offset uint64
-	err    error
+	log          *standin.Log
+	stateMachine job.StateMachine
+	lastSeq      uint64
+	lastOffset   uint64
+	err          error
 }
 
 func (w *streamWriter) add(messages ...record.Message) record.Position {
-	data, err := record.Encode("writer", w.seq+1, messages)
+	data, err := record.Encode("writer", w.lastSeq+1, messages)
 	if err != nil {
 		w.err = err
 		return 0
 	}
-	w.offset = w.log.Append(entry.JobsStream(controlCentre), data)
-	records, _, err := record.Decode(w.offset, data)
+	w.lastOffset = w.log.Append(entry.JobsStream(controlDataCentre), data)
+	records, _, err := record.Decode(w.lastOffset, data)
 	if err != nil {
 		w.err = err
 		return 0
 	}
 	for _, r := range records {
-		_ = w.fold.Apply(r)
+		_ = w.stateMachine.Apply(r)
 	}
-	w.fold.Advance(w.offset + 1)
-	w.seq += uint64(len(messages))
-	return record.NewPosition(w.offset, 0)
+	w.stateMachine.Advance(w.lastOffset + 1)
+	w.lastSeq += uint64(len(messages))
+	return record.NewPosition(w.lastOffset, 0)
 }
 
-// fill writes batches records: jobs that come and end, so that a day's jobs are
-// known and the target's number of tasks is open at the end.
+// fill writes batches of records until the stream has the given number of them.
+// Jobs are submitted, run, end and are forgotten later, so that finally the jobs of
+// a day are known and recoveryOpenTasks tasks are running.
 func (w *streamWriter) fill(batches int) {
 	open := make([]record.AssignmentID, 0, recoveryOpenTasks)
-	for i := 0; int(w.offset) < batches && w.err == nil; i++ {
+	for i := 0; int(w.lastOffset) < batches && w.err == nil; i++ {
 		id := fmt.Sprintf("job-%d", i)
 		w.add(&record.Submit{Spec: record.Spec{ID: id, Team: "nursery", Class: "shaping", Tasks: 1, TakeoverMS: 10000, MaxFailures: 3}})
 		task := record.TaskID{Job: id}
@@ -90,17 +93,17 @@
 			w.add(&record.Finished{Assignment: open[0], Outcome: record.OutcomeSucceeded})
 			open = open[1:]
 		}
-		if i >= recoveryJobs {
-			w.add(&record.Forget{Jobs: []string{fmt.Sprintf("job-%d", i-recoveryJobs)}})
+		if i >= recoveryKnownJobs {
+			w.add(&record.Forget{Jobs: []string{fmt.Sprintf("job-%d", i-recoveryKnownJobs)}})
 		}
-		if w.offset/snapshotEvery != (w.offset-min(w.offset, 5))/snapshotEvery {
+		if w.lastOffset/snapshotIntervalBatches != (w.lastOffset-min(w.lastOffset, 5))/snapshotIntervalBatches {
 			w.snapshot()
 		}
 	}
 }
 
 func (w *streamWriter) snapshot() {
-	parts, err := w.fold.Snapshot(fmt.Sprintf("snapshot-%d", w.offset), snapshotBytes)
+	parts, err := w.stateMachine.Snapshot(fmt.Sprintf("snapshot-%d", w.lastOffset), maxSnapshotPartBytes)
 	if err != nil {
 		w.err = err
 		return
@@ -111,21 +114,21 @@
 	}
 }
 
-// recoverEntry returns how long a new entry takes to know all tasks, and the
-// memory that it then holds in MB.
+// recoverEntry returns how long a new entry takes until it knows all tasks of the
+// stream, and the memory in MB that it then uses.
 func recoverEntry(ctx context.Context, batches int) (seconds, mb float64, err error) {
-	l, err := newLab()
+	l, err := newHarness()
 	if err != nil {
 		return 0, 0, err
 	}
 	w := &streamWriter{log: new(standin.Log)}
 	w.fill(batches)
-	want := w.fold.Len()
-	w.fold = job.StateMachine{}
+	want := w.stateMachine.Len()
+	w.stateMachine = job.StateMachine{}
 	if w.err != nil {
 		return 0, 0, w.err
 	}
-	url, err := l.host(w.log.Handler())
+	url, err := l.serve(w.log.Handler())
 	if err != nil {
 		return 0, 0, err
 	}
@@ -136,25 +139,25 @@
 		running.Wait()
 		l.close()
 	}()
-	id, err := l.identity(link.RoleEntry, controlCentre, "entry-1")
+	id, err := l.identity(link.RoleEntry, controlDataCentre, "entry-1")
 	if err != nil {
 		return 0, 0, err
 	}
 	before := heapMB()
 	began := time.Now()
 	e, err := entry.New(began, entry.Settings{
-		Name: "entry-1", DataCentre: controlCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: url, Roots: l.roots, DrainAfter: siteDrain, Open: true,
-	}, id, quiet())
+		Name: "entry-1", DataCentre: controlDataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
+		LogURL: url, Roots: l.roots, DrainAfter: drainDelay, Open: true,
+	}, id, discardLogger())
 	if err != nil {
 		return 0, 0, err
 	}
 	running.Go(func() { _ = e.Run(live) })
-	until, cancel := context.WithTimeout(ctx, recoveryWithin)
+	waitCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	for taskCount(until, e) < want {
-		if !delay.For(until, rollPoll) {
-			return 0, 0, errors.Wrapf(ErrBroken, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), want, recoveryWithin)
+	for taskCount(waitCtx, e) < want {
+		if !delay.For(waitCtx, pollInterval) {
+			return 0, 0, errors.Wrapf(ErrBroken, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), want, recoveryTimeout)
 		}
 	}
 	return time.Since(began).Seconds(), heapMB() - before, nil
@@ -174,7 +177,7 @@
 
 const bytesPerMB = 1 << 20
 
-// heapMB returns the live heap.
+// heapMB returns the size of the live heap.
 func heapMB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/bench/log/relay_test.go
+++ b/internal/bench/log/udpproxy_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// TestRelayCountsBothWays checks that a relay passes datagrams both ways and
-// counts them with their headers.
-func TestRelayCountsBothWays(t *testing.T) {
+// TestUDPProxyCountsBothWays checks that the proxy forwards datagrams in both
+// directions and counts them with their headers.
+func TestUDPProxyCountsBothWays(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	r, err := newRelay()
+	r, err := newUDPProxy()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.close()
-	if err := r.serveFor(server.LocalAddr().String()); err != nil {
+	if err := r.setServer(server.LocalAddr().String()); err != nil {
 		t.Fatal(err)
 	}
 	r.faults.Store(&linkFaults{delay: time.Millisecond})
@@ -31,7 +31,7 @@
 	if _, err := client.Write([]byte("question")); err != nil {
 		t.Fatal(err)
 	}
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	n, from, err := server.ReadFromUDP(buffer)
 	if err != nil || string(buffer[:n]) != "question" {
 		t.Fatalf("server: got %q, error %v", buffer[:n], err)
@@ -43,7 +43,7 @@
 	if err != nil || string(buffer[:n]) != "answer" {
 		t.Fatalf("client: got %q, error %v", buffer[:n], err)
 	}
-	if got, want := r.bytes.Load(), int64(len("question")+len("answer")+2*ipHeader); got != want {
+	if got, want := r.bytes.Load(), int64(len("question")+len("answer")+2*headerBytes); got != want {
 		t.Errorf("bytes counted: got %d, want %d", got, want)
 	}
 }
