--- a/internal/bench/capacity/appends.go
+++ b/internal/bench/capacity/appends.go
@@ -17,23 +17,24 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// measureAppends returns the appends a second in one data centre's stream by
-// task starts a second there.
+// measureAppends returns the appends per second to one data centre's stream by the
+// task starts per second in that data centre.
 func measureAppends(ctx context.Context, length time.Duration) (Slope, error) {
 	out := Slope{Name: "appends-per-start", Unit: "appends a second"}
-	for _, starts := range []int{2, 10, targetStarts / targetDataCentres, 2 * targetStarts / targetDataCentres} {
-		appends, err := appendsAt(ctx, starts, length)
+	for _, starts := range []int{2, 10, targetStartsPerSecond / targetDataCentres, 2 * targetStartsPerSecond / targetDataCentres} {
+		appends, err := measureAppendRate(ctx, starts, length)
 		if err != nil {
 			return out, err
 		}
-		out.add(float64(starts), appends)
+		out.addSample(float64(starts), appends)
 	}
 	out.fit()
 	return out, nil
 }
 
-// appendsAt lets the entries of one data centre record task starts at a rate.
-func appendsAt(ctx context.Context, starts int, length time.Duration) (float64, error) {
+// measureAppendRate returns the appends per second when the entries of one data
+// centre record a number of task starts per second.
+func measureAppendRate(ctx context.Context, starts int, length time.Duration) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", loopback)
@@ -41,16 +42,16 @@
 		return 0, err
 	}
 	l := new(standin.Log)
-	server := &http.Server{Handler: l.Handler(), ReadHeaderTimeout: readLimit}
+	server := &http.Server{Handler: l.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer func() { _ = server.Close() }()
 	group.Go(func() { _ = server.Serve(ln) })
-	port := services.NewLog(&http.Client{}, "http://"+ln.Addr().String())
+	logService := services.NewLog(&http.Client{}, "http://"+ln.Addr().String())
 	var writers []*services.Writer
 	var running sync.WaitGroup
 	for i := range entriesPerDataCentre {
-		w := services.NewWriter(port, "jobs-dc-1", fmt.Sprintf("entry-%d@1", i), entry.StreamGap*entriesPerDataCentre)
+		w := services.NewWriter(logService, "jobs-dc-1", fmt.Sprintf("entry-%d@1", i), entry.StreamGap*entriesPerDataCentre)
 		writers = append(writers, w)
 		running.Go(func() { w.Run(ctx, 0) })
 	}
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// Figure is a number that is written with three digits.
+// Figure is a number that is rounded in JSON.
 type Figure float64
 
-// MarshalJSON writes the figure with three significant digits.
+// MarshalJSON writes the figure with three significant digits, and from 1000 on
+// with all digits before the decimal point.
 func (f Figure) MarshalJSON() ([]byte, error) {
 	digits := 3
 	if math.Abs(float64(f)) >= 1000 {
@@ -21,7 +22,8 @@
 	return strconv.AppendFloat(nil, float64(f), 'g', digits, 64), nil
 }
 
-// Slope is a cost measured at several sizes: base plus per times the size.
+// Slope is a cost measured at several sizes and the line fitted to it: the cost at
+// a size is Base + Per * size.
 type Slope struct {
 	Name  string    `json:"name"`
 	Unit  string    `json:"unit"`
@@ -31,12 +33,12 @@
 	Per   Figure    `json:"per"`
 }
 
-func (s *Slope) add(size, cost float64) {
+func (s *Slope) addSample(size, cost float64) {
 	s.Sizes = append(s.Sizes, size)
 	s.Costs = append(s.Costs, Figure(cost))
 }
 
-// fit works out base and slope by least squares.
+// fit computes Base and Per by least squares.
 func (s *Slope) fit() {
 	n := float64(len(s.Sizes))
 	var sx, sy, sxx, sxy float64
@@ -49,16 +51,16 @@
 	s.Base = Figure((sy - per*sx) / n)
 }
 
-// at returns the cost at a size.
-func (s *Slope) at(size float64) float64 { return float64(s.Base) + float64(s.Per)*size }
+// costAt returns the cost at a size according to the fitted line.
+func (s *Slope) costAt(size float64) float64 { return float64(s.Base) + float64(s.Per)*size }
 
-// most returns the highest cost measured.
-func (s *Slope) most() float64 { return float64(slices.Max(s.Costs)) }
+// maxCost returns the highest measured cost.
+func (s *Slope) maxCost() float64 { return float64(slices.Max(s.Costs)) }
 
-// per returns the slope.
-func (s *Slope) per() float64 { return float64(s.Per) }
+// perUnit returns the additional cost per unit of size.
+func (s *Slope) perUnit() float64 { return float64(s.Per) }
 
-// heapBytes returns the live heap after a collection.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -67,7 +69,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// processorTime returns what this process has used of processors so far.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -76,11 +78,11 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measure fits a slope to the cost at each size.
-func measure(name, unit string, sizes []int, cost func(size int) float64) Slope {
+// measureSlope measures the cost at each size and fits a line to it.
+func measureSlope(name, unit string, sizes []int, cost func(size int) float64) Slope {
 	s := Slope{Name: name, Unit: unit}
 	for _, size := range sizes {
-		s.add(float64(size), cost(size))
+		s.addSample(float64(size), cost(size))
 	}
 	s.fit()
 	return s
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -14,33 +14,34 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// epoch is the present time of the measured state.
-var epoch = time.Unix(1_700_000_000, 0)
-
-// state is an entry's state of batch work: the fold and the scheduler over it.
-type state struct {
-	fold      job.StateMachine
-	scheduler queue.Scheduler
-	offset    uint64
-	workers   int
+// stateTime is the current time in the measured state.
+var stateTime = time.Unix(1_700_000_000, 0)
+
+// batchState is an entry's state of batch work: the state machine and the scheduler
+// that follows it.
+type batchState struct {
+	stateMachine job.StateMachine
+	scheduler    queue.Scheduler
+	lastOffset   uint64
+	workers      int
 }
 
-// workerSize is one of the target's workers, with accelerators on each.
+// workerSize is the size of a worker; here every worker has accelerators.
 var workerSize = worker.Resources{MilliCPU: 16000, MemoryMB: 60 << 10, Accelerators: 2}
 
-// taskSize lets all tasks of a measurement run at once.
+// taskSize is so small that all tasks of a measurement can run at the same time.
 var taskSize = worker.Resources{MilliCPU: 1, MemoryMB: 1}
 
-func newState(workers int) *state {
-	s := &state{workers: workers}
-	s.fold.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(epoch, id, j, t) }
+func newBatchState(workers int) *batchState {
+	s := &batchState{workers: workers}
+	s.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(stateTime, id, j, t) }
 	d := &bundle.Document{BatchClasses: []bundle.BatchClass{{Name: "shaping", Priority: 5}}}
 	for i := range targetTeams {
 		d.Teams = append(d.Teams, bundle.Team{Name: teamName(i), Quota: workerSize})
 	}
-	s.scheduler.Configure(epoch, d, &s.fold)
+	s.scheduler.Configure(stateTime, d, &s.stateMachine)
 	for i := range workers {
-		s.scheduler.ApplyReport(epoch, &worker.Report{
+		s.scheduler.ApplyReport(stateTime, &worker.Report{
 			Name: workerName(i), Rack: fmt.Sprint("rack-", i/3), Service: "lastbench", Total: workerSize, Free: workerSize, Ready: true,
 		}, nil)
 	}
@@ -50,15 +51,15 @@
 func teamName(i int) string   { return fmt.Sprintf("franchise-team-%03d", i%targetTeams) }
 func workerName(i int) string { return fmt.Sprintf("worker-%04d", i) }
 
-func (s *state) apply(m record.Message) record.Position {
-	s.offset++
-	at := record.NewPosition(s.offset, 0)
-	_ = s.fold.Apply(record.New(at, "entry-1@1", s.offset, m))
+func (s *batchState) apply(m record.Message) record.Position {
+	s.lastOffset++
+	at := record.NewPosition(s.lastOffset, 0)
+	_ = s.stateMachine.Apply(record.New(at, "entry-1@1", s.lastOffset, m))
 	return at
 }
 
-// submit adds a job of running tasks.
-func (s *state) submit(i, tasks int) {
+// submit adds job i with a number of tasks, all of them running.
+func (s *batchState) submit(i, tasks int) {
 	id := fmt.Sprintf("%020x", i)
 	s.apply(&record.Submit{Spec: record.Spec{
 		ID: id, Team: teamName(i), Class: "shaping", Tasks: uint32(tasks), Size: taskSize,
@@ -71,32 +72,33 @@
 	}
 }
 
-// finish ends every task of a job.
-func (s *state) finish(i, tasks int) {
+// finish ends all tasks of job i.
+func (s *batchState) finish(i, tasks int) {
 	id := fmt.Sprintf("%020x", i)
-	j, _ := s.fold.Job(id)
+	j, _ := s.stateMachine.Job(id)
 	for k := range tasks {
-		hold := record.AssignmentID{Task: record.TaskID{Job: id, Index: uint32(k)}, Epoch: j.Task(k).Epoch()}
-		s.apply(&record.Finished{Assignment: hold, Outcome: record.OutcomeSucceeded})
+		assignment := record.AssignmentID{Task: record.TaskID{Job: id, Index: uint32(k)}, Epoch: j.Task(k).Epoch()}
+		s.apply(&record.Finished{Assignment: assignment, Outcome: record.OutcomeSucceeded})
 	}
 }
 
-// memoryPerWorker is the live heap of a scheduler by workers.
-func memoryPerWorker() Slope {
-	return measure("entry-memory-per-worker", "bytes", []int{200, 400, 800}, func(size int) float64 {
+// measureWorkerMemory measures the live heap of a scheduler by the number of
+// workers.
+func measureWorkerMemory() Slope {
+	return measureSlope("entry-memory-per-worker", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
-		s := newState(size)
+		s := newBatchState(size)
 		after := heapBytes()
 		runtime.KeepAlive(s)
 		return after - before
 	})
 }
 
-// memoryPerJob is the live heap of fold and scheduler by jobs; running tells
-// whether their one task runs or has ended.
-func memoryPerJob(name string, running bool) Slope {
-	return measure(name, "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
-		s := newState(200)
+// measureJobMemory measures the live heap of state machine and scheduler by the
+// number of jobs with one task each, which runs or has ended.
+func measureJobMemory(name string, running bool) Slope {
+	return measureSlope(name, "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
+		s := newBatchState(200)
 		before := heapBytes()
 		for i := range size {
 			s.submit(i, 1)
@@ -110,11 +112,12 @@
 	})
 }
 
-// memoryPerTask is the live heap by running tasks of a few large jobs.
-func memoryPerTask() Slope {
+// measureTaskMemory measures the live heap by the number of running tasks of a few
+// large jobs.
+func measureTaskMemory() Slope {
 	const jobs = 10
-	return measure("entry-memory-per-running-task", "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
-		s := newState(200)
+	return measureSlope("entry-memory-per-running-task", "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
+		s := newBatchState(200)
 		before := heapBytes()
 		for i := range jobs {
 			s.submit(i, size/jobs)
@@ -125,12 +128,13 @@
 	})
 }
 
-// processorPerRecord is the time to fold and schedule one record by jobs known:
-// the cost is for a task's whole life, divided by its records.
-func processorPerRecord() Slope {
+// measureRecordCPU measures the processor time to apply one record to state machine
+// and scheduler by the number of known jobs. It is the cost of a task from its
+// submission to its end, divided by the number of its records.
+func measureRecordCPU() Slope {
 	const tasks = 4000
-	return measure("entry-processor-per-record", "microseconds", []int{1000, 4000, 16000}, func(size int) float64 {
-		s := newState(200)
+	return measureSlope("entry-processor-per-record", "microseconds", []int{1000, 4000, 16000}, func(size int) float64 {
+		s := newBatchState(200)
 		for i := range size {
 			s.submit(i, 1)
 		}
@@ -143,11 +147,12 @@
 	})
 }
 
-// processorPerPlacement is the time to decide where a task runs, by workers.
-func processorPerPlacement() Slope {
+// measurePlacementCPU measures the processor time to decide where a task runs by
+// the number of workers.
+func measurePlacementCPU() Slope {
 	const tasks = 500
-	return measure("entry-processor-per-placement", "microseconds", []int{100, 200, 400}, func(size int) float64 {
-		s := newState(size)
+	return measureSlope("entry-processor-per-placement", "microseconds", []int{100, 200, 400}, func(size int) float64 {
+		s := newBatchState(size)
 		for i := range tasks {
 			s.apply(&record.Submit{Spec: record.Spec{
 				ID: fmt.Sprint("job-", i), Team: teamName(i), Class: "shaping", Tasks: 1, Size: taskSize, MaxFailures: 3,
@@ -155,14 +160,15 @@
 		}
 		random := rand.New(rand.NewPCG(1, 2))
 		began := processorTime()
-		placed := len(s.scheduler.Decide(epoch, &s.fold, func(string) time.Duration { return 0 }, random))
+		placed := len(s.scheduler.Decide(stateTime, &s.stateMachine, func(string) time.Duration { return 0 }, random))
 		return microseconds(processorTime()-began) / float64(max(1, placed))
 	})
 }
 
-// memoryPerEndpoint is the live heap of a service's routing table by endpoints.
-func memoryPerEndpoint() Slope {
-	return measure("entry-memory-per-endpoint", "bytes", []int{200, 400, 800}, func(size int) float64 {
+// measureEndpointMemory measures the live heap of a service's router by the number
+// of endpoints.
+func measureEndpointMemory() Slope {
+	return measureSlope("entry-memory-per-endpoint", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
 		r := newRouter(size)
 		after := heapBytes()
@@ -174,7 +180,7 @@
 func newRouter(endpoints int) *endpoint.Router {
 	r := new(endpoint.Router)
 	for i := range endpoints {
-		r.Table().Observe(epoch, endpoint.Report{
+		r.Table().Observe(stateTime, endpoint.Report{
 			Name: workerName(i), DataCentre: "dc-1", Service: "lastbench", Address: fmt.Sprintf("10.0.%d.%d:8444", i/250, i%250),
 			Incarnation: 1, Slots: 8,
 		})
@@ -182,15 +188,16 @@
 	return r
 }
 
-// processorPerChoice is the time to choose an endpoint by endpoints known.
-func processorPerChoice() Slope {
+// measureChoiceCPU measures the processor time to choose an endpoint for a request
+// by the number of known endpoints.
+func measureChoiceCPU() Slope {
 	const requests = 20000
-	return measure("entry-processor-per-choice", "microseconds", []int{100, 200, 400}, func(size int) float64 {
+	return measureSlope("entry-processor-per-choice", "microseconds", []int{100, 200, 400}, func(size int) float64 {
 		r := newRouter(size)
 		random := rand.New(rand.NewPCG(1, 2))
 		began := processorTime()
 		for i := range requests {
-			now := epoch.Add(time.Duration(i) * time.Microsecond)
+			now := stateTime.Add(time.Duration(i) * time.Microsecond)
 			t := r.NewTicket(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
 			if d := r.Offer(now, random, t, ""); d.Endpoint != nil {
 				r.Table().Done(d.Endpoint, t)
--- a/internal/bench/capacity/target.go
+++ b/internal/bench/capacity/target.go
@@ -1,38 +1,40 @@
-// Package capacity measures what entries and agents cost for each worker, job,
-// task, heartbeat and request, and works out the cost at the target size.
+// Package capacity measures what each worker, job, task, heartbeat and request costs
+// entries and agents, and computes the cost at the target size.
 package capacity
 
 // The size that the system is designed for.
 const (
-	targetWorkers       = 1400
-	targetDataCentres   = 7
-	targetEndpoints     = 3100
-	targetTasks         = 7500
-	targetJobsPerDay    = 23000
-	targetStarts        = 300 // a second, at the peak
-	targetTeams         = 180
-	targetBundlesPerDay = 2200
-	// entriesPerDataCentre is how many entries a data centre is given.
+	targetWorkers         = 1400
+	targetDataCentres     = 7
+	targetEndpoints       = 3100
+	targetTasks           = 7500
+	targetJobsPerDay      = 23000
+	targetStartsPerSecond = 300 // at the peak
+	targetTeams           = 180
+	targetBundlesPerDay   = 2200
+	// entriesPerDataCentre is the number of entries in each data centre.
 	entriesPerDataCentre = 9
-	// toldEntries is how many entries an agent sends its heartbeats to.
-	toldEntries = 3
-	// announcementsPerSecond is how often an entry refreshes its membership.
-	announcementsPerSecond = 0.1
-	// recordsPerTask counts the records of a task's life: submit, assign, started, finished.
+	// entriesPerAgent is the number of entries to which an agent sends heartbeats.
+	entriesPerAgent = 3
+	// membershipRecordsPerSecond is how often an entry refreshes its membership.
+	membershipRecordsPerSecond = 0.1
+	// recordsPerTask counts the records of a one-task job that runs once: submit,
+	// assign, started, finished.
 	recordsPerTask = 4
-	// keptJobHours is how long ended jobs are kept in an entry's state.
-	keptJobHours = 24
+	// endedJobRetentionHours is how long ended jobs are kept in an entry's state.
+	endedJobRetentionHours = 24
 )
 
-// Bounds of one node.
+// Limits of one node. maxAppendsPerSecond is for all streams together.
 const (
-	boundCPU     = 0.046
-	boundMemory  = 32 << 20
-	boundBytes   = 18 << 10
-	boundAppends = 300
+	maxCores            = 0.046
+	maxMemoryBytes      = 32 << 20
+	maxBytesPerSecond   = 18 << 10
+	maxAppendsPerSecond = 300
 )
 
-// Line is one line of the capacity page.
+// Line is one line of the capacity page: a cost at the target size. A Bound of 0
+// means that there is no limit.
 type Line struct {
 	Role  string `json:"role"`
 	What  string `json:"what"`
@@ -40,7 +42,7 @@
 	Value Figure `json:"value"`
 	Bound Figure `json:"bound"`
 	Holds bool   `json:"holds"`
-	// How says from which slopes the value was worked out.
+	// How says from which slopes and numbers the value was computed.
 	How string `json:"how"`
 }
 
