--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -53,9 +53,9 @@
 // startTime is the virtual time at which every run begins.
 var startTime = time.Unix(1_800_000_000, 0)
 
-// ErrOverfull means that the tasks placed on a worker need more resources than it
+// ErrOvercommitted means that the tasks placed on a worker need more resources than it
 // has.
-var ErrOverfull = errors.New("tasks on a worker exceed its resources")
+var ErrOvercommitted = errors.New("tasks on a worker exceed its resources")
 
 // Load is the load of a placement run.
 type Load struct {
@@ -63,25 +63,25 @@
 	Workers int
 	// Running is the number of running tasks.
 	Running int
-	// Queue is the number of waiting tasks.
-	Queue int
-	// Starts is the number of task starts per second.
-	Starts int
+	// QueueLength is the number of waiting tasks.
+	QueueLength int
+	// StartsPerSecond is the number of task starts per second.
+	StartsPerSecond int
 	// Seconds is the measured virtual time.
 	Seconds int
-	// Varied gives every job a random size instead of one of its team's sizes.
-	Varied bool
+	// VariedSizes gives every job a random size instead of one of its team's sizes.
+	VariedSizes bool
 }
 
-// Placement is the result of a placement run.
-type Placement struct {
+// PlacementResult is the result of a placement run.
+type PlacementResult struct {
 	// PerPlacement is the mean time to decide one placement.
 	PerPlacement time.Duration
 	// LongestTick is the longest time of one scheduling pass over the queue.
 	LongestTick time.Duration
-	// CPU is the processor time of the whole run per virtual second, as a fraction
+	// Cores is the processor time of the whole run per virtual second, as a fraction
 	// of one core.
-	CPU float64
+	Cores float64
 	// MemoryMB is the heap that the state machine, the queue and the fleet take.
 	MemoryMB float64
 	// Placed is the number of tasks placed.
@@ -105,9 +105,9 @@
 	pending      []record.Message
 }
 
-// Place measures placement under a load and checks that no worker is
+// MeasurePlacement measures placement under a load and checks that no worker is
 // overcommitted at the end.
-func Place(l Load) (Placement, error) {
+func MeasurePlacement(l Load) (PlacementResult, error) {
 	before := heapBytes()
 	d := &placementRun{load: l, now: startTime, nextSeq: 1, random: rand.New(rand.NewPCG(7, uint64(l.Workers)))} //nolint:gosec // fixed seed
 	d.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
@@ -117,14 +117,14 @@
 	d.scheduler.Configure(d.now, newDocument(l.Workers), &d.stateMachine)
 	d.reportWorkers(0, l.Workers)
 	if err := d.fill(); err != nil {
-		return Placement{}, err
+		return PlacementResult{}, err
 	}
 	if _, err := d.runSteadyLoad(warmUpSeconds); err != nil {
-		return Placement{}, err
+		return PlacementResult{}, err
 	}
 	out, err := d.runSteadyLoad(l.Seconds)
 	if err != nil {
-		return Placement{}, err
+		return PlacementResult{}, err
 	}
 	out.MemoryMB = float64(heapBytes()-before) / (1 << 20)
 	runtime.KeepAlive(d)
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	for range d.load.Queue {
+	for range d.load.QueueLength {
 		d.submitAny("archive")
 		if len(d.pending) == targetStartsPerSecond {
 			if err := d.flush(); err != nil {
@@ -201,7 +201,7 @@
 func (d *placementRun) submitAny(class string) {
 	n := uint64(d.random.IntN(sizesPerTeam))
 	from := rand.New(rand.NewPCG(uint64((d.submitted+1)%targetTeams), n)) //nolint:gosec // fixed seed
-	if d.load.Varied {
+	if d.load.VariedSizes {
 		from = d.random
 	}
 	d.submit(class, d.randomSize(from))
@@ -275,12 +275,12 @@
 
 // runSteadyLoad ends and submits tasks at the load's start rate for some virtual
 // seconds.
-func (d *placementRun) runSteadyLoad(seconds int) (Placement, error) {
-	var out Placement
+func (d *placementRun) runSteadyLoad(seconds int) (PlacementResult, error) {
+	var out PlacementResult
 	var deciding time.Duration
 	cpu := processorTime()
 	ticks := seconds * int(time.Second/tickInterval)
-	perTick := d.load.Starts / int(time.Second/tickInterval)
+	perTick := d.load.StartsPerSecond / int(time.Second/tickInterval)
 	ticksPerHeartbeat := int(heartbeatInterval / tickInterval)
 	for tick := range ticks {
 		d.now = d.now.Add(tickInterval)
@@ -301,7 +301,7 @@
 			return out, err
 		}
 	}
-	out.CPU = float64(processorTime()-cpu) / float64(time.Duration(seconds)*time.Second)
+	out.Cores = float64(processorTime()-cpu) / float64(time.Duration(seconds)*time.Second)
 	if out.Placed == 0 {
 		return out, errors.New("no task was placed")
 	}
@@ -334,7 +334,7 @@
 		}
 		d.stateMachine.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
 		if !left.Valid() {
-			return errors.Wrap(ErrOverfull, workerName(i))
+			return errors.Wrap(ErrOvercommitted, workerName(i))
 		}
 	}
 	return nil
--- a/internal/bench/batch/place_test.go
+++ b/internal/bench/batch/place_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestPlaceSmall(t *testing.T) {
-	got, err := Place(Load{Workers: 11, Running: 100, Queue: 200, Starts: 20, Seconds: 2})
+	got, err := MeasurePlacement(Load{Workers: 11, Running: 100, QueueLength: 200, StartsPerSecond: 20, Seconds: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -14,7 +14,7 @@
 
 func BenchmarkPlace1400(b *testing.B) {
 	for b.Loop() {
-		got, err := Place(Load{Workers: targetWorkers, Running: targetRunning, Queue: targetQueueLength, Starts: targetStartsPerSecond, Seconds: 3})
+		got, err := MeasurePlacement(Load{Workers: targetWorkers, Running: targetRunning, QueueLength: targetQueueLength, StartsPerSecond: targetStartsPerSecond, Seconds: 3})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -10,8 +10,8 @@
 	exploration "savoryhoist.example/savoryhoist/internal/explore/batch"
 )
 
-// ErrPromise means that a guarantee was violated.
-var ErrPromise = errors.New("a guarantee was violated")
+// ErrGuarantee means that a guarantee was violated.
+var ErrGuarantee = errors.New("a guarantee was violated")
 
 // Report is the benchmark's output.
 type Report struct {
@@ -74,9 +74,9 @@
 	if err != nil {
 		return r, err
 	}
-	r.UrgentStart, r.UrgentStartFull = urgent.Longest.Seconds(), urgent.LongestFull.Seconds()
-	if max(urgent.Longest, urgent.LongestFull) > urgentTarget {
-		return r, errors.Wrapf(ErrPromise, "urgent work started after %v", max(urgent.Longest, urgent.LongestFull))
+	r.UrgentStart, r.UrgentStartFull = urgent.MaxWithRoom.Seconds(), urgent.MaxWithFullWorkers.Seconds()
+	if max(urgent.MaxWithRoom, urgent.MaxWithFullWorkers) > urgentTarget {
+		return r, errors.Wrapf(ErrGuarantee, "urgent work started after %v", max(urgent.MaxWithRoom, urgent.MaxWithFullWorkers))
 	}
 	return r, nil
 }
@@ -89,7 +89,7 @@
 	r.Explored = int(explored)
 	r.Violations += len(found)
 	if len(found) > 0 {
-		return errors.Mark(errors.Wrapf(found[0].Err, "seed %d", found[0].Seed), ErrPromise)
+		return errors.Mark(errors.Wrapf(found[0].Err, "seed %d", found[0].Seed), ErrGuarantee)
 	}
 	return nil
 }
@@ -106,28 +106,28 @@
 		{targetWorkers, false, &r.PlaceUS1400, &r.MemoryMB1400},
 	}
 	for _, d := range loads {
-		p, err := Place(Load{Workers: d.workers, Running: targetRunning, Queue: targetQueueLength, Starts: targetStartsPerSecond, Seconds: placementSeconds, Varied: d.varied})
+		p, err := MeasurePlacement(Load{Workers: d.workers, Running: targetRunning, QueueLength: targetQueueLength, StartsPerSecond: targetStartsPerSecond, Seconds: placementSeconds, VariedSizes: d.varied})
 		if err != nil {
 			return r.countViolation(err)
 		}
 		*d.us = float64(p.PerPlacement) / float64(time.Microsecond)
 		*d.mb = p.MemoryMB
-		r.CPUPercentOneEntry = p.CPU * 100
+		r.CPUPercentOneEntry = p.Cores * 100
 		r.LongestTickMS1400 = float64(p.LongestTick) / float64(time.Millisecond)
 	}
 	// Each data centre has a stream of its own with its share of the starts, which
 	// only its own entries read.
-	p, err := Place(Load{
-		Workers: targetWorkers / targetDataCentres, Running: targetRunning / targetDataCentres, Queue: targetQueueLength / targetDataCentres,
-		Starts: roundUp(targetStartsPerSecond/targetDataCentres, int(time.Second/tickInterval)), Seconds: 4 * placementSeconds,
+	p, err := MeasurePlacement(Load{
+		Workers: targetWorkers / targetDataCentres, Running: targetRunning / targetDataCentres, QueueLength: targetQueueLength / targetDataCentres,
+		StartsPerSecond: roundUp(targetStartsPerSecond/targetDataCentres, int(time.Second/tickInterval)), Seconds: 4 * placementSeconds,
 	})
-	r.CPUPercentStarts = p.CPU * 100
+	r.CPUPercentStarts = p.Cores * 100
 	return r.countViolation(err)
 }
 
 // countViolation counts an error that is a violated guarantee and returns it.
 func (r *Report) countViolation(err error) error {
-	if errors.Is(err, ErrOverfull) {
+	if errors.Is(err, ErrOvercommitted) {
 		r.Violations++
 	}
 	return err
@@ -136,7 +136,7 @@
 func roundUp(n, step int) int { return (n + step - 1) / step * step }
 
 func (r *Report) measureSurges() error {
-	var sums [3]Surge
+	var sums [3]SurgeResult
 	for seed := range uint64(surgeSeeds) {
 		for p := range sums {
 			s, err := RunSurge(Policy(p), seed)
@@ -144,19 +144,19 @@
 				return r.countViolation(err)
 			}
 			sums[p].Evictions += s.Evictions
-			sums[p].Work += s.Work
-			sums[p].Lost += s.Lost
-			sums[p].Tail += s.Tail / surgeSeeds
-			sums[p].Past += s.Past / surgeSeeds
+			sums[p].SavedWork += s.SavedWork
+			sums[p].LostWork += s.LostWork
+			sums[p].PressureP99 += s.PressureP99 / surgeSeeds
+			sums[p].AboveObjective += s.AboveObjective / surgeSeeds
 		}
 	}
 	none, guard, evict := sums[PolicyNone], sums[PolicyGuard], sums[PolicyEvict]
 	r.EvictionsNone, r.EvictionsGuard, r.EvictionsEvict = none.Evictions, guard.Evictions, evict.Evictions
 	r.EvictionsRatio = float64(guard.Evictions) / float64(max(evict.Evictions, 1))
-	r.ThroughputNone = guard.Work.Hours() / none.Work.Hours()
-	r.ThroughputRatio = guard.Work.Hours() / evict.Work.Hours()
-	r.LostHoursGuard, r.LostHoursEvict = guard.Lost.Hours(), evict.Lost.Hours()
-	r.TailNone, r.TailGuard, r.TailEvict = none.Tail, guard.Tail, evict.Tail
-	r.PastNone, r.PastGuard, r.PastEvict = none.Past, guard.Past, evict.Past
+	r.ThroughputNone = guard.SavedWork.Hours() / none.SavedWork.Hours()
+	r.ThroughputRatio = guard.SavedWork.Hours() / evict.SavedWork.Hours()
+	r.LostHoursGuard, r.LostHoursEvict = guard.LostWork.Hours(), evict.LostWork.Hours()
+	r.TailNone, r.TailGuard, r.TailEvict = none.PressureP99, guard.PressureP99, evict.PressureP99
+	r.PastNone, r.PastGuard, r.PastEvict = none.AboveObjective, guard.AboveObjective, evict.AboveObjective
 	return nil
 }
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -45,20 +45,20 @@
 	PolicyEvict
 )
 
-// Surge is how services and batch work fared under one policy.
-type Surge struct {
+// SurgeResult is how services and batch work fared under one policy.
+type SurgeResult struct {
 	// Evictions counts the tasks that were stopped to run elsewhere.
 	Evictions int
-	// Work is the processor time of progress that was checkpointed.
-	Work time.Duration
-	// Lost is the processor time of progress that was lost.
-	Lost time.Duration
-	// Tail is the 99th percentile of the pressure (tail latency divided by the
+	// SavedWork is the processor time of progress that was checkpointed.
+	SavedWork time.Duration
+	// LostWork is the processor time of progress that was lost.
+	LostWork time.Duration
+	// PressureP99 is the 99th percentile of the pressure (tail latency divided by the
 	// latency objective) over all seconds of all workers, weighted by their load.
-	Tail float64
-	// Past is the fraction of the requests that arrived in seconds whose tail
+	PressureP99 float64
+	// AboveObjective is the fraction of the requests that arrived in seconds whose tail
 	// latency was above the objective.
-	Past float64
+	AboveObjective float64
 }
 
 // interference is how much pressure tasks of a class add if they use the whole
@@ -110,14 +110,14 @@
 	// remaining is the work left at the last checkpoint, by job.
 	remaining map[string]time.Duration
 	samples   []sample
-	result    Surge
+	result    SurgeResult
 }
 
 type sample struct{ pressure, load float64 }
 
 // RunSurge simulates a load surge under a policy. The same seed gives the same load
 // and the same jobs under every policy.
-func RunSurge(p Policy, seed uint64) (Surge, error) {
+func RunSurge(p Policy, seed uint64) (SurgeResult, error) {
 	s := &surgeRun{
 		policy: p, now: startTime, remaining: make(map[string]time.Duration),
 		loadRandom: rand.New(rand.NewPCG(seed, 1)), jobRandom: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds
@@ -228,7 +228,7 @@
 			sum = sum.Plus(taskSizes[r.class])
 		}
 		if !sum.Fits(workerSize) {
-			return errors.Wrap(ErrOverfull, w.name)
+			return errors.Wrap(ErrOvercommitted, w.name)
 		}
 	}
 	return nil
@@ -268,7 +268,7 @@
 // checkpoint saves a task's progress.
 func (s *surgeRun) checkpoint(w *simWorker, id string) {
 	r := w.runs[id]
-	s.result.Work += coreTime(r.class, r.unsaved)
+	s.result.SavedWork += coreTime(r.class, r.unsaved)
 	r.unsaved = 0
 	r.lastCheckpoint = s.now
 	s.remaining[id] = max(r.remaining, 0)
@@ -280,7 +280,7 @@
 }
 
 func (s *surgeRun) endRun(w *simWorker, id string) {
-	s.result.Lost += coreTime(w.runs[id].class, w.runs[id].unsaved)
+	s.result.LostWork += coreTime(w.runs[id].class, w.runs[id].unsaved)
 	delete(w.runs, id)
 	w.ledger.Release(id)
 }
@@ -408,11 +408,11 @@
 			past += x.load
 		}
 	}
-	s.result.Past = past / total
+	s.result.AboveObjective = past / total
 	sum := 0.0
 	for _, x := range s.samples {
 		if sum += x.load; sum >= total/100 {
-			s.result.Tail = x.pressure
+			s.result.PressureP99 = x.pressure
 			return
 		}
 	}
--- a/internal/bench/batch/urgent.go
+++ b/internal/bench/batch/urgent.go
@@ -26,18 +26,18 @@
 	urgentTarget = 4900 * time.Millisecond
 )
 
-// Urgent is the longest time from the submission of urgent work to its start, when
+// UrgentStart is the longest time from the submission of urgent work to its start, when
 // the entry that ranks first for it dies at the moment of submission.
-type Urgent struct {
-	// Longest is for workers with free resources.
-	Longest time.Duration
-	// LongestFull is for workers that are all full of other work.
-	LongestFull time.Duration
+type UrgentStart struct {
+	// MaxWithRoom is for workers with free resources.
+	MaxWithRoom time.Duration
+	// MaxWithFullWorkers is for workers that are all full of other work.
+	MaxWithFullWorkers time.Duration
 }
 
 // MeasureUrgent simulates the start of urgent work with many seeds.
-func MeasureUrgent() (Urgent, error) {
-	var out Urgent
+func MeasureUrgent() (UrgentStart, error) {
+	var out UrgentStart
 	for seed := range uint64(urgentSeeds) {
 		idle, err := measureUrgentStart(seed, false)
 		if err != nil {
@@ -47,8 +47,8 @@
 		if err != nil {
 			return out, err
 		}
-		out.Longest = max(out.Longest, idle)
-		out.LongestFull = max(out.LongestFull, full)
+		out.MaxWithRoom = max(out.MaxWithRoom, idle)
+		out.MaxWithFullWorkers = max(out.MaxWithFullWorkers, full)
 	}
 	return out, nil
 }
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -25,12 +25,12 @@
 // Slope is a cost measured at several sizes and the line fitted to it: the cost at
 // a size is Base + Per * size.
 type Slope struct {
-	Name  string    `json:"name"`
-	Unit  string    `json:"unit"`
-	Sizes []float64 `json:"sizes"`
-	Costs []Figure  `json:"costs"`
-	Base  Figure    `json:"base"`
-	Per   Figure    `json:"per"`
+	Name    string    `json:"name"`
+	Unit    string    `json:"unit"`
+	Sizes   []float64 `json:"sizes"`
+	Costs   []Figure  `json:"costs"`
+	Base    Figure    `json:"base"`
+	PerUnit Figure    `json:"per"`
 }
 
 func (s *Slope) addSample(size, cost float64) {
@@ -47,18 +47,18 @@
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
 	}
 	per := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.Per = Figure(per)
+	s.PerUnit = Figure(per)
 	s.Base = Figure((sy - per*sx) / n)
 }
 
 // costAt returns the cost at a size according to the fitted line.
-func (s *Slope) costAt(size float64) float64 { return float64(s.Base) + float64(s.Per)*size }
+func (s *Slope) costAt(size float64) float64 { return float64(s.Base) + float64(s.PerUnit)*size }
 
 // maxCost returns the highest measured cost.
 func (s *Slope) maxCost() float64 { return float64(slices.Max(s.Costs)) }
 
 // perUnit returns the additional cost per unit of size.
-func (s *Slope) perUnit() float64 { return float64(s.Per) }
+func (s *Slope) perUnit() float64 { return float64(s.PerUnit) }
 
 // heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
--- a/internal/bench/log/appends.go
+++ b/internal/bench/log/appends.go
@@ -70,8 +70,8 @@
 	if load.err != nil {
 		return load.err
 	}
-	r.Appends = float64(service.Appends()) / took
-	r.AppendsEach = float64(load.records) / took
+	r.AppendsPerSecond = float64(service.Appends()) / took
+	r.RecordsPerSecond = float64(load.records) / took
 	r.AppendP99MS = float64(load.latenciesMS.ValueAtQuantile(99))
 	return nil
 }
--- a/internal/bench/log/bench.go
+++ b/internal/bench/log/bench.go
@@ -20,17 +20,17 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// ErrBroken means that a guarantee was violated during a measurement.
-var ErrBroken = errors.New("a guarantee was violated")
+// ErrGuarantee means that a guarantee was violated during a measurement.
+var ErrGuarantee = errors.New("a guarantee was violated")
 
 // Result is the benchmark's output.
 type Result struct {
-	Appends      float64 `json:"appends-per-s-300-starts"`
-	AppendsEach  float64 `json:"appends-per-s-300-starts-one-each"`
-	AppendP99MS  float64 `json:"append-p99-ms-300-starts"`
-	InForce      float64 `json:"bundle-in-force-s"`
-	InForceLossy float64 `json:"bundle-in-force-lossy-s"`
-	Rolls        int     `json:"bundle-rolls"`
+	AppendsPerSecond     float64 `json:"appends-per-s-300-starts"`
+	RecordsPerSecond     float64 `json:"appends-per-s-300-starts-one-each"`
+	AppendP99MS          float64 `json:"append-p99-ms-300-starts"`
+	InForceSeconds       float64 `json:"bundle-in-force-s"`
+	InForceFaultySeconds float64 `json:"bundle-in-force-lossy-s"`
+	Rollouts             int     `json:"bundle-rolls"`
 	ControlResult
 	RecoveryResult
 	TookS float64 `json:"took-s"`
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -42,18 +42,18 @@
 type ControlResult struct {
 	// BytesPerHeartbeat counts the bytes in both directions, with IP and UDP
 	// headers.
-	BytesPerHeartbeat float64 `json:"bytes-per-heartbeat"`
-	Datagrams         float64 `json:"datagrams-per-heartbeat"`
-	CPUPerHeartbeatUS float64 `json:"cpu-us-per-heartbeat"`
-	Bytes11           float64 `json:"control-bytes-per-s-11"`
-	Bytes100          float64 `json:"control-bytes-per-s-100"`
-	Bytes400          float64 `json:"control-bytes-per-s-400"`
-	// AgentBytes and EntryBytes are the bytes per second of one agent and of one
+	BytesPerHeartbeat     float64 `json:"bytes-per-heartbeat"`
+	DatagramsPerHeartbeat float64 `json:"datagrams-per-heartbeat"`
+	CPUPerHeartbeatUS     float64 `json:"cpu-us-per-heartbeat"`
+	BytesPerSecond11      float64 `json:"control-bytes-per-s-11"`
+	BytesPerSecond100     float64 `json:"control-bytes-per-s-100"`
+	BytesPerSecond400     float64 `json:"control-bytes-per-s-400"`
+	// AgentBytesPerSecond and EntryBytes are the bytes per second of one agent and of one
 	// entry at the target size.
-	AgentBytes float64 `json:"control-bytes-per-s-1400-agent"`
-	EntryBytes float64 `json:"control-bytes-per-s-1400-entry"`
-	Bytes1400  float64 `json:"control-bytes-per-s-1400"`
-	CPU1400    float64 `json:"control-cpu-percent-1400"`
+	AgentBytesPerSecond float64 `json:"control-bytes-per-s-1400-agent"`
+	EntryBytesPerSecond float64 `json:"control-bytes-per-s-1400-entry"`
+	BytesPerSecond1400  float64 `json:"control-bytes-per-s-1400"`
+	CPUPercent1400      float64 `json:"control-cpu-percent-1400"`
 	// EntriesNeeded is the number of entries that a data centre needs at the
 	// target size for each to stay within maxNodeBytesPerSecond.
 	EntriesNeeded int `json:"control-entries-per-data-centre"`
@@ -73,19 +73,19 @@
 		}
 		samples = append(samples, s)
 	}
-	r.Bytes11, r.Bytes100, r.Bytes400 = samples[0].bytes, samples[1].bytes, samples[2].bytes
+	r.BytesPerSecond11, r.BytesPerSecond100, r.BytesPerSecond400 = samples[0].bytes, samples[1].bytes, samples[2].bytes
 	first, last := samples[0], samples[2]
 	heartbeats := last.heartbeats - first.heartbeats
 	r.BytesPerHeartbeat = (last.bytes - first.bytes) / heartbeats
-	r.Datagrams = (last.datagrams - first.datagrams) / heartbeats
+	r.DatagramsPerHeartbeat = (last.datagrams - first.datagrams) / heartbeats
 	r.CPUPerHeartbeatUS = (last.cpu - first.cpu) / heartbeats * 1e6
 	agentHeartbeats := entriesPerAgent / targetHeartbeatInterval.Seconds()
 	dataCentreHeartbeats := agentHeartbeats * targetWorkers / dataCentres
 	entryHeartbeats := dataCentreHeartbeats / targetEntriesPerDataCentre
-	r.AgentBytes = agentHeartbeats * r.BytesPerHeartbeat
-	r.EntryBytes = entryHeartbeats * r.BytesPerHeartbeat
-	r.Bytes1400 = max(r.AgentBytes, r.EntryBytes)
-	r.CPU1400 = entryHeartbeats * r.CPUPerHeartbeatUS / 1e6 * 100
+	r.AgentBytesPerSecond = agentHeartbeats * r.BytesPerHeartbeat
+	r.EntryBytesPerSecond = entryHeartbeats * r.BytesPerHeartbeat
+	r.BytesPerSecond1400 = max(r.AgentBytesPerSecond, r.EntryBytesPerSecond)
+	r.CPUPercent1400 = entryHeartbeats * r.CPUPerHeartbeatUS / 1e6 * 100
 	r.EntriesNeeded = int(dataCentreHeartbeats*r.BytesPerHeartbeat/maxNodeBytesPerSecond) + 1
 	return nil
 }
@@ -263,7 +263,7 @@
 	}
 	sender.HandleReply(address, digest, &reply)
 	if len(reply.LogReading.Stop)+len(reply.LogReading.Start) > 0 {
-		return errors.Wrap(ErrBroken, "the entry ordered starts or stops, so it does not know the reported tasks")
+		return errors.Wrap(ErrGuarantee, "the entry ordered starts or stops, so it does not know the reported tasks")
 	}
 	return nil
 }
--- a/internal/bench/log/recovery.go
+++ b/internal/bench/log/recovery.go
@@ -31,20 +31,20 @@
 // RecoveryResult is the cost of an entry's start: the time until it knows all tasks
 // and the memory that it then uses.
 type RecoveryResult struct {
-	Recovery4K  float64 `json:"recovery-s-4096-batches"`
-	Recovery64K float64 `json:"recovery-s-65536-batches"`
-	Recovery    float64 `json:"recovery-s"`
-	RecoveryMB  float64 `json:"recovery-mb"`
+	RecoverySeconds4K  float64 `json:"recovery-s-4096-batches"`
+	RecoverySeconds64K float64 `json:"recovery-s-65536-batches"`
+	RecoverySeconds    float64 `json:"recovery-s"`
+	RecoveryMB         float64 `json:"recovery-mb"`
 }
 
 // measureRecovery starts an entry with streams of two lengths.
 func measureRecovery(ctx context.Context, r *Result) error {
 	var err error
-	if r.Recovery4K, _, err = recoverEntry(ctx, 4096); err != nil {
+	if r.RecoverySeconds4K, _, err = recoverEntry(ctx, 4096); err != nil {
 		return err
 	}
-	r.Recovery64K, r.RecoveryMB, err = recoverEntry(ctx, 65536)
-	r.Recovery = max(r.Recovery4K, r.Recovery64K)
+	r.RecoverySeconds64K, r.RecoveryMB, err = recoverEntry(ctx, 65536)
+	r.RecoverySeconds = max(r.RecoverySeconds4K, r.RecoverySeconds64K)
 	return err
 }
 
@@ -157,7 +157,7 @@
 	defer cancel()
 	for taskCount(waitCtx, e) < want {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, 0, errors.Wrapf(ErrBroken, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), want, recoveryTimeout)
+			return 0, 0, errors.Wrapf(ErrGuarantee, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), want, recoveryTimeout)
 		}
 	}
 	return time.Since(began).Seconds(), heapMB() - before, nil
--- a/internal/bench/log/rollout.go
+++ b/internal/bench/log/rollout.go
@@ -75,14 +75,14 @@
 	if _, err := s.rollOut(ctx); err != nil {
 		return errors.Wrap(err, "roll out the first bundle")
 	}
-	if r.InForce, err = s.measureRollouts(ctx, rolloutsWithoutFaults, func() {}); err != nil {
+	if r.InForceSeconds, err = s.measureRollouts(ctx, rolloutsWithoutFaults, func() {}); err != nil {
 		return err
 	}
 	for _, proxy := range s.proxies {
 		proxy.faults.Store(&linkFaults{delay: linkDelay, jitter: linkJitter, lossRate: linkLossRate})
 	}
-	r.InForceLossy, err = s.measureRollouts(ctx, rolloutsWithFaults, s.injectLogFaults)
-	r.Rolls = rolloutsWithoutFaults + rolloutsWithFaults
+	r.InForceFaultySeconds, err = s.measureRollouts(ctx, rolloutsWithFaults, s.injectLogFaults)
+	r.Rollouts = rolloutsWithoutFaults + rolloutsWithFaults
 	return err
 }
 
@@ -202,13 +202,13 @@
 	defer cancel()
 	for !s.publish(waitCtx, data) {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, errors.Wrapf(ErrBroken, "bundle version %d was not published within %s", s.version, rolloutTimeout)
+			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not published within %s", s.version, rolloutTimeout)
 		}
 	}
 	s.newestDigest = bundle.Digest(content)
 	for !s.inForceEverywhere(waitCtx) {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, errors.Wrapf(ErrBroken, "bundle version %d was not in force in every entry and agent within %s", s.version, rolloutTimeout)
+			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not in force in every entry and agent within %s", s.version, rolloutTimeout)
 		}
 	}
 	return time.Since(began), nil
--- a/internal/command/bench_capacity.go
+++ b/internal/command/bench_capacity.go
@@ -39,7 +39,7 @@
 func printCapacity(w io.Writer, r *capacity.Result) error {
 	for i := range r.Slopes {
 		s := &r.Slopes[i]
-		_, _ = fmt.Fprintf(w, "%-36s %10.3g + %10.3g per unit (%s), measured at %v\n", s.Name, s.Base, s.Per, s.Unit, s.Sizes)
+		_, _ = fmt.Fprintf(w, "%-36s %10.3g + %10.3g per unit (%s), measured at %v\n", s.Name, s.Base, s.PerUnit, s.Unit, s.Sizes)
 	}
 	for i := range r.Lines {
 		l := &r.Lines[i]
