--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -57,7 +57,7 @@
 // surgeSeeds is the number of surges simulated under each policy.
 const surgeSeeds = 3
 
-// Run runs the whole benchmark. An error marked ErrPromise or ErrOverfull means
+// Run runs the whole benchmark. An error marked ErrGuarantee or ErrOvercommitted means
 // that a guarantee was violated; the report then holds what was measured so far.
 func Run(ctx context.Context) (Report, error) {
 	var r Report
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -392,8 +392,8 @@
 	}
 }
 
-// summarise counts the progress of tasks that still run and computes Past and
-// Tail from the samples.
+// summarise counts the progress of tasks that still run and computes AboveObjective and
+// PressureP99 from the samples.
 func (s *surgeRun) summarise() {
 	for _, w := range s.workers {
 		for _, id := range w.sortedJobs() {
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -23,7 +23,7 @@
 }
 
 // Slope is a cost measured at several sizes and the line fitted to it: the cost at
-// a size is Base + Per * size.
+// a size is Base + PerUnit * size.
 type Slope struct {
 	Name    string    `json:"name"`
 	Unit    string    `json:"unit"`
@@ -38,7 +38,7 @@
 	s.Costs = append(s.Costs, Figure(cost))
 }
 
-// fit computes Base and Per by least squares.
+// fit computes Base and PerUnit by least squares.
 func (s *Slope) fit() {
 	n := float64(len(s.Sizes))
 	var sx, sy, sxx, sxy float64
