--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/urfave/cli/v3"
 
-	"savoryhoist.example/savoryhoist/internal/story"
+	"savoryhoist.example/savoryhoist/internal/joblog"
 )
 
 func explainCommand() *cli.Command {
@@ -28,9 +28,9 @@
 }
 
 func explain(out io.Writer, in io.Reader, job string, files []string) error {
-	var lines []story.Line
+	var lines []joblog.Line
 	read := func(r io.Reader) error {
-		more, err := story.Read(r, job)
+		more, err := joblog.Read(r, job)
 		lines = append(lines, more...)
 		return err
 	}
@@ -53,7 +53,7 @@
 	if len(lines) == 0 {
 		return errors.Newf("no log line mentions job %s", job)
 	}
-	for _, l := range story.SortByCause(lines) {
+	for _, l := range joblog.SortByCause(lines) {
 		if _, err := fmt.Fprintln(out, l.Text()); err != nil {
 			return errors.Wrap(err, "print the log lines")
 		}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -8,7 +8,7 @@
 	"github.com/phuslu/log"
 	"github.com/urfave/cli/v3"
 
-	"savoryhoist.example/savoryhoist/internal/lines"
+	"savoryhoist.example/savoryhoist/internal/logline"
 	"savoryhoist.example/savoryhoist/platform"
 )
 
@@ -27,7 +27,7 @@
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
 		stringFlag("log-level", "info", "lowest level of log lines that are written: debug, info, warn or error"),
-		intFlag("log-lines-per-second", lines.DefaultMaxInfoLinesPerSecond, "maximum number of log lines per second below level warn; more are dropped"),
+		intFlag("log-lines-per-second", logline.DefaultMaxInfoLinesPerSecond, "maximum number of log lines per second below level warn; more are dropped"),
 	}
 }
 
@@ -42,7 +42,7 @@
 			return c.err
 		}
 		lowerGCPercent()
-		out := lines.New(os.Stdout)
+		out := logline.New(os.Stdout)
 		out.MaxInfoLinesPerSecond = linesPerSecond
 		writerContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 		var group sync.WaitGroup
--- a/internal/story/story.go
+++ b/internal/joblog/joblog.go
@@ -1,6 +1,6 @@
-// Package story collects the log lines about one job from the logs of any number of
+// Package joblog collects the log lines about one job from the logs of any number of
 // processes, and sorts them in causal order.
-package story
+package joblog
 
 import (
 	"bufio"
--- a/internal/story/story_test.go
+++ b/internal/joblog/joblog_test.go
@@ -1,4 +1,4 @@
-package story
+package joblog
 
 import (
 	"os"
--- a/internal/lines/lines.go
+++ b/internal/logline/logline.go
@@ -1,7 +1,7 @@
-// Package lines writes log lines without ever blocking the caller: lines are buffered
+// Package logline writes log lines without ever blocking the caller: lines are buffered
 // and written in batches. Lines beyond a rate limit, or beyond the buffer, are dropped
 // and counted.
-package lines
+package logline
 
 import (
 	"bytes"
--- a/internal/lines/lines_test.go
+++ b/internal/logline/logline_test.go
@@ -1,4 +1,4 @@
-package lines
+package logline
 
 import (
 	"bytes"
--- a/soak/logs_test.go
+++ b/soak/logs_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"savoryhoist.example/savoryhoist/internal/story"
+	"savoryhoist.example/savoryhoist/internal/joblog"
 )
 
 // payloadMarker is part of every job's payload and must be in no log line.
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		lines, err := story.Read(bytes.NewReader(data), id)
+		lines, err := joblog.Read(bytes.NewReader(data), id)
 		if err != nil {
 			return err.Error()
 		}
