--- a/pkg/workflow/job_table.go
+++ b/pkg/workflow/job_table.go
@@ -18,13 +18,14 @@
 	prefixCancellation = "c/"
 )
 
-// Record is a keyed record of the store; the newest of each key counts. A record without a
-// value deletes its key.
+// Record is a keyed record of the store, which keeps the newest record of each key. A record
+// without a value deletes its key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
+// encode returns the record with a key whose value is v in CBOR.
 func encode(key string, v any) (Record, error) {
 	value, err := cbor.Marshal(v)
 	return Record{Key: key, Value: value}, errors.Wrapf(err, "encode job record %s", key)
@@ -41,13 +42,13 @@
 	return Record{Key: prefixCancellation + id, Value: []byte{1}}
 }
 
-// TombstoneRecords returns the records that delete a job: that of its progress, and those of its
-// submission and cancellation.
+// TombstoneRecords returns the records that delete a job: one that deletes its progress, and two
+// that delete its cancellation and its submission.
 func TombstoneRecords(id string) (progress, intake []Record) {
 	return []Record{{Key: prefixProgress + id}}, []Record{{Key: prefixCancellation + id}, {Key: prefixSubmission + id}}
 }
 
-// Job is what the records of a job say.
+// Job is the state of a job according to its records.
 type Job struct {
 	submission  *Submission
 	progress    Progress
@@ -55,17 +56,17 @@
 	hasProgress bool
 }
 
-// Submission returns the accepted job, or nil if the submission has not been read.
+// Submission returns the job's submission, or nil if it has not been read.
 func (j *Job) Submission() *Submission { return j.submission }
 
-// Progress returns the newest progress.
+// Progress returns the newest progress read, or the zero value if none has been read.
 func (j *Job) Progress() *Progress { return &j.progress }
 
 // Cancelled reports whether the job was cancelled.
 func (j *Job) Cancelled() bool { return j.cancelled }
 
-// Phase returns the phase according to the records read. A stored end takes precedence over a
-// cancellation.
+// Phase returns the phase according to the records read. If the progress says that the job has
+// ended, its phase takes precedence over a cancellation.
 func (j *Job) Phase() Phase {
 	switch {
 	case j.progress.Phase.Ended():
@@ -126,6 +127,7 @@
 	return id, nil
 }
 
+// apply applies a record with a value. Only the first submission counts; progress is replaced.
 func (j *Job) apply(prefix, id string, value []byte) error {
 	switch prefix {
 	case prefixSubmission:
@@ -154,7 +156,8 @@
 	return nil
 }
 
-// remove removes a job when the record of its submission is deleted.
+// remove removes a job when the record of its submission is deleted; the deletion of another
+// record changes nothing.
 func (t *JobTable) remove(prefix, id string) {
 	if prefix == prefixSubmission {
 		delete(t.jobs, id)
--- a/pkg/workflow/progress.go
+++ b/pkg/workflow/progress.go
@@ -28,8 +28,9 @@
 	Spec  Spec   `cbor:"3,keyasint"`
 	// AcceptedMS is when an entry accepted the job, in Unix milliseconds on that entry's clock.
 	AcceptedMS int64 `cbor:"4,keyasint"`
-	// Term is the newest leadership term that the entry knew. A dispatcher of a later term has
-	// to assume that an earlier dispatcher may have started the job.
+	// Term is the newest leadership term that the entry knew when it accepted the job. A
+	// dispatcher of a later term has to assume that an earlier dispatcher may have started the
+	// job.
 	Term uint64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -38,13 +39,14 @@
 	Phase Phase `cbor:"1,keyasint,omitempty"`
 	// EndedMS is when the job ended, in Unix milliseconds on the writer's clock.
 	EndedMS int64 `cbor:"2,keyasint,omitempty"`
-	// Done has one bit for each task that is done, by occurrence and step.
+	// Done holds the sets of done tasks, one set for each step of an occurrence.
 	Done []DoneTasks `cbor:"3,keyasint,omitempty"`
-	// Tasks holds the state of tasks that are not done.
+	// Tasks holds the state of tasks that are not done and have failed runs or a checkpoint.
 	Tasks []TaskProgress `cbor:"4,keyasint,omitempty"`
 }
 
-// DoneTasks is the set of done tasks of one step of one occurrence.
+// DoneTasks is the set of done tasks of one step of one occurrence; Bits has one bit for each
+// task, by its index.
 type DoneTasks struct {
 	_          struct{} `cbor:",toarray"`
 	Occurrence int
--- a/pkg/workflow/spec.go
+++ b/pkg/workflow/spec.go
@@ -21,12 +21,13 @@
 	// MaxSteps and MaxTasks bound the memory that one job takes at an entry.
 	MaxSteps = 256
 	MaxTasks = 20000
-	// MaxOccurrences bounds how often one job repeats.
+	// MaxOccurrences bounds how many times one job runs.
 	MaxOccurrences = 100000
 )
 
 // Step is one step of a job: a number of identical tasks.
 type Step struct {
+	// Count is the number of tasks, and Size the resources that each requests.
 	Count int              `cbor:"1,keyasint"`
 	Size  worker.Resources `cbor:"2,keyasint"`
 	// EstimateMS is the caller's rough estimate of a task's run time, in milliseconds.
@@ -34,7 +35,8 @@
 	// After lists the indexes of earlier steps that have to be done first.
 	After []int `cbor:"4,keyasint,omitempty"`
 	// Gang means that the tasks only run together; they share one run number.
-	Gang     bool `cbor:"5,keyasint,omitempty"`
+	Gang bool `cbor:"5,keyasint,omitempty"`
+	// SameRack means that a gang is placed on one rack if it fits on one, else on any workers.
 	SameRack bool `cbor:"6,keyasint,omitempty"`
 	// Label is a label that the worker must have; empty for any worker.
 	Label string `cbor:"7,keyasint,omitempty"`
@@ -47,8 +49,9 @@
 	// Speculative means that several runs of one task may run at a time.
 	Speculative bool `cbor:"11,keyasint,omitempty"`
 	// LongRunning means that the tasks run until the job is cancelled.
-	LongRunning bool   `cbor:"12,keyasint,omitempty"`
-	Image       string `cbor:"13,keyasint,omitempty"`
+	LongRunning bool `cbor:"12,keyasint,omitempty"`
+	// Image names what the tasks run; interference is learned for each pair of images.
+	Image string `cbor:"13,keyasint,omitempty"`
 	// TargetMS is the limit of the tail latency of a serving task, one that serves its own
 	// users, in milliseconds; 0 for other tasks.
 	TargetMS float64 `cbor:"14,keyasint,omitempty"`
@@ -58,7 +61,8 @@
 	MaxUnavailable int `cbor:"16,keyasint,omitempty"`
 }
 
-// Reserved returns the resources that a task of the step reserves on a worker.
+// Reserved returns the resources that a task of the step reserves on a worker: its size, without
+// the processor time if it is a best-effort task.
 func (s *Step) Reserved() worker.Resources {
 	r := s.Size
 	if s.BestEffort {
@@ -72,15 +76,16 @@
 	// Text is passed to each task unchanged.
 	Text  string `cbor:"1,keyasint"`
 	Steps []Step `cbor:"2,keyasint"`
-	// RepeatCount is how often a repeated job runs; 0 means once, immediately.
+	// RepeatCount is how many times a job with a schedule runs; 0 means that the job has no
+	// schedule and runs once, immediately.
 	RepeatCount int `cbor:"3,keyasint,omitempty"`
 	// FirstDueMS is when the first occurrence is due, in Unix milliseconds.
 	FirstDueMS int64 `cbor:"4,keyasint,omitempty"`
-	// IntervalMS is the interval between two occurrences, in milliseconds.
+	// IntervalMS is the time between the due times of two occurrences, in milliseconds.
 	IntervalMS int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Occurrences returns how often the job runs.
+// Occurrences returns how many times the job runs; a job without a schedule runs once.
 func (s *Spec) Occurrences() int { return max(1, s.RepeatCount) }
 
 // DueMS returns when an occurrence is due, in Unix milliseconds; 0 means immediately.
@@ -101,6 +106,7 @@
 	return false
 }
 
+// invalid returns a formatted error that is marked with ErrInvalidSpec.
 func invalid(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrInvalidSpec)
 }
@@ -131,6 +137,7 @@
 	return nil
 }
 
+// validate checks a step; index is its index in the job.
 func (s *Step) validate(index int) error {
 	switch {
 	case s.Count < 1 || s.Count > MaxTasks:
@@ -161,7 +168,7 @@
 	Index      int
 }
 
-// String returns the name of the task on a worker.
+// String returns the name under which workers list the task: job.occurrence.step.index.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
@@ -174,5 +181,5 @@
 	Step       int
 }
 
-// String returns the name of the step used outside this program.
+// String returns the name by which other programs know the step: job.occurrence.step.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Occurrence, s.Step) }
--- a/pkg/workflow/workflow_test.go
+++ b/pkg/workflow/workflow_test.go
@@ -41,7 +41,7 @@
 				return
 			}
 			if !errors.Is(err, ErrInvalidSpec) || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got %v, want an ErrSpec that names %q", err, tc.want)
+				t.Errorf("got %v, want an ErrInvalidSpec that names %q", err, tc.want)
 			}
 		})
 	}
