--- a/pkg/leadership/leadership.go
+++ b/pkg/leadership/leadership.go
@@ -1,10 +1,10 @@
 // Package leadership elects the dispatcher, the leader among the entries, and computes leases: when
 // an entry may claim leadership, how long a dispatcher may act, and how long a worker may go on
-// without contact with it.
+// without contact with the dispatcher.
 //
-// A claim is a record in the store that is appended only if the end of its topic has not moved,
-// so that its offset gives each claim a term of its own. The current time is on a clock that
-// also advances while the machine is suspended.
+// A claim is a record that the store appends only if the end of the topic has not moved. The
+// offset of the record determines the term of the claim, so no two claims share a term. All times
+// are on the process's own clock, which also advances while the machine is suspended.
 package leadership
 
 import "time"
@@ -12,62 +12,68 @@
 // Durations of leases and elections.
 const (
 	// WorkerLeaseDuration is the length of a worker lease, counted from the sending of a ping that the
-	// dispatcher answered. The tasks of a lost worker are restarted only after it; long-running
-	// tasks have to run again within six seconds of the loss.
+	// dispatcher answered. The tasks of a lost worker are restarted only after this
+	// time; long-running tasks have to run again within six seconds of the loss.
 	WorkerLeaseDuration = 5 * time.Second
 	// LeaderLeaseDuration is the length of a leadership lease, counted from the sending of a write that
 	// the store accepted under the dispatcher's term. It covers store outages of nine seconds.
 	LeaderLeaseDuration = 10 * time.Second
-	// ElectionTimeout is how long the dispatcher has to be silent before another entry claims
-	// leadership: four missed pings.
+	// ElectionTimeout is how long an entry must have had no contact with the dispatcher in order
+	// to claim leadership: four missed pings.
 	ElectionTimeout = 1200 * time.Millisecond
-	// claimStagger separates the claims of entries of different rank: one claim takes about
-	// 30 ms.
+	// claimStagger is the time between the claims of entries of successive ranks: one claim
+	// takes about 30 ms.
 	claimStagger = 150 * time.Millisecond
-	// schedulingSlack covers delays between reading a clock and acting on it.
+	// schedulingSlack covers delays between reading a clock and acting on the reading.
 	schedulingSlack = 200 * time.Millisecond
 	// A duration divided by clockDriftDivisor is twice the largest error of a clock over that
 	// duration, so that two clocks may err in opposite directions.
 	clockDriftDivisor = 50
 )
 
-// withDrift returns how long to wait here until d has passed on any other clock.
-func withDrift(d time.Duration) time.Duration { return d + d/clockDriftDivisor + schedulingSlack }
+// withMargin returns how long to wait on this clock until d has passed on any other clock,
+// plus schedulingSlack.
+func withMargin(d time.Duration) time.Duration { return d + d/clockDriftDivisor + schedulingSlack }
 
-// WorkerLeaseEndsBy returns when everything on a worker has ended because its lease has expired, if its
-// last ping that was answered arrived at lastContact and no later dispatcher has answered another
-// since.
+// WorkerLeaseEndsBy returns the time by which the lease of a worker has expired on the worker's
+// clock, and with it every task there has ended. lastContact is when the last ping that this
+// dispatcher answered arrived. A later dispatcher may have extended the lease beyond that time, see
+// LeaderLease.ConfirmsEnd.
 func WorkerLeaseEndsBy(lastContact time.Time) time.Time {
-	return lastContact.Add(withDrift(WorkerLeaseDuration))
+	return lastContact.Add(withMargin(WorkerLeaseDuration))
 }
 
 // Claim is the record of an entry's claim to leadership.
 type Claim struct {
-	// Term is the leadership term: one more than the offset of the record, and not part of it.
+	// Term is the leadership term: one more than the offset of the record. The record does not
+	// contain it.
 	Term uint64 `cbor:"-"`
 	// Entry and Incarnation identify the process that claimed.
 	Entry       string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Address is the address at which other processes reach it.
+	// Address is the address at which other processes reach the claiming process.
 	Address string `cbor:"3,keyasint"`
 }
 
 // Candidate decides at an entry whether it should claim leadership. The zero value knows of no
 // dispatcher.
 type Candidate struct {
-	claim        Claim
-	lastContact  time.Time
+	claim       Claim
+	lastContact time.Time
+	// clockStarted is set once lastContact has been set; it then holds the time of the first
+	// decision until a claim is known.
 	clockStarted bool
-	resigned     bool
+	// resigned is set if the dispatcher of the newest claim has resigned or is known to be dead.
+	resigned bool
 }
 
 // Claim returns the newest claim known; its term is 0 if there is none.
 func (c *Candidate) Claim() Claim { return c.claim }
 
-// LastContact returns the time of the last contact with the dispatcher.
+// LastContact returns the time of the last contact with the dispatcher, or of the newest claim.
 func (c *Candidate) LastContact() time.Time { return c.lastContact }
 
-// ObserveClaim takes in a claim and reports whether it is newer than the one known.
+// ObserveClaim records a claim if it is newer than the newest known one, and reports whether it is.
 func (c *Candidate) ObserveClaim(now time.Time, claim Claim) bool {
 	if claim.Term <= c.claim.Term {
 		return false
@@ -76,26 +82,29 @@
 	return true
 }
 
-// NoteContact records an answer of the dispatcher of a term.
+// NoteContact records an answer of the dispatcher of a term. It is ignored unless the term is that
+// of the newest claim.
 func (c *Candidate) NoteContact(now time.Time, term uint64) {
 	if term == c.claim.Term {
 		c.lastContact = now
 	}
 }
 
-// NoteResigned records that the dispatcher of a term has resigned or is known to be dead.
+// NoteResigned records that the dispatcher of a term has resigned or is known to be dead. It is
+// ignored unless the term is that of the newest claim.
 func (c *Candidate) NoteResigned(term uint64) {
 	if term == c.claim.Term {
 		c.resigned = true
 	}
 }
 
-// NoDispatcher reports whether no dispatcher is known.
+// NoDispatcher reports whether no claim is known, or the newest dispatcher has resigned or is known
+// to be dead.
 func (c *Candidate) NoDispatcher() bool { return c.claim.Term == 0 || c.resigned }
 
 // ShouldClaim reports whether to claim leadership now, and why. Entries of lower rank claim first;
-// others is the number of other entries that had contact with the dispatcher lately.
-func (c *Candidate) ShouldClaim(now time.Time, rank, others int) (claim bool, reason string) {
+// othersInContact is the number of other entries that had contact with the dispatcher lately.
+func (c *Candidate) ShouldClaim(now time.Time, rank, othersInContact int) (claim bool, reason string) {
 	if !c.clockStarted {
 		c.clockStarted, c.lastContact = true, now
 	}
@@ -108,7 +117,7 @@
 		return true, "there is no dispatcher"
 	case now.Sub(c.lastContact) < ElectionTimeout+wait:
 		return false, "the dispatcher was in contact recently"
-	case others > 0:
+	case othersInContact > 0:
 		return false, "other entries are in contact with the dispatcher"
 	}
 	return true, "the dispatcher is silent"
@@ -116,6 +125,7 @@
 
 // LeaderLease is the leadership lease of a dispatcher.
 type LeaderLease struct {
+	// renewedAt is when the newest write that renewed the lease was sent.
 	renewedAt time.Time
 }
 
@@ -127,18 +137,18 @@
 	}
 }
 
-// LastRenewal returns when the newest such write was sent.
+// LastRenewal returns when the newest write that renewed the lease was sent.
 func (l *LeaderLease) LastRenewal() time.Time { return l.renewedAt }
 
-// ConfirmsEnd reports whether the lease of a worker, which expires no later than by, has certainly
-// expired. A later dispatcher may have extended it; a write that was sent no earlier than by and
-// accepted under this dispatcher's term shows that there was none. The second result is set if
-// only such a write is missing.
-func (l *LeaderLease) ConfirmsEnd(now, by time.Time) (expired, needsWrite bool) {
-	if now.Before(by) {
+// ConfirmsEnd reports whether the lease of a worker has certainly expired. It expires by leaseEnd
+// unless a later dispatcher has extended it. That is ruled out once the store has accepted, under
+// this dispatcher's term, a write that was sent at leaseEnd or later: until then no later term had
+// begun. needsWrite is set if leaseEnd has passed and no such write has been accepted yet.
+func (l *LeaderLease) ConfirmsEnd(now, leaseEnd time.Time) (expired, needsWrite bool) {
+	if now.Before(leaseEnd) {
 		return false, false
 	}
-	expired = !l.renewedAt.Before(by)
+	expired = !l.renewedAt.Before(leaseEnd)
 	return expired, !expired
 }
 
@@ -148,28 +158,35 @@
 // Predecessor computes when nothing that an earlier dispatcher ordered can run any more on
 // workers that have not reported to the present one.
 type Predecessor struct {
+	// termBeganAt is when this process's term began; zero if no other process was dispatcher
+	// before.
 	termBeganAt time.Time
-	deadSince   time.Time
+	// deadSince is when the earlier dispatcher was first known to have stopped; zero if that is
+	// not known.
+	deadSince time.Time
 }
 
-// TermBegan records that a term that replaces that of another process began at now.
+// TermBegan records that a term of this process, which follows the term of an earlier dispatcher,
+// began at now.
 func (p *Predecessor) TermBegan(now time.Time) { p.termBeganAt, p.deadSince = now, time.Time{} }
 
-// NoteDead records that the earlier dispatcher is known not to act since now.
+// NoteDead records that the earlier dispatcher is known to have stopped, so that it extends no
+// worker lease after now. Only the first call in a term counts.
 func (p *Predecessor) NoteDead(now time.Time) {
 	if p.deadSince.IsZero() {
 		p.deadSince = now
 	}
 }
 
-// LeasesEndBy returns when the leases that an earlier dispatcher extended have expired on silent
-// workers; zero if there was no earlier dispatcher.
+// LeasesEndBy returns the time by which the worker leases that an earlier dispatcher extended have
+// expired on workers that have not reported to the present one; zero if there was no earlier
+// dispatcher.
 func (p *Predecessor) LeasesEndBy() time.Time {
 	if p.termBeganAt.IsZero() {
 		return time.Time{}
 	}
-	at := p.termBeganAt.Add(withDrift(LeaderLeaseDuration + WorkerLeaseDuration))
-	if dead := p.deadSince.Add(withDrift(WorkerLeaseDuration)); !p.deadSince.IsZero() && dead.Before(at) {
+	at := p.termBeganAt.Add(withMargin(LeaderLeaseDuration + WorkerLeaseDuration))
+	if dead := p.deadSince.Add(withMargin(WorkerLeaseDuration)); !p.deadSince.IsZero() && dead.Before(at) {
 		return dead
 	}
 	return at
--- a/pkg/leadership/leadership_test.go
+++ b/pkg/leadership/leadership_test.go
@@ -9,6 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time ms milliseconds after start.
 func at(ms int64) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestCandidate(t *testing.T) {
@@ -70,7 +71,7 @@
 }
 
 // The lease of a worker must have expired on the worker's clock before the dispatcher regards
-// it as expired, with clocks whose rates differ by one percent (a hundredth).
+// the lease as expired, with clocks whose rates differ by one percent (a hundredth).
 func TestWorkerLeaseExpiresAtWorkerFirst(t *testing.T) {
 	var lease WorkerLease
 	lease.Renew(at(0))
@@ -91,9 +92,9 @@
 	}
 }
 
-// A dispatcher that lost contact with a worker must not regard its lease as expired while a later
-// dispatcher may have extended it: a write accepted under its own term has to show that there
-// is none.
+// A dispatcher that lost contact with a worker must not regard the worker's lease as expired while a
+// later dispatcher may have extended the lease: a write accepted under the first dispatcher's term
+// has to show that there is no later one.
 func TestWorkerLeaseEndNeedsWrite(t *testing.T) {
 	var leadership LeaderLease
 	for _, tc := range []struct {
