--- a/pkg/lease/action.go
+++ b/pkg/lease/action.go
@@ -16,7 +16,7 @@
 const (
 	ActionStart ActionKind = iota + 1
 	ActionRenew
-	// ActionCheckpointStop saves a checkpoint of a task and stops it.
+	// ActionCheckpointStop saves a checkpoint of a task and then stops the task.
 	ActionCheckpointStop
 	ActionStop
 	ActionRemove
@@ -46,11 +46,11 @@
 // Assignment returns the assignment of the task that the action is for.
 func (a Action) Assignment() record.AssignmentID { return a.assignment }
 
-// LeaseEnd returns when the lease ends on the worker's clock. It is set for starts
-// and renewals only.
+// LeaseEnd returns when the task's lease ends on the worker's clock. It is set for
+// starts and renewals only.
 func (a Action) LeaseEnd() time.Duration { return a.leaseEnd }
 
-// Order returns the order that a start carries out.
+// Order returns the start order that an action of kind ActionStart carries out.
 func (a Action) Order() *StartOrder { return a.order }
 
 // Actions returns the calls to the worker that this round's listing and log
@@ -71,6 +71,8 @@
 	return out
 }
 
+// nextAction returns the action that a task requires in this round, other than a
+// periodic checkpoint, and whether it requires one.
 func (h *Holder) nextAction(id record.AssignmentID, t *heldTask) (Action, bool) {
 	a := Action{assignment: id, order: t.startOrder}
 	switch {
@@ -79,8 +81,8 @@
 		return a, t.startOrder != nil && !t.revoked
 	case t.state.Ended():
 		a.kind = ActionRemove
-		// Until its longest lease has ended, a delayed start may still reach the
-		// worker, and would run the task again if it had been removed.
+		// Until the task's longest lease has ended, a delayed start may still reach
+		// the worker, and would run the task again if the task had been removed.
 		return a, t.settled && h.rules.removable(h.uptime, t.maxLeaseEnd)
 	case t.settled:
 		a.kind = ActionStop
@@ -94,8 +96,8 @@
 	return a, ok
 }
 
-// checkpointDue reports whether a checkpoint of a task is due, and counts the
-// next interval from now if it is.
+// checkpointDue reports whether a periodic checkpoint of a task is due. If it is,
+// the interval to the next one begins now.
 func (h *Holder) checkpointDue(t *heldTask) bool {
 	if !t.listed || t.state.Ended() || t.revoked || h.uptime-t.checkpointRequestedAt < checkpointInterval {
 		return false
@@ -105,7 +107,7 @@
 }
 
 // renewedLeaseEnd returns the lease end that the newest log reading which
-// confirmed the task allows, and whether that extends the lease.
+// confirmed the task allows, and whether it is later than the present lease end.
 func (h *Holder) renewedLeaseEnd(t *heldTask) (time.Duration, bool) {
 	uptime, ok := h.uptimes[t.confirmedRound]
 	leaseEnd := h.rules.leaseEnd(t.terms, uptime, h.uptime)
--- a/pkg/lease/apply.go
+++ b/pkg/lease/apply.go
@@ -6,7 +6,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// Decision says what the holder did about one start order and why, for a log line.
+// Decision is the decision to start a task or to refuse its start order, with the
+// reason, for a log line.
 type Decision struct {
 	assignment record.AssignmentID
 	name       string
@@ -22,8 +23,8 @@
 // Reason returns the reason for the decision.
 func (d Decision) Reason() string { return d.reason }
 
-// Apply applies one entry's response to this round's heartbeat. A draining
-// worker starts no tasks.
+// Apply applies the log reading in one entry's response to this round's heartbeat,
+// and returns the decisions on its start orders. A draining worker starts no tasks.
 func (h *Holder) Apply(now time.Time, r *LogReading, draining bool) []Decision {
 	_, ownRound := h.uptimes[r.HeartbeatRound]
 	if ownRound && h.initialPosition == 0 {
@@ -38,12 +39,14 @@
 		return nil
 	}
 	for id, t := range h.tasks {
+		// The epoch of an assignment is its position in the log: a reading that
+		// ends before that position says nothing about the task.
 		if h.rules.implicitlyConfirmed(t.reported) && !stopped[id] && id.Epoch < r.NextPosition {
 			t.confirmedRound = max(t.confirmedRound, r.HeartbeatRound)
 		}
 	}
 	var out []Decision
-	if h.reserveForPredecessor(r.Start) {
+	if h.reserveForEarlierProcess(r.Start) {
 		h.rebuildLedger(now, h.ledger.Total())
 	}
 	for i := range r.Start {
@@ -52,6 +55,9 @@
 	return out
 }
 
+// applyStop applies a stop order: it marks a task as revoked, and as settled if the
+// log has the task's end. A task that is not known and may not have started is reported as
+// stopped.
 func (h *Holder) applyStop(s StopOrder) {
 	if t := h.tasks[s.Hold]; t != nil {
 		t.revoked = true
@@ -70,9 +76,11 @@
 	}
 }
 
-// reserveForPredecessor reserves resources for starts that the agent's
-// predecessor may have sent to the worker, and reports whether there are any.
-func (h *Holder) reserveForPredecessor(orders []StartOrder) bool {
+// reserveForEarlierProcess reserves resources for the tasks of those start orders
+// that an earlier process of this agent may have sent to the worker, and reports
+// whether there are any. These tasks are not started again; a task that the
+// worker lists continues, any other is reported as stopped after its longest lease.
+func (h *Holder) reserveForEarlierProcess(orders []StartOrder) bool {
 	found := false
 	for i := range orders {
 		o := &orders[i]
@@ -86,11 +94,13 @@
 	return found
 }
 
+// known reports whether the holder has a task or a pending report for an assignment.
 func (h *Holder) known(id record.AssignmentID) bool {
 	_, pending := h.pendingReports[id]
 	return pending || h.tasks[id] != nil
 }
 
+// applyOrder applies a start order from a log reading with the given heartbeat round.
 func (h *Holder) applyOrder(now time.Time, o *StartOrder, round uint64, draining bool) []Decision {
 	terms := TermsFromMS(o.Spec.TakeoverMS)
 	leaseEnd := h.rules.leaseEnd(terms, h.uptimes[round], h.uptime)
--- a/pkg/lease/heartbeat_interval_test.go
+++ b/pkg/lease/heartbeat_interval_test.go
@@ -16,7 +16,7 @@
 		{1400, MaxHeartbeatInterval},
 	} {
 		if got := HeartbeatInterval(test.agents); got != test.want {
-			t.Errorf("pace of %d agents: got %s, want %s", test.agents, got, test.want)
+			t.Errorf("heartbeat interval of %d agents: got %s, want %s", test.agents, got, test.want)
 		}
 	}
 }
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -13,10 +13,10 @@
 
 // Holder decides for an agent which tasks its worker runs, and until when. Each
 // round has four steps: the agent passes the worker's task listing to Observe,
-// sends Reports with its heartbeat to the entries, has the log readings in their
-// responses applied, and makes the calls that Actions returns. Lost or late
-// replies of the worker to these calls need no handling, as the next listing
-// shows their effect. The zero value is ready for use.
+// sends Reports with its heartbeat to the entries, passes the log readings in the
+// entries' responses to Apply, and makes the calls to the worker that Actions
+// returns. Lost or late replies of the worker need no handling, as the next listing
+// shows the effect of the calls. The zero value is ready for use.
 type Holder struct {
 	ledger      worker.Ledger
 	incarnation string
@@ -26,16 +26,20 @@
 	uptimes map[uint64]time.Duration
 	tasks   map[record.AssignmentID]*heldTask
 	// pendingReports holds reports on tasks that the worker does not list. Such
-	// a task is not started, and its report is repeated until it is settled.
+	// a task is not started, and its report is repeated until the task is
+	// settled: until a stop order says that the log has the task's end.
 	pendingReports map[record.AssignmentID]Report
-	// settledRounds maps a settled task to the round in which it was last known.
-	// A log reading that is not newer may not show the task's end, so it cannot
-	// start the task again. Readings older than uptimeRounds rounds start
-	// nothing, which bounds the map.
+	// settledRounds maps a settled task that the holder has dropped to the round in
+	// which it was dropped. A log reading of that or an earlier heartbeat round
+	// may not show the task's end yet, so its start order for the task is
+	// ignored. Readings older than uptimeRounds rounds start nothing, so the map
+	// keeps a task for that many rounds only.
 	settledRounds map[record.AssignmentID]uint64
-	// initialUptime is the worker's clock at the first listing, and
-	// initialPosition the log's end soon after. Orders from before that
-	// position may have been refused by the agent's predecessor.
+	// initialUptime is the worker's clock at the first listing of its present
+	// incarnation. initialPosition is the end of the first log reading
+	// that began after a heartbeat of this process; 0 before there is one. An
+	// earlier process of this agent may have carried out or refused start orders
+	// for assignments from before that position.
 	initialUptime   time.Duration
 	initialPosition record.Position
 	rules           Rules
@@ -43,30 +47,37 @@
 
 // heldTask is a task that the worker runs, has run, or may still start.
 type heldTask struct {
-	size   worker.Resources
-	terms  Terms
+	size  worker.Resources
+	terms Terms
+	// listed is set if the worker's newest listing has the task.
 	listed bool
 	state  State
-	// reported says that this round's heartbeat named the task.
+	// reported is set if this round's heartbeat named the task.
 	reported           bool
 	checkpoint, detail string
-	// leaseEnd is the end of the lease that the worker lists, and maxLeaseEnd
-	// that of the longest lease that a start on its way may carry.
+	// leaseEnd is the end of the lease that the worker lists. maxLeaseEnd is the
+	// latest lease end that the worker has listed or that a start still on its way
+	// to the worker may carry.
 	leaseEnd, maxLeaseEnd time.Duration
 	// checkpointRequestedAt is the worker's clock at the last checkpoint request.
 	checkpointRequestedAt time.Duration
-	// confirmedRound is the newest round whose log reading left the task in place.
+	// confirmedRound is the newest heartbeat round of a log reading that assigned
+	// the task to this worker or left it there; 0 if there was none.
 	confirmedRound uint64
 	// startOrder is the start order to carry out in this round, or nil.
 	startOrder *StartOrder
-	revoked    bool
-	settled    bool
+	// revoked is set once a stop order has named the task, and settled once a stop
+	// order has said that the log has the task's end, so that no report of it is
+	// needed.
+	revoked bool
+	settled bool
 }
 
-// SetRules replaces rules of the protocol in tests.
+// SetRules replaces rules of the lease protocol, for tests.
 func (h *Holder) SetRules(r Rules) { h.rules = r }
 
-// Ledger returns the ledger of the worker's granted resources.
+// Ledger returns the ledger of the worker's resources that tasks occupy or may still
+// occupy.
 func (h *Holder) Ledger() *worker.Ledger { return &h.ledger }
 
 // Round returns the number of the current round.
@@ -94,6 +105,8 @@
 	h.rebuildLedger(now, l.Total)
 }
 
+// pruneSettledRounds forgets the settled tasks that were dropped more than
+// uptimeRounds rounds ago.
 func (h *Holder) pruneSettledRounds() {
 	for id, round := range h.settledRounds {
 		if round+uptimeRounds < h.round {
@@ -102,8 +115,8 @@
 	}
 }
 
-// replaceWorker drops the tasks that the worker has lost, and what was counted
-// on its former clock.
+// replaceWorker drops the tasks that the worker has lost with its former
+// incarnation, and the readings of that incarnation's clock.
 func (h *Holder) replaceWorker(l *Listing) {
 	h.incarnation = l.Incarnation
 	h.initialUptime = l.Uptime
@@ -129,6 +142,7 @@
 	}
 }
 
+// mergeTask updates a task from its line in the worker's listing.
 func (h *Holder) mergeTask(l *Task) {
 	t := h.tasks[l.Hold]
 	if t == nil {
@@ -144,6 +158,8 @@
 	t.maxLeaseEnd = max(t.maxLeaseEnd, l.Until)
 }
 
+// mergeMissing updates a task that the worker does not list: it was lost, or its
+// start has not reached the worker.
 func (h *Holder) mergeMissing(id record.AssignmentID, t *heldTask) {
 	if t.listed {
 		h.dropLostTask(id, t)
@@ -161,8 +177,8 @@
 }
 
 // dropLostTask drops a task that the worker no longer lists, or has lost with
-// its VM. It may have been reported before, so it is not started again under
-// this epoch.
+// its VM. The task may have been reported before, so it is not started again for the
+// same assignment.
 func (h *Holder) dropLostTask(id record.AssignmentID, t *heldTask) {
 	delete(h.tasks, id)
 	switch {
@@ -175,14 +191,14 @@
 	}
 }
 
-// reportStopped queues a report that a task does not run and can be started
+// reportStopped adds a pending report that a task does not run and can be started
 // elsewhere.
 func (h *Holder) reportStopped(id record.AssignmentID, detail string) {
 	h.pendingReports[id] = Report{Hold: id, State: Stopped, Detail: detail}
 }
 
 // rebuildLedger makes the ledger match the tasks that need resources. A task
-// that is listed as ended needs none, and no start of it is on its way.
+// that is listed as ended needs none, and no start of that task is on its way.
 func (h *Holder) rebuildLedger(now time.Time, total worker.Resources) {
 	grants := make([]worker.Grant, 0, len(h.tasks))
 	for id, t := range h.tasks {
@@ -197,7 +213,8 @@
 
 func ledgerKey(h record.AssignmentID) string { return h.String() }
 
-// Reports returns the task reports for this round's heartbeat.
+// Reports returns the task reports for this round's heartbeat: on the listed tasks
+// that are not settled, and the pending ones. The listing is that passed to Observe.
 func (h *Holder) Reports(l *Listing) []Report {
 	out := make([]Report, 0, len(l.Tasks)+len(h.pendingReports))
 	for i := range l.Tasks {
--- a/pkg/lease/holder_test.go
+++ b/pkg/lease/holder_test.go
@@ -24,8 +24,8 @@
 	return &testBench{now: testStart, listing: Listing{Incarnation: "1", Total: worker.Resources{MilliCPU: 2000}}}
 }
 
-// round lists the tasks a second later, applies one log reading, and returns the
-// reports and actions.
+// round lets a second pass, lists the tasks, applies one log reading, and returns the
+// round's reports and actions.
 func (b *testBench) round(r *LogReading) ([]Report, []Action) {
 	b.now = b.now.Add(time.Second)
 	b.listing.Uptime += time.Second
@@ -35,17 +35,19 @@
 	return reports, b.holder.Actions()
 }
 
+// assignment returns the assignment of a job's task that the log has at position epoch.
 func assignment(job string, epoch uint64) record.AssignmentID {
 	return record.AssignmentID{Task: record.TaskID{Job: job}, Epoch: record.NewPosition(epoch, 0)}
 }
 
+// order returns a start order for an assignment, with a takeover time of 10 s.
 func order(h record.AssignmentID) StartOrder {
 	return StartOrder{Hold: h, Spec: record.Spec{ID: h.Task.Job, Size: testSize, TakeoverMS: 10_000}}
 }
 
-// addTask adds a task with a lease up to until to the worker's listing.
-func (b *testBench) addTask(h record.AssignmentID, s State, until time.Duration) {
-	b.listing.Tasks = append(b.listing.Tasks, Task{Hold: h, Size: testSize, State: s, Until: until, Terms: NewTerms(10 * time.Second)})
+// addTask adds a task to the worker's listing; its lease ends at leaseEnd on the worker's clock.
+func (b *testBench) addTask(h record.AssignmentID, s State, leaseEnd time.Duration) {
+	b.listing.Tasks = append(b.listing.Tasks, Task{Hold: h, Size: testSize, State: s, Until: leaseEnd, Terms: NewTerms(10 * time.Second)})
 }
 
 func kindsOf(actions []Action) []ActionKind {
@@ -56,6 +58,7 @@
 	return out
 }
 
+// wantKinds fails the test unless the actions are of the kinds wanted, in this order.
 func wantKinds(t *testing.T, what string, actions []Action, want ...ActionKind) {
 	t.Helper()
 	got := kindsOf(actions)
@@ -72,10 +75,10 @@
 func TestStartNeedsAReadBegunAfterTheHeartbeat(t *testing.T) {
 	b, h := newTestBench(), assignment("job", 9)
 	_, actions := b.round(&LogReading{NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
-	wantKinds(t, "reading without a heartbeat round", actions)
+	wantKinds(t, "log reading without a heartbeat round", actions)
 	b.round(&LogReading{HeartbeatRound: 1, NextPosition: record.NewPosition(9, 0)})
 	_, actions = b.round(&LogReading{HeartbeatRound: 2, NextPosition: record.NewPosition(10, 0), Start: []StartOrder{order(h)}})
-	wantKinds(t, "reading of heartbeat round 2", actions, ActionStart)
+	wantKinds(t, "log reading of heartbeat round 2", actions, ActionStart)
 	if got, want := actions[0].LeaseEnd(), 2*time.Second+9900*time.Millisecond; got != want {
 		t.Errorf("lease: got %s, want %s", got, want)
 	}
--- a/pkg/lease/message.go
+++ b/pkg/lease/message.go
@@ -24,10 +24,12 @@
 
 // Report is an agent's report on one task.
 type Report struct {
-	_      struct{} `cbor:",toarray"`
-	Hold   record.AssignmentID
-	State  State
-	Ref    string
+	_     struct{} `cbor:",toarray"`
+	Hold  record.AssignmentID
+	State State
+	// Ref refers to the newest checkpoint.
+	Ref string
+	// Detail describes the state in words.
 	Detail string
 }
 
@@ -36,7 +38,8 @@
 	Hold       record.AssignmentID `cbor:"1,keyasint"`
 	Spec       record.Spec         `cbor:"2,keyasint"`
 	Checkpoint string              `cbor:"3,keyasint,omitempty"`
-	// Started says that the task was reported as started before.
+	// Started is set if the task has been reported as started before; an agent that
+	// does not know the task then refuses the order.
 	Started bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -44,13 +47,13 @@
 type StopOrder struct {
 	_    struct{} `cbor:",toarray"`
 	Hold record.AssignmentID
-	// Settled says that the log has the task's end already, so that the agent
-	// need not report it.
+	// Settled is set if the log has the task's end already, so that the agent
+	// need not report that end.
 	Settled bool
 }
 
 // LogReading is what one read of the log says about a worker. A reported task that
-// is in neither list continues unchanged.
+// is in neither Start nor Stop continues unchanged.
 type LogReading struct {
 	// HeartbeatRound is the newest of the agent's rounds whose heartbeat the entry had
 	// received when the read began, or 0.
@@ -67,8 +70,9 @@
 	Incarnation string
 	// Uptime is the reading of the worker's monotonic clock.
 	Uptime time.Duration
-	Total  worker.Resources
-	Tasks  []Task
+	// Total is the worker's capacity.
+	Total worker.Resources
+	Tasks []Task
 }
 
 // Task is one task in a worker's listing.
--- a/pkg/lease/rules.go
+++ b/pkg/lease/rules.go
@@ -11,20 +11,25 @@
 // replace them one by one, to prove that the protocol's checker finds the
 // resulting violation.
 type Rules struct {
-	// LeaseEnd returns the end of a lease, given the worker's clock before the log
-	// reading began and now.
+	// LeaseEnd returns the end of a lease on the worker's clock. beforeReading and now
+	// are that clock before the log reading began and at present.
 	LeaseEnd func(t Terms, beforeReading, now time.Duration) time.Duration
 	// Outdated reports whether a log reading with the given heartbeat round is
-	// too old to start a task that was last known in settledRound.
+	// too old to start a task whose end the log has and that the holder dropped
+	// in settledRound.
 	Outdated func(round, settledRound uint64) bool
-	// Predates reports whether the agent's predecessor may have refused the order
-	// with the given epoch.
+	// Predates reports whether an earlier process of this agent may have carried out
+	// or refused the start order with the given epoch; initialPosition is the end of
+	// the first log reading that this process received.
 	Predates func(epoch, initialPosition record.Position) bool
-	// Removable reports whether an ended task can be removed because no start of
-	// it can arrive any more.
+	// Removable reports whether an ended task can be removed from the worker because
+	// no start of the task can arrive there any more. Both times are on the worker's
+	// clock.
 	Removable func(now, maxLeaseEnd time.Duration) bool
-	// ImplicitlyConfirmed reports whether a log reading that does not name a task leaves it
-	// in place, given whether the heartbeat named the task.
+	// ImplicitlyConfirmed decides about a task that a log reading names in neither a
+	// start order nor a stop order: it reports whether the task stays at the worker
+	// and its lease may be renewed. reported is set if this round's heartbeat named
+	// the task.
 	ImplicitlyConfirmed func(reported bool) bool
 }
 
