--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -11,20 +11,21 @@
 // PlacementPolicy describes the placement policy of a queue: an external service decides which workers
 // may run a step, and has to be asked.
 type PlacementPolicy struct {
-	// Decision is how long the service takes to answer a question; PerWorker is added for each
+	// Decision is how long the service takes to answer a question, plus PerWorker for each
 	// worker that the question names.
 	Decision, PerWorker time.Duration
 }
 
 // Limits and delays of questions to the placement policy service.
 const (
-	// maxNamedWorkers is how many workers one question names; the latency objectives of callers
-	// include one question about 30 workers for each step.
+	// maxNamedWorkers is how many workers one question names at most; the latency objectives of
+	// callers include one question about 30 workers for each step.
 	maxNamedWorkers = 30
-	// maxOpenQuestions bounds the open questions of one asker: the service handles one at a
-	// time for each asking machine.
+	// maxOpenQuestions bounds the open questions of one asker, the worker whose agent sends them:
+	// the service handles one question at a time for each asking machine.
 	maxOpenQuestions = 2
-	// answerTimeoutMargin is how much longer than configured an answer may take.
+	// answerTimeoutMargin is how much longer an answer may take than maxOpenQuestions questions
+	// are expected to take one after the other.
 	answerTimeoutMargin = 1500 * time.Millisecond
 	// questionRetryDelay is the delay before asking again after a question was refused or not
 	// answered.
@@ -42,17 +43,20 @@
 	replacementSilence = 4 * time.Second
 )
 
+// expectedDuration returns how long the service takes to answer a question that names a number of
+// workers.
 func (a *PlacementPolicy) expectedDuration(workers int) time.Duration {
 	return a.Decision + time.Duration(workers)*a.PerWorker
 }
 
 // Question asks the placement policy service which workers may run a step.
 type Question struct {
+	// Seq is the sequence number of the question in this term.
 	Seq uint64 `cbor:"1,keyasint"`
 	// Asker is the worker whose agent sends the question.
 	Asker string          `cbor:"-"`
 	Step  workflow.StepID `cbor:"2,keyasint"`
-	// Instances are the instance IDs of the runners of the workers in question.
+	// Instances are the instance IDs of the runners of the workers that the question names.
 	Instances []string `cbor:"3,keyasint"`
 	// Timeout is how long the answer may take, in nanoseconds on the wire.
 	Timeout time.Duration `cbor:"4,keyasint"`
@@ -62,13 +66,15 @@
 type openQuestion struct {
 	step  *stepState
 	asker *workerState
-	// lives are the workers that the question names, with the lives of their runners at that
-	// time.
-	lives     map[*workerState]uint64
+	// lives are the workers that the question names, with the lives of their runners when it was
+	// asked.
+	lives map[*workerState]uint64
+	// expiresAt is when the question counts as not answered.
 	expiresAt time.Time
 }
 
-// permission is the answer of the placement policy service for one life of a worker's runner.
+// permission is the answer of the placement policy service on one step and one life of a worker's
+// runner.
 type permission struct {
 	life      uint64
 	allowed   bool
@@ -76,10 +82,11 @@
 	expiresAt time.Time
 }
 
-// stepPermissions are the permissions of a step.
+// stepPermissions are the answers of the placement policy service on one step.
 type stepPermissions struct {
 	byWorker map[*workerState]permission
-	// questionOpen is set while a question is open; no question is asked before nextQuestionAt.
+	// questionOpen is set while a question about the step is open; the next one is not asked
+	// before nextQuestionAt.
 	questionOpen   bool
 	nextQuestionAt time.Time
 }
@@ -87,7 +94,8 @@
 // ticket returns the ticket that an order to start the step at a worker has to carry.
 func (s *stepState) ticket(w *workerState) string { return s.permissions.byWorker[w].ticket }
 
-// permitted reports whether the placement policy of the step's queue lets a worker run it.
+// permitted reports whether the placement policy of the step's queue, if there is one, lets a worker
+// run the step.
 func (s *stepState) permitted(now time.Time, q *Queue, w *workerState) bool {
 	p := s.permissions.byWorker[w]
 	return q.Policy == nil || p.life == w.life && p.allowed && now.Before(p.expiresAt)
@@ -133,8 +141,8 @@
 	return s.open && s.waitingTasks > 0 || !s.open && s.opensWithin(now, lead) || s.spec.LongRunning && s.losesWorkerSoon(now)
 }
 
-// opensWithin reports whether all steps that this one depends on are expected to be done within
-// d.
+// opensWithin reports whether all steps that this one depends on are expected to be done after at
+// most d.
 func (s *stepState) opensWithin(now time.Time, d time.Duration) bool {
 	for _, index := range s.spec.After {
 		dependency := s.occurrence.steps[index]
@@ -153,7 +161,8 @@
 	return true
 }
 
-// losesWorkerSoon reports whether tasks at a silent worker are about to be started elsewhere.
+// losesWorkerSoon reports whether the step has tasks at a silent worker that are about to be started
+// elsewhere.
 func (s *stepState) losesWorkerSoon(now time.Time) bool {
 	for i := range s.tasks {
 		for _, r := range s.tasks[i].runs {
@@ -166,7 +175,7 @@
 }
 
 // questionHelps reports whether a question about a step would help: there is a worker to name,
-// and either no permission stays valid long enough, or no permitted worker has room while
+// and either no permission outlasts the question, or no permitted worker has room for a task while
 // another worker has.
 func (sc *Scheduler) questionHelps(now time.Time, s *stepState, q *Queue) bool {
 	answeredAt := now.Add(q.Policy.expectedDuration(maxNamedWorkers) + questionLeadTime)
@@ -187,44 +196,45 @@
 	return candidate && (!permitted || !permittedWithRoom && otherWithRoom)
 }
 
-// denied reports whether the policy has denied a worker. A denial is final for the life of its
-// runner.
+// denied reports whether the placement policy has denied the step a worker. A denial is final for
+// the life of the worker's runner.
 func (s *stepState) denied(w *workerState) bool {
 	p, ok := s.permissions.byWorker[w]
 	return ok && p.life == w.life && !p.allowed
 }
 
-// chooseAsker returns the worker whose agent sends the next question, or nil.
+// chooseAsker returns the worker whose agent sends the next question, or nil if none may send one
+// now.
 func (sc *Scheduler) chooseAsker(now time.Time) *workerState {
 	var best *workerState
 	for _, w := range sc.workers {
-		if w.silent || w.leaseExpired || w.life == 0 || w.openQuestions >= maxOpenQuestions || now.Before(w.nextQuestionAt) {
+		if w.silent || w.leaseExpired || w.life == 0 || w.openQuestionCount >= maxOpenQuestions || now.Before(w.nextQuestionAt) {
 			continue
 		}
-		if best == nil || w.openQuestions < best.openQuestions || w.openQuestions == best.openQuestions && w.name < best.name {
+		if best == nil || w.openQuestionCount < best.openQuestionCount || w.openQuestionCount == best.openQuestionCount && w.name < best.name {
 			best = w
 		}
 	}
 	return best
 }
 
-// ask orders a question about a step.
+// ask adds a question about a step, to be sent by the asker's agent, to the orders.
 func (sc *Scheduler) ask(now time.Time, s *stepState, asker *workerState, o *Orders) {
 	q := sc.queues[s.occurrence.job.submission.Queue]
 	named := sc.workersToName(now, s, &q)
 	if len(named) == 0 {
 		return
 	}
-	sc.lastQuestion++
+	sc.lastQuestionSeq++
 	timeout := maxOpenQuestions*q.Policy.expectedDuration(len(named)) + answerTimeoutMargin
 	open := &openQuestion{step: s, asker: asker, lives: make(map[*workerState]uint64, len(named)), expiresAt: now.Add(timeout)}
-	out := Question{Seq: sc.lastQuestion, Asker: asker.name, Step: s.stepID(), Timeout: timeout}
+	out := Question{Seq: sc.lastQuestionSeq, Asker: asker.name, Step: s.stepID(), Timeout: timeout}
 	for _, w := range named {
 		open.lives[w] = w.life
 		out.Instances = append(out.Instances, w.instance)
 	}
-	sc.openQuestions[sc.lastQuestion] = open
-	asker.openQuestions++
+	sc.openQuestions[sc.lastQuestionSeq] = open
+	asker.openQuestionCount++
 	s.permissions.questionOpen = true
 	o.questions = append(o.questions, out)
 }
@@ -263,18 +273,20 @@
 	}
 }
 
-func (sc *Scheduler) closeQuestion(now time.Time, seq uint64, delay time.Duration) {
+// closeQuestion removes an open question; the next one about its step is asked after retryDelay or
+// later.
+func (sc *Scheduler) closeQuestion(now time.Time, seq uint64, retryDelay time.Duration) {
 	open := sc.openQuestions[seq]
 	delete(sc.openQuestions, seq)
-	open.asker.openQuestions--
+	open.asker.openQuestionCount--
 	open.step.permissions.questionOpen = false
-	open.step.permissions.nextQuestionAt = now.Add(delay)
+	open.step.permissions.nextQuestionAt = now.Add(retryDelay)
 }
 
-// PolicyAnswered records the answer to a question: the tickets of the permitted workers by runner
-// instance, and how long they are valid. It returns the step, or false if the question has
-// expired.
-func (sc *Scheduler) PolicyAnswered(now time.Time, seq uint64, tickets map[string]string, valid time.Duration) (workflow.StepID, bool) {
+// PolicyAnswered records the answer to the question with a sequence number: the tickets of the
+// permitted workers, by the instance IDs of their runners, and for how long they are valid. It
+// returns the step, or false if the question has expired.
+func (sc *Scheduler) PolicyAnswered(now time.Time, seq uint64, tickets map[string]string, validFor time.Duration) (workflow.StepID, bool) {
 	open := sc.openQuestions[seq]
 	if open == nil {
 		return workflow.StepID{}, false
@@ -289,13 +301,13 @@
 			continue
 		}
 		ticket, allowed := tickets[w.instance]
-		s.permissions.byWorker[w] = permission{life: life, allowed: allowed, ticket: ticket, expiresAt: now.Add(valid - ticketSafetyMargin)}
+		s.permissions.byWorker[w] = permission{life: life, allowed: allowed, ticket: ticket, expiresAt: now.Add(validFor - ticketSafetyMargin)}
 	}
 	return s.stepID(), true
 }
 
-// PolicyUnanswered records that a question was refused or not answered. It returns the step, or false
-// if the question has expired.
+// PolicyUnanswered records that the question with a sequence number was refused or not answered. It
+// returns the step, or false if the question has expired.
 func (sc *Scheduler) PolicyUnanswered(now time.Time, seq uint64) (workflow.StepID, bool) {
 	open := sc.openQuestions[seq]
 	if open == nil {
@@ -305,7 +317,7 @@
 	return open.step.stepID(), true
 }
 
-// TicketRefused records that a runner rejected the ticket of a task, so that a new one is
+// TicketRefused records that a worker's runner refused the ticket of a task, so that a new ticket is
 // requested.
 func (sc *Scheduler) TicketRefused(worker string, task workflow.TaskID) {
 	s, _ := sc.task(task)
--- a/pkg/dispatch/board_test.go
+++ b/pkg/dispatch/board_test.go
@@ -14,61 +14,67 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// scenario is a sequence of events, each with the orders that are wanted after it.
+// scenario is a sequence of events, each with the orders that the scheduler must return after it.
+// EarlierWorkers are the workers that may run tasks of an earlier term.
 type scenario struct {
-	Name   string   `json:"name"`
-	Term   uint64   `json:"term"`
-	Known  []string `json:"known"`
-	Events []event  `json:"events"`
+	Name           string   `json:"name"`
+	Term           uint64   `json:"term"`
+	EarlierWorkers []string `json:"known"`
+	Events         []event  `json:"events"`
 }
 
 type event struct {
 	AtMS int64  `json:"at-ms"`
 	Do   string `json:"do"`
-	// Worker, Life, CPU, MemMB, Labels and Draining describe a worker.
+	// Worker, Life, MilliCPU, MemMB, Labels and Draining describe a worker; MilliCPU is its
+	// processor time in thousandths of a processor, and 0 stands for 16 processors and 64000 MB.
 	Worker   string   `json:"worker"`
 	Life     uint64   `json:"life"`
-	CPU      int64    `json:"cpu"`
+	MilliCPU int64    `json:"cpu"`
 	MemMB    int64    `json:"mem-mb"`
 	Labels   []string `json:"labels"`
 	Draining bool     `json:"draining"`
-	// Runs are the runs that a worker lists: "task run percent reading".
+	// Runs are the runs that a worker lists: "task run percent reading", the last two as in
+	// RunStatus.
 	Runs []string `json:"runs"`
-	// Ends are the ends that a worker lists: "number task run outcome checkpoint".
+	// Ends are the run ends that a worker lists: "number task run outcome checkpoint".
 	Ends []string `json:"ends"`
-	// Job, Queue, Old and Steps describe a job.
-	Job   string          `json:"job"`
-	Queue string          `json:"queue"`
-	Old   bool            `json:"old"`
-	Times int             `json:"times"`
-	First int64           `json:"first-ms"`
-	Every int64           `json:"every-ms"`
-	Steps json.RawMessage `json:"steps"`
-	// Start and Stop are the orders wanted: "task run worker", with * for any worker. The
-	// ticket may follow in a start order.
-	Start []string `json:"start"`
-	Stop  []string `json:"stop"`
-	// Lost are the runs wanted as lost with their workers: "task run worker"; not compared if
-	// missing.
-	Lost []string `json:"lost"`
-	// Ask are the questions wanted: "step asker workers", with the workers separated by commas
-	// and each written as worker/life.
-	Ask []string `json:"ask"`
-	// Question is the number of the question that Tickets answers, by worker/life; the tickets
-	// are valid for ValidMS.
+	// Job, Queue and Steps describe a job; FromEarlierTerm means that the job was accepted in an
+	// earlier term. The job runs RepeatCount times, first at FirstDueMS (Unix milliseconds), then
+	// every IntervalMS; if RepeatCount is 0, it runs once, immediately.
+	Job             string          `json:"job"`
+	Queue           string          `json:"queue"`
+	FromEarlierTerm bool            `json:"old"`
+	RepeatCount     int             `json:"times"`
+	FirstDueMS      int64           `json:"first-ms"`
+	IntervalMS      int64           `json:"every-ms"`
+	Steps           json.RawMessage `json:"steps"`
+	// WantStarts and WantStops are the orders that the scheduler must return: "task run worker",
+	// with * for any worker. In a start order, the ticket may follow.
+	WantStarts []string `json:"start"`
+	WantStops  []string `json:"stop"`
+	// WantLost are the runs that the scheduler must record as lost: "task run worker"; not
+	// compared if missing.
+	WantLost []string `json:"lost"`
+	// WantQuestions are the questions that the scheduler must send: "step asker workers", with
+	// the workers separated by commas and each written as worker/life.
+	WantQuestions []string `json:"ask"`
+	// Question is the number of the question that Tickets answers: the tickets of the permitted
+	// workers, by worker/life. They are valid for ValidMS milliseconds.
 	Question uint64            `json:"question"`
 	Tickets  map[string]string `json:"tickets"`
 	ValidMS  int64             `json:"valid-ms"`
-	// Noted are the acknowledgements wanted: "worker number", with the number of the last end
-	// that the worker may forget; not compared if missing.
-	Noted []string `json:"noted"`
-	// Phase is the phase wanted of the job.
-	Phase string `json:"phase"`
+	// WantAcks are the acknowledgements that the scheduler must return: "worker number", with
+	// the number of the last run end that the worker may forget; not compared if missing.
+	WantAcks []string `json:"noted"`
+	// WantPhase is the phase that the job must have; not compared if empty.
+	WantPhase string `json:"phase"`
 }
 
+// scenarioStep describes a step of a job; the fields are those of workflow.Step and its Size.
 type scenarioStep struct {
 	Count         int     `json:"count"`
-	CPU           int64   `json:"cpu"`
+	MilliCPU      int64   `json:"cpu"`
 	MemMB         int64   `json:"mem-mb"`
 	EstimateMS    int64   `json:"estimate-ms"`
 	After         []int   `json:"after"`
@@ -76,13 +82,13 @@
 	SameRack      bool    `json:"same-rack"`
 	Label         string  `json:"label"`
 	Rack          string  `json:"rack"`
-	MostPerWorker int     `json:"most-per-worker"`
-	Saves         bool    `json:"saves"`
-	Copies        bool    `json:"copies"`
-	Lasts         bool    `json:"lasts"`
+	MaxPerWorker  int     `json:"most-per-worker"`
+	Checkpointing bool    `json:"saves"`
+	Speculative   bool    `json:"copies"`
+	LongRunning   bool    `json:"lasts"`
 	Image         string  `json:"image"`
 	TargetMS      float64 `json:"target-ms"`
-	Fills         bool    `json:"fills"`
+	BestEffort    bool    `json:"fills"`
 }
 
 var testQueues = map[string]Queue{
@@ -116,18 +122,19 @@
 	}
 }
 
+// runScenario applies the events of a scenario in turn and compares the orders after each.
 func runScenario(t *testing.T, s *scenario) {
 	t.Helper()
 	var sc Scheduler
 	sc.SetQueues(testQueues)
 	sc.SetRemoteRackSlowdown(1.5)
-	sc.BeginTerm(max(1, s.Term), s.Known)
+	sc.BeginTerm(max(1, s.Term), s.EarlierWorkers)
 	base := time.Unix(1000, 0)
 	for i := range s.Events {
 		e := &s.Events[i]
-		now, wall := base.Add(time.Duration(e.AtMS)*time.Millisecond), 1_000_000+e.AtMS
-		applyEvent(t, &sc, now, wall, e)
-		orders := sc.Decide(now, wall)
+		now, wallMS := base.Add(time.Duration(e.AtMS)*time.Millisecond), 1_000_000+e.AtMS
+		applyEvent(t, &sc, now, wallMS, e)
+		orders := sc.Decide(now, wallMS)
 		var starts, stops []string
 		for _, o := range orders.Starts() {
 			starts = append(starts, fmt.Sprintf("%s %d %s %s", o.Task, o.Run, o.Worker, o.Ticket))
@@ -135,38 +142,40 @@
 		for _, o := range orders.Stops() {
 			stops = append(stops, fmt.Sprintf("%s %d %s", o.Task, o.Run, o.Worker))
 		}
-		compareLines(t, fmt.Sprintf("event %d (%s): starts", i, e.Do), starts, e.Start)
-		compareLines(t, fmt.Sprintf("event %d (%s): stops", i, e.Do), stops, e.Stop)
+		compareLines(t, fmt.Sprintf("event %d (%s): starts", i, e.Do), starts, e.WantStarts)
+		compareLines(t, fmt.Sprintf("event %d (%s): stops", i, e.Do), stops, e.WantStops)
 		var asked []string
 		for _, q := range orders.Questions() {
 			slices.Sort(q.Instances)
 			asked = append(asked, fmt.Sprintf("%s %s %s", q.Step, q.Asker, strings.Join(q.Instances, ",")))
 		}
-		compareLines(t, fmt.Sprintf("event %d (%s): questions", i, e.Do), asked, e.Ask)
-		if e.Lost != nil {
+		compareLines(t, fmt.Sprintf("event %d (%s): questions", i, e.Do), asked, e.WantQuestions)
+		if e.WantLost != nil {
 			var lost []string
 			for _, l := range sc.TakeLostRuns() {
 				lost = append(lost, fmt.Sprintf("%s %d %s", l.Task, l.Run, l.Worker))
 			}
-			compareLines(t, fmt.Sprintf("event %d (%s): lost", i, e.Do), lost, e.Lost)
+			compareLines(t, fmt.Sprintf("event %d (%s): lost", i, e.Do), lost, e.WantLost)
 		}
-		if e.Noted != nil {
+		if e.WantAcks != nil {
 			var acked []string
 			sc.TakeChange().EachAck(func(worker string, _, end uint64) { acked = append(acked, fmt.Sprintf("%s %d ", worker, end)) })
-			compareLines(t, fmt.Sprintf("event %d (%s): acknowledged ends", i, e.Do), acked, e.Noted)
+			compareLines(t, fmt.Sprintf("event %d (%s): acknowledged ends", i, e.Do), acked, e.WantAcks)
 		}
-		if e.Phase != "" {
+		if e.WantPhase != "" {
 			got := "unknown"
 			if p, ok := sc.Phase(e.Job); ok {
 				got = p.String()
 			}
-			if got != e.Phase {
-				t.Errorf("event %d: phase of %s: got %s, want %s", i, e.Job, got, e.Phase)
+			if got != e.WantPhase {
+				t.Errorf("event %d: phase of %s: got %s, want %s", i, e.Job, got, e.WantPhase)
 			}
 		}
 	}
 }
 
+// compareLines compares orders, in any order, word by word; * in a wanted line stands for any
+// third word, and a fourth word is compared only if the wanted line has one.
 func compareLines(t *testing.T, what string, got, want []string) {
 	t.Helper()
 	slices.Sort(got)
@@ -187,27 +196,28 @@
 	}
 }
 
-func applyEvent(t *testing.T, sc *Scheduler, now time.Time, wall int64, e *event) {
+// applyEvent calls the method of the scheduler that an event stands for.
+func applyEvent(t *testing.T, sc *Scheduler, now time.Time, wallMS int64, e *event) {
 	t.Helper()
-	w := &Worker{Name: e.Worker, Life: e.Life, Service: "bench", Capacity: worker.Resources{MilliCPU: e.CPU, MemoryMB: e.MemMB}, Labels: e.Labels, Draining: e.Draining, PacePercent: 100, Instance: fmt.Sprintf("%s/%d", e.Worker, e.Life)}
-	if e.CPU == 0 {
+	w := &Worker{Name: e.Worker, Life: e.Life, Service: "bench", Capacity: worker.Resources{MilliCPU: e.MilliCPU, MemoryMB: e.MemMB}, Labels: e.Labels, Draining: e.Draining, PacePercent: 100, Instance: fmt.Sprintf("%s/%d", e.Worker, e.Life)}
+	if e.MilliCPU == 0 {
 		w.Capacity = worker.Resources{MilliCPU: 16000, MemoryMB: 64000}
 	}
 	switch e.Do {
 	case "report":
-		sc.ApplyReport(now, wall, w, runsOf(t, e.Runs), endsOf(t, e.Ends))
+		sc.ApplyReport(now, wallMS, w, runsOf(t, e.Runs), endsOf(t, e.Ends))
 	case "describe":
 		sc.ApplyPing(now, w, runsOf(t, e.Runs))
 	case "ended":
-		sc.ApplyEnds(now, wall, e.Worker, e.Life, endsOf(t, e.Ends))
+		sc.ApplyEnds(now, wallMS, e.Worker, e.Life, endsOf(t, e.Ends))
 	case "refused":
 		for _, r := range runsOf(t, e.Runs) {
-			sc.OrderRefused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+			sc.OrderRefused(now, wallMS, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "admit":
-		sc.Admit(now, wall, jobOf(t, e), nil, e.Old)
+		sc.Admit(now, wallMS, jobOf(t, e), nil, e.FromEarlierTerm)
 	case "cancel":
-		sc.Cancel(now, wall, e.Job)
+		sc.Cancel(now, wallMS, e.Job)
 	case "advised":
 		sc.PolicyAnswered(now, e.Question, e.Tickets, time.Duration(e.ValidMS)*time.Millisecond)
 	case "not-advised":
@@ -215,7 +225,7 @@
 	case "ticket-refused":
 		for _, r := range runsOf(t, e.Runs) {
 			sc.TicketRefused(e.Worker, r.Task)
-			sc.OrderRefused(now, wall, e.Worker, e.Life, r.Task, r.Run)
+			sc.OrderRefused(now, wallMS, e.Worker, e.Life, r.Task, r.Run)
 		}
 	case "silent":
 		sc.MarkSilent(e.Worker)
@@ -231,18 +241,19 @@
 	}
 }
 
+// jobOf returns the job that an event describes.
 func jobOf(t *testing.T, e *event) *workflow.Submission {
 	t.Helper()
 	var steps []scenarioStep
 	if err := json.Unmarshal(e.Steps, &steps); err != nil {
 		t.Fatal(err)
 	}
-	sub := &workflow.Submission{ID: e.Job, Queue: e.Queue, AcceptedMS: 1_000_000 + e.AtMS, Spec: workflow.Spec{RepeatCount: e.Times, FirstDueMS: e.First, IntervalMS: e.Every}}
+	sub := &workflow.Submission{ID: e.Job, Queue: e.Queue, AcceptedMS: 1_000_000 + e.AtMS, Spec: workflow.Spec{RepeatCount: e.RepeatCount, FirstDueMS: e.FirstDueMS, IntervalMS: e.IntervalMS}}
 	for _, s := range steps {
 		sub.Spec.Steps = append(sub.Spec.Steps, workflow.Step{
-			Count: s.Count, Size: worker.Resources{MilliCPU: s.CPU, MemoryMB: s.MemMB}, EstimateMS: s.EstimateMS, After: s.After,
-			Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, Rack: s.Rack, MaxPerWorker: s.MostPerWorker, Checkpointing: s.Saves,
-			Speculative: s.Copies, LongRunning: s.Lasts, Image: s.Image, TargetMS: s.TargetMS, BestEffort: s.Fills,
+			Count: s.Count, Size: worker.Resources{MilliCPU: s.MilliCPU, MemoryMB: s.MemMB}, EstimateMS: s.EstimateMS, After: s.After,
+			Gang: s.Gang, SameRack: s.SameRack, Label: s.Label, Rack: s.Rack, MaxPerWorker: s.MaxPerWorker, Checkpointing: s.Checkpointing,
+			Speculative: s.Speculative, LongRunning: s.LongRunning, Image: s.Image, TargetMS: s.TargetMS, BestEffort: s.BestEffort,
 		})
 	}
 	if err := sub.Spec.Validate(); err != nil {
@@ -260,6 +271,7 @@
 	return id
 }
 
+// runsOf parses runs in the form of event.Runs.
 func runsOf(t *testing.T, lines []string) []RunStatus {
 	t.Helper()
 	var out []RunStatus
@@ -275,6 +287,7 @@
 	return out
 }
 
+// endsOf parses run ends in the form of event.Ends.
 func endsOf(t *testing.T, lines []string) []RunEnd {
 	t.Helper()
 	var out []RunEnd
--- a/pkg/dispatch/decide.go
+++ b/pkg/dispatch/decide.go
@@ -11,21 +11,25 @@
 
 // Delays of orders and placement.
 const (
-	// refusedRetryDelay is the delay before an order that a worker refused is repeated.
+	// refusedRetryDelay is the delay before a task is started again after its start order was
+	// refused.
 	refusedRetryDelay = 100 * time.Millisecond
 	// minRestartDelay and maxRestartDelay bound the delay before a long-running task is
-	// restarted after a failure; it has to run again within three seconds.
+	// restarted after a failure; the task has to run again within three seconds.
 	minRestartDelay = 50 * time.Millisecond
 	maxRestartDelay = 800 * time.Millisecond
 	// stopRetryInterval is the time after which a stop order without effect is repeated.
 	stopRetryInterval = 1500 * time.Millisecond
 	// interferenceWait is how long a best-effort task waits for a worker without interference:
-	// a task that has room everywhere has to run within three seconds.
+	// a task for which every worker has room has to run within three seconds.
 	interferenceWait = 2 * time.Second
-	// preemptionWait is how long a long-running task waits for room before it preempts others.
+	// preemptionWait is how long a long-running task waits for room before runs of lower
+	// priority are stopped for it.
 	preemptionWait = 300 * time.Millisecond
 )
 
+// restartDelay returns the delay before a long-running task is restarted after its given number of
+// failures: minRestartDelay, doubled with each failure up to maxRestartDelay.
 func restartDelay(failures int) time.Duration {
 	return min(minRestartDelay<<min(max(failures-1, 0), 8), maxRestartDelay)
 }
@@ -33,23 +37,26 @@
 // Start is an order to start a task.
 type Start struct {
 	Worker string
-	Life   uint64
-	Task   workflow.TaskID
-	Run    uint64
-	Text   string
-	Saved  string
+	// Life is the life of the worker's runner that the order is for.
+	Life uint64
+	Task workflow.TaskID
+	// Run is the number of the run; a task's run numbers increase.
+	Run uint64
+	// Text is the text of the job's specification, and Saved the checkpoint to start from.
+	Text  string
+	Saved string
 	// Fills (set for a best-effort task) and TargetMS are for the worker's latency guard.
 	Fills    bool
 	TargetMS float64
 	// Ticket shows that the queue's placement policy lets the worker run the step.
 	Ticket string
 	// Harm is the interference load that the image of a best-effort task is expected to cause
-	// there, from 0 to 1.
+	// at the worker, from 0 to 1.
 	Harm   float64
 	Reason string
 }
 
-// Stop is an order to stop a run, or to make sure that it never starts.
+// Stop is an order to stop a run, or to make sure that the run never starts.
 type Stop struct {
 	Worker string
 	Life   uint64
@@ -58,7 +65,7 @@
 	Reason string
 }
 
-// Orders are what Decide returns.
+// Orders are the orders and questions that Decide returns.
 type Orders struct {
 	starts    []Start
 	stops     []Stop
@@ -74,16 +81,17 @@
 // Questions returns the questions for the placement policy service.
 func (o *Orders) Questions() []Question { return o.questions }
 
-// orderStop orders a run to stop.
+// orderStop adds an order to stop a run, unless the run is being stopped already.
 func (sc *Scheduler) orderStop(now time.Time, r *run, reason string) {
 	if r.phase == runStopping {
 		return
 	}
 	r.phase, r.stopOrderedAt, r.stopReason = runStopping, now, reason
-	sc.stops = append(sc.stops, Stop{Worker: r.worker.name, Life: r.worker.life, Task: r.id, Run: r.number, Reason: reason})
+	sc.pendingStops = append(sc.pendingStops, Stop{Worker: r.worker.name, Life: r.worker.life, Task: r.id, Run: r.number, Reason: reason})
 }
 
-// Decide returns the orders that are due.
+// Decide creates the occurrences that are due, places waiting tasks, and returns the resulting orders
+// and the stop orders and questions that are due.
 func (sc *Scheduler) Decide(now time.Time, wallMS int64) *Orders {
 	for _, j := range sc.jobs {
 		if j.nextOccurrence < j.submission.Spec.Occurrences() && !j.phase.Ended() {
@@ -98,7 +106,7 @@
 	sc.startSpeculativeRuns(now, o)
 	sc.stopStalled(now)
 	sc.repeatStops(now)
-	o.stops, sc.stops = sc.stops, nil
+	o.stops, sc.pendingStops = sc.pendingStops, nil
 	return o
 }
 
@@ -108,7 +116,7 @@
 		for _, r := range w.runs {
 			if r.phase == runStopping && now.Sub(r.stopOrderedAt) >= stopRetryInterval {
 				r.stopOrderedAt = now
-				sc.stops = append(sc.stops, Stop{Worker: w.name, Life: w.life, Task: r.id, Run: r.number, Reason: r.stopReason})
+				sc.pendingStops = append(sc.pendingStops, Stop{Worker: w.name, Life: w.life, Task: r.id, Run: r.number, Reason: r.stopReason})
 			}
 		}
 	}
@@ -119,13 +127,16 @@
 	step        *stepState
 	longRunning bool
 	priority    int
-	late        bool
-	slack       time.Duration
+	// slack is how much later the step could start and still meet its latency objective; late is
+	// set if slack is negative.
+	late  bool
+	slack time.Duration
 }
 
-// placementOrder returns the steps with waiting tasks in the order in which they are placed.
-// During surges of jobs with many tasks, steps that can still meet their latency objective go
-// before those that no longer can, the least slack first.
+// placementOrder returns the steps with waiting tasks in the order in which they are placed. Steps
+// of jobs from earlier terms, whose tasks may still run, are left out until all workers have
+// reported. During surges of jobs with many tasks, steps that can still meet their latency
+// objective go before those that no longer can, the least slack first.
 func (sc *Scheduler) placementOrder(now time.Time) []*stepState {
 	steps := make([]*stepState, 0, len(sc.readySteps))
 	for s := range sc.readySteps {
@@ -136,7 +147,8 @@
 	return sc.sortByUrgency(now, steps)
 }
 
-// sortByUrgency sorts steps by urgency.
+// sortByUrgency sorts steps in place and returns them: long-running steps first, then by the queue's
+// priority, then steps that can still meet their latency objective, then the least slack first.
 func (sc *Scheduler) sortByUrgency(now time.Time, steps []*stepState) []*stepState {
 	all := make([]placementRank, 0, len(steps))
 	for _, s := range steps {
@@ -155,6 +167,7 @@
 	return steps
 }
 
+// compareBool compares two values, with false before true.
 func compareBool(x, y bool) int {
 	switch {
 	case x == y:
@@ -167,11 +180,11 @@
 
 // deadline returns the time by which an occurrence has to end to meet its latency objective.
 func (sc *Scheduler) deadline(o *occurrence, q Queue) time.Time {
-	chain := int64(0)
+	longestMS := int64(0)
 	for _, s := range o.steps {
-		chain = max(chain, s.criticalPathMS)
+		longestMS = max(longestMS, s.criticalPathMS)
 	}
-	return o.startedAt.Add(time.Duration(float64(chain)*q.Stretch)*time.Millisecond + q.TargetLatency)
+	return o.startedAt.Add(time.Duration(float64(longestMS)*q.Stretch)*time.Millisecond + q.TargetLatency)
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
@@ -200,32 +213,35 @@
 	}
 }
 
-// orderStart orders a run of a task.
-func (sc *Scheduler) orderStart(now time.Time, s *stepState, index int, w *workerState, number uint64, reason string, o *Orders) {
+// orderStart adds an order to start the task with the given index in its step at a worker, under a
+// run number.
+func (sc *Scheduler) orderStart(now time.Time, s *stepState, index int, w *workerState, runNumber uint64, reason string, o *Orders) {
 	t := &s.tasks[index]
 	id := s.taskID(index)
-	sc.addRun(now, s, t, id, w, number)
+	sc.addRun(now, s, t, id, w, runNumber)
 	w.health.probing = w.health.outcomes.Suspect()
 	sc.markStarted(s.occurrence.job)
 	o.starts = append(o.starts, Start{
-		Worker: w.name, Life: w.life, Task: id, Run: number, Text: s.occurrence.job.submission.Spec.Text,
+		Worker: w.name, Life: w.life, Task: id, Run: runNumber, Text: s.occurrence.job.submission.Spec.Text,
 		Saved: t.checkpoint, Fills: s.spec.BestEffort, TargetMS: s.spec.TargetMS, Ticket: s.ticket(w), Harm: sc.imageInterference(w, s.spec.Image), Reason: reason,
 	})
 }
 
-// allowed reports whether a worker may run a step at all.
+// allowed reports whether a worker may run a step, whether or not the worker has room for a task.
 func (sc *Scheduler) allowed(now time.Time, s *stepState, q Queue, w *workerState) bool {
 	return sc.suitable(now, s, &q, w) && s.permitted(now, &q, w)
 }
 
-// suitable reports whether a worker may run a step, apart from the placement policy.
+// suitable reports whether a worker may run a step, apart from the placement policy and whether it
+// has room.
 func (sc *Scheduler) suitable(now time.Time, s *stepState, q *Queue, w *workerState) bool {
 	return w.life != 0 && !w.silent && !w.leaseExpired && !w.draining && w.service == q.Service &&
 		(s.spec.Label == "" || w.labels[s.spec.Label]) && w.health.usable(now)
 }
 
-// chooseWorker returns the worker that a task should run on, or nil, and the reason. Planned
-// counts the tasks of a gang that already take room at each worker.
+// chooseWorker returns the worker that a task should run on, or nil, and the reason. planned counts,
+// for each worker, the other tasks of the same gang that have been planned there; it is nil for a
+// task without a gang.
 func (sc *Scheduler) chooseWorker(now time.Time, s *stepState, t *taskState, q Queue, planned map[*workerState]int) (*workerState, string) {
 	need := s.spec.Reserved()
 	avoidInterference := s.spec.BestEffort && now.Sub(t.waitingSince) < interferenceWait && sc.runsWithoutInterference(now, s, q)
@@ -253,6 +269,7 @@
 	return best, s.placementReason(best)
 }
 
+// runsOn reports whether a task has a run at a worker.
 func runsOn(t *taskState, w *workerState) bool {
 	for _, r := range t.runs {
 		if r.worker == w {
@@ -262,6 +279,7 @@
 	return false
 }
 
+// placementReason returns why the best-rated worker was chosen for a task, for the log.
 func (s *stepState) placementReason(w *workerState) string {
 	switch {
 	case s.spec.LongRunning:
@@ -299,7 +317,7 @@
 	}
 }
 
-// racksToTry returns the racks to try for a gang; "" stands for any.
+// racksToTry returns the racks to try for a gang, in this order; "" stands for workers on any racks.
 func (sc *Scheduler) racksToTry(s *stepState) []string {
 	if !s.spec.SameRack {
 		return []string{""}
@@ -319,6 +337,8 @@
 	return append(out, "")
 }
 
+// planGang returns the workers that the tasks of a gang should run on, by task index, or nil if the
+// gang does not fit. All are on the given rack, or on any racks if rack is "".
 func (sc *Scheduler) planGang(now time.Time, s *stepState, q Queue, rack string) []*workerState {
 	planned := make(map[*workerState]int)
 	if rack != "" {
--- a/pkg/dispatch/guarded.go
+++ b/pkg/dispatch/guarded.go
@@ -8,9 +8,10 @@
 	Task workflow.TaskID
 	// TargetMS is the limit of the tail latency of a serving task, in milliseconds.
 	TargetMS float64
-	Fills    bool
+	// Fills is set for a best-effort task.
+	Fills bool
 	// Harm is the interference load that the image of a best-effort task is expected to cause
-	// there, from 0 to 1.
+	// at the worker, from 0 to 1.
 	Harm float64
 }
 
--- a/pkg/dispatch/health.go
+++ b/pkg/dispatch/health.go
@@ -10,7 +10,8 @@
 const (
 	// newestRunWeight is the weight of the newest run in the moving average.
 	newestRunWeight = 0.25
-	// minMeasuredEstimateMS is the shortest estimate, in milliseconds, of a run that counts.
+	// minMeasuredEstimateMS is the shortest estimated run time, in milliseconds, of a run whose
+	// run time is compared with its estimate.
 	minMeasuredEstimateMS = 50
 )
 
@@ -20,7 +21,7 @@
 	// slowdown is the moving average of measured divided by estimated run time; 0 before the
 	// first measurement.
 	slowdown float64
-	// probing is set while a task is run on a suspect worker to test it.
+	// probing is set while a task runs on a suspect worker to test the worker.
 	probing bool
 }
 
@@ -43,7 +44,7 @@
 	h.probing = false
 }
 
-// usable reports whether a worker may get a task, as far as its health allows.
+// usable reports whether a worker's health allows it to get a task.
 func (h *workerHealth) usable(now time.Time) bool {
 	if !h.outcomes.Suspect() {
 		return true
--- a/pkg/dispatch/interference.go
+++ b/pkg/dispatch/interference.go
@@ -15,15 +15,15 @@
 	// minShareLimit and maxShareLimit bound the limits learned.
 	minShareLimit = 0.02
 	maxShareLimit = 4.0
-	// shareLimitGrowth is by which fraction one reading that meets its target raises the limits
-	// of the images in use, if the interference load was at its limit.
+	// shareLimitGrowth is by which fraction one reading that meets its target raises the share
+	// limits of the best-effort images in use; each image gets its part of the raise.
 	shareLimitGrowth = 0.12
-	// missReduction and maxReduction determine by which fraction one missed target lowers the
-	// limits.
+	// missReduction is by which fraction one missed target lowers the share limits, more at a
+	// higher pressure; maxReduction bounds the fraction.
 	missReduction = 0.25
 	maxReduction  = 0.6
-	// minMeaningfulLoad is the interference load from which a reading that meets its target is
-	// used.
+	// minMeaningfulLoad is the interference load above which a reading that meets its target
+	// raises limits.
 	minMeaningfulLoad = 0.5
 	// Readings with a pressure between metPressure and missedPressure are ignored. The pressure
 	// is the tail latency divided by its target.
@@ -32,13 +32,15 @@
 	// overload is the interference load from which the serving tasks of a worker are expected
 	// to miss their targets.
 	overload = 1.0
-	// settleTime is how long a change takes to show in the readings, which cover half a second.
+	// settleTime is how long a change of the running tasks takes to show in the readings, which
+	// cover half a second.
 	settleTime = 700 * time.Millisecond
 )
 
 // imagePair names the images of a serving and of a best-effort task.
 type imagePair struct{ serving, bestEffort string }
 
+// shareLimit returns the share limit of a pair of images.
 func (sc *Scheduler) shareLimit(serving, bestEffort string) float64 {
 	if limit, ok := sc.shareLimits[imagePair{serving, bestEffort}]; ok {
 		return limit
@@ -46,8 +48,9 @@
 	return defaultShareLimit
 }
 
-// interferenceLoad returns how much of what a serving image tolerates is used by best-effort
-// images; it is expected to miss its target from 1 on.
+// interferenceLoad returns the interference load on a serving image: the sum, over the best-effort
+// images on its worker, of the share of processors divided by the share limit. From a load of 1 on
+// the serving image is expected to miss its target.
 func (sc *Scheduler) interferenceLoad(serving string, shares map[string]float64) float64 {
 	sum := 0.0
 	for image, share := range shares {
@@ -56,8 +59,8 @@
 	return sum
 }
 
-// interferenceLoadWith returns the highest interference load of a worker's serving images if
-// one more best-effort task ran there.
+// interferenceLoadWith returns the highest interference load on a worker's serving images if one
+// more best-effort task, of the given image and requested processor time, ran on the worker.
 func (sc *Scheduler) interferenceLoadWith(w *workerState, image string, milliCPU int64) float64 {
 	worst, share := 0.0, float64(milliCPU)/float64(max(1, w.capacity.MilliCPU))
 	for serving := range w.servingTasksByImage {
@@ -66,8 +69,8 @@
 	return worst
 }
 
-// imageInterference returns the interference load that one best-effort image causes at a worker,
-// from 0 to 1.
+// imageInterference returns the highest interference load that one best-effort image causes on any
+// serving image at a worker, from 0 to 1.
 func (sc *Scheduler) imageInterference(w *workerState, image string) float64 {
 	worst := 0.0
 	for serving := range w.servingTasksByImage {
@@ -76,8 +79,8 @@
 	return min(1, worst)
 }
 
-// learnInterference adjusts the share limits to the readings of a worker. It matters on days
-// when best-effort jobs have many tasks and serving tasks run on most workers.
+// learnInterference adjusts the share limits to the newest readings of a worker's runs. The limits
+// matter on days when best-effort jobs have many tasks and serving tasks run on most workers.
 func (sc *Scheduler) learnInterference(now time.Time, w *workerState) {
 	sharesInUse := make(map[string]float64)
 	for _, r := range w.runs {
@@ -92,13 +95,13 @@
 		}
 		pressure := r.reading / target
 		if pressure <= metPressure || now.Sub(w.bestEffortEndedAt) > settleTime {
-			sc.adjustShareLimits(r.step.spec.Image, sharesInUse, pressure) // otherwise a best-effort run that has just ended may be the cause
+			sc.adjustShareLimits(r.step.spec.Image, sharesInUse, pressure) // a higher tail latency may be due to a best-effort run that has just ended
 		}
 	}
 }
 
-// adjustShareLimits adjusts the share limits of a serving image to one reading next to
-// best-effort images.
+// adjustShareLimits adjusts the share limits of a serving image to one reading of its pressure, while
+// best-effort images used the given shares of the worker's processors.
 func (sc *Scheduler) adjustShareLimits(serving string, sharesInUse map[string]float64, pressure float64) {
 	load := sc.interferenceLoad(serving, sharesInUse)
 	if load <= 0 || pressure > metPressure && pressure <= missedPressure {
@@ -116,8 +119,8 @@
 	}
 }
 
-// runsWithoutInterference reports whether there is a worker that could run a best-effort step
-// without interference, though it may have no room now.
+// runsWithoutInterference reports whether there is a worker that could run a best-effort step without
+// overload of its serving tasks, even if that worker has no room now.
 func (sc *Scheduler) runsWithoutInterference(now time.Time, s *stepState, q Queue) bool {
 	for _, w := range sc.workers {
 		if sc.allowed(now, s, q, w) && sc.interferenceLoadWith(w, s.spec.Image, s.spec.Size.MilliCPU) < overload {
--- a/pkg/dispatch/interference_limits.go
+++ b/pkg/dispatch/interference_limits.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// InterferenceLimit is the learned limit of interference between the images of a serving and of a
-// best-effort task.
+// InterferenceLimit is the learned share limit of a best-effort image next to a serving image.
 type InterferenceLimit struct {
-	_       struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Serving and Filling are the images of the serving and of the best-effort task.
 	Serving string
 	Filling string
 	// Share is the fraction of a worker's processors that the best-effort image may use before
@@ -16,11 +16,13 @@
 	Share float64
 }
 
-// maxInterferenceLimits bounds the number of image pairs that are stored; a site has about
-// fifty.
+// maxInterferenceLimits bounds the number of image pairs that are stored; a site has about fifty
+// pairs.
 const maxInterferenceLimits = 1000
 
-// InterferenceLimits returns the learned limits, ordered by the names of the images.
+// InterferenceLimits returns the learned share limits: the share of a worker's processors that each
+// best-effort image may use next to each serving image. It returns at most maxInterferenceLimits,
+// the first in the order of the images' names.
 func (sc *Scheduler) InterferenceLimits() []InterferenceLimit {
 	out := make([]InterferenceLimit, 0, len(sc.shareLimits))
 	for p, share := range sc.shareLimits {
@@ -32,7 +34,8 @@
 	return out[:min(len(out), maxInterferenceLimits)]
 }
 
-// MergeInterferenceLimits adds the limits that another dispatcher has learned.
+// MergeInterferenceLimits takes over the share limits that another dispatcher has learned; they
+// replace own limits for the same pairs of images.
 func (sc *Scheduler) MergeInterferenceLimits(learned []InterferenceLimit) {
 	for _, l := range learned {
 		sc.shareLimits[imagePair{l.Serving, l.Filling}] = min(max(l.Share, minShareLimit), maxShareLimit)
--- a/pkg/dispatch/job.go
+++ b/pkg/dispatch/job.go
@@ -6,14 +6,15 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Admit adds an accepted job with its stored progress. Tasks of a job from an
-// earlier term may already run. A job that is already known is not changed.
+// Admit adds an accepted job with its stored progress, nil if there is none. Tasks of
+// a job from an earlier term may already run. A job that is already known is not
+// changed.
 func (sc *Scheduler) Admit(now time.Time, wallMS int64, submission *workflow.Submission, progress *workflow.Progress, fromEarlierTerm bool) {
 	if _, ok := sc.jobs[submission.ID]; ok {
 		return
 	}
-	// The wall clocks of two entries may differ; the waiting time before admission counts at
-	// most this much.
+	// The wall clocks of two entries may differ, so at most longestWait of the time between a
+	// job's acceptance and its admission is counted.
 	const longestWait = 30 * time.Second
 	waited := min(max(0, time.Duration(wallMS-submission.AcceptedMS)*time.Millisecond), longestWait)
 	j := &jobState{submission: submission, acceptedAt: now.Add(-waited), fromEarlierTerm: fromEarlierTerm, occurrences: make(map[int]*occurrence)}
@@ -28,7 +29,7 @@
 	sc.applyHeld(now, wallMS, submission.ID)
 }
 
-// Cancel ends a job: its runs are stopped and no task of it starts again.
+// Cancel ends a job: the job's runs are ordered to stop and none of its tasks starts again.
 func (sc *Scheduler) Cancel(now time.Time, wallMS int64, id string) {
 	j := sc.jobs[id]
 	if j == nil || j.phase.Ended() {
@@ -40,7 +41,7 @@
 // HasJob reports whether a job is known.
 func (sc *Scheduler) HasJob(id string) bool { return sc.jobs[id] != nil }
 
-// Phase returns the phase of a job.
+// Phase returns the phase of a job, and whether the job is known.
 func (sc *Scheduler) Phase(id string) (workflow.Phase, bool) {
 	j := sc.jobs[id]
 	if j == nil {
@@ -52,7 +53,8 @@
 	return j.phase, true
 }
 
-// PendingJobs counts, for each queue, the jobs of which no task has started.
+// PendingJobs returns, for each queue, the number of jobs that have not ended and of which no task
+// has been started.
 func (sc *Scheduler) PendingJobs() map[string]int {
 	out := make(map[string]int)
 	for _, j := range sc.jobs {
@@ -63,8 +65,8 @@
 	return out
 }
 
-// DropExpired drops the jobs that ended before a wall-clock time and have no runs left, and returns
-// their IDs.
+// DropExpired drops the jobs that ended before beforeMS, in Unix milliseconds, and have no runs left.
+// It returns their IDs.
 func (sc *Scheduler) DropExpired(beforeMS int64) []string {
 	var out []string
 	for id, j := range sc.jobs {
@@ -76,6 +78,7 @@
 	return out
 }
 
+// hasRuns reports whether any task of a job has a run.
 func (sc *Scheduler) hasRuns(j *jobState) bool {
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
@@ -131,22 +134,24 @@
 	sc.checkOccurrence(now, wallMS, o)
 }
 
-// measureCriticalPaths computes the longest chain of work from each step to the end, including
-// one question to the placement policy service for each step if there is one.
-func measureCriticalPaths(o *occurrence, advice *PlacementPolicy) {
-	question := int64(0)
-	if advice != nil {
-		question = advice.expectedDuration(maxNamedWorkers).Milliseconds()
+// measureCriticalPaths computes, for each step of an occurrence, the estimated time of the longest
+// chain of steps from the start of that step to the end. With a placement policy it includes one
+// question to the policy service for each step.
+func measureCriticalPaths(o *occurrence, policy *PlacementPolicy) {
+	questionMS := int64(0)
+	if policy != nil {
+		questionMS = policy.expectedDuration(maxNamedWorkers).Milliseconds()
 	}
 	for i := len(o.steps) - 1; i >= 0; i-- {
 		s := o.steps[i]
-		s.criticalPathMS += s.spec.EstimateMS + question
+		s.criticalPathMS += s.spec.EstimateMS + questionMS
 		for _, dependency := range s.spec.After {
 			o.steps[dependency].criticalPathMS = max(o.steps[dependency].criticalPathMS, s.criticalPathMS)
 		}
 	}
 }
 
+// restoreProgress applies the stored progress of the job to a new occurrence.
 func (sc *Scheduler) restoreProgress(o *occurrence) {
 	p := o.job.storedProgress
 	if p == nil {
@@ -175,7 +180,7 @@
 	}
 }
 
-// openSteps opens the steps whose dependencies are all done.
+// openSteps opens the steps of an occurrence whose dependencies are all done.
 func (sc *Scheduler) openSteps(o *occurrence) {
 	for _, s := range o.steps {
 		if s.open {
@@ -194,7 +199,8 @@
 	}
 }
 
-// checkOccurrence completes the job when all its occurrences are done.
+// checkOccurrence counts an occurrence as done if all its steps are done, and completes the job when
+// all occurrences are done.
 func (sc *Scheduler) checkOccurrence(now time.Time, wallMS int64, o *occurrence) {
 	j := o.job
 	if o.doneSteps < len(o.steps) || j.phase.Ended() {
@@ -216,7 +222,7 @@
 			delete(sc.readySteps, s)
 			for i := range s.tasks {
 				if s.tasks[i].done && s.spec.Gang {
-					continue // the other members of the gang end with the one that was reported
+					continue // the other runs of the gang end with the run that was reported as done
 				}
 				for _, r := range s.tasks[i].runs {
 					sc.orderStop(now, r, "the job has ended: "+phase.String())
@@ -247,6 +253,7 @@
 	return p
 }
 
+// appendProgress appends the progress of the step's tasks to p.
 func (s *stepState) appendProgress(p *workflow.Progress) {
 	done := workflow.DoneTasks{Occurrence: s.occurrence.index, Step: s.index}
 	for i := range s.tasks {
@@ -262,7 +269,8 @@
 	}
 }
 
-// Change is what has to be stored before ends are acknowledged to workers.
+// Change is the progress of jobs that has to be stored, and the run ends that are acknowledged to
+// workers once that progress is stored.
 type Change struct {
 	jobs map[string]*workflow.Progress
 	acks map[string]ackPosition
@@ -274,28 +282,29 @@
 // Empty reports whether there is nothing to store or acknowledge.
 func (c *Change) Empty() bool { return len(c.jobs) == 0 && len(c.acks) == 0 }
 
-// EachAck calls fn for each worker with the life of its runner and the number of the last end
-// that it may forget.
-func (c *Change) EachAck(fn func(worker string, life, end uint64)) {
+// EachAck calls fn for each worker with the life of its runner and the number of the last run end
+// that the worker may forget.
+func (c *Change) EachAck(fn func(worker string, life, endNumber uint64)) {
 	for w, n := range c.acks {
 		fn(w, n.life, n.end)
 	}
 }
 
-// HasUrgentChange reports whether a caller waits for a change that has not been taken.
+// HasUrgentChange reports whether a job has ended since the last call of TakeChange: its caller may
+// wait for the end.
 func (sc *Scheduler) HasUrgentChange() bool { return sc.jobEnded }
 
-// HasChange reports whether there is a change to take.
-func (sc *Scheduler) HasChange() bool { return len(sc.changedJobs) > 0 || len(sc.acks) > 0 }
+// HasChange reports whether TakeChange would return a change that is not empty.
+func (sc *Scheduler) HasChange() bool { return len(sc.changedJobs) > 0 || len(sc.pendingAcks) > 0 }
 
 // TakeChange returns what has changed since the last call.
 func (sc *Scheduler) TakeChange() *Change {
-	c := &Change{jobs: make(map[string]*workflow.Progress, len(sc.changedJobs)), acks: sc.acks}
+	c := &Change{jobs: make(map[string]*workflow.Progress, len(sc.changedJobs)), acks: sc.pendingAcks}
 	for j := range sc.changedJobs {
 		c.jobs[j.submission.ID] = j.progress()
 	}
 	sc.changedJobs = make(map[*jobState]struct{})
-	sc.acks = make(map[string]ackPosition)
+	sc.pendingAcks = make(map[string]ackPosition)
 	sc.jobEnded = false
 	return c
 }
--- a/pkg/dispatch/report.go
+++ b/pkg/dispatch/report.go
@@ -9,7 +9,8 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// rackPrefix is the prefix of the label that names a worker's rack.
+// rackPrefix is the prefix of the label that names a worker's rack; such a label also contains a
+// hyphen.
 const rackPrefix = "r"
 
 // Outcome says how a run ended.
@@ -23,15 +24,16 @@
 	OutcomeFailed
 	// OutcomeStopped is a run that was stopped by order.
 	OutcomeStopped
-	// OutcomeLapsed is a run whose lease expired.
+	// OutcomeLapsed is a run that the worker lists as ended because its lease expired.
 	OutcomeLapsed
-	// OutcomeBroken is a run of a gang that ended because another member ended.
+	// OutcomeBroken is a run of a gang that ended because another run of the gang ended.
 	OutcomeBroken
-	// OutcomeAlone is a run of a gang that waited in vain for the other members.
+	// OutcomeAlone is a run of a gang that waited in vain for the other runs of the gang.
 	OutcomeAlone
-	// OutcomeRefused is an order that is known never to run.
+	// OutcomeRefused is a run that was ordered and is known never to start.
 	OutcomeRefused
-	// OutcomeGone is a run that ended because its worker ended or the worker's lease expired.
+	// OutcomeGone is a run that the scheduler regards as ended because the worker's runner ended
+	// or was replaced, or the worker's lease expired.
 	OutcomeGone
 )
 
@@ -42,12 +44,15 @@
 
 // RunEnd is the end of a run, as listed by a worker.
 type RunEnd struct {
-	_      struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Number is the number of the end; numbers increase during one life of the worker's runner.
 	Number uint64
 	Task   workflow.TaskID
-	Run    uint64
-	How    Outcome
-	Saved  string
+	// Run is the number of the run that ended.
+	Run uint64
+	How Outcome
+	// Saved is the newest checkpoint; empty if there is none.
+	Saved string
 }
 
 // RunStatus is the status of a run, as listed by a worker.
@@ -57,12 +62,13 @@
 	Run  uint64
 	// Saved is the newest checkpoint.
 	Saved string
-	// Percent is the progress of the run.
+	// Percent is the progress of the run; 100 means done.
 	Percent int
 	// Reading is the tail latency of a serving task in milliseconds; for other tasks, the
 	// processor time in use in thousandths of a processor.
 	Reading float64
-	// Pending marks an order that may still take effect.
+	// Pending is set if the runner does not list the run, but its start order may still take
+	// effect.
 	Pending bool
 }
 
@@ -75,15 +81,18 @@
 	Service  string           `cbor:"3,keyasint"`
 	Capacity worker.Resources `cbor:"4,keyasint"`
 	Labels   []string         `cbor:"5,keyasint"`
-	Draining bool             `cbor:"6,keyasint,omitempty"`
-	// PacePercent is the pace of best-effort tasks there, in percent of full pace.
+	// Draining means that the worker gets no new tasks.
+	Draining bool `cbor:"6,keyasint,omitempty"`
+	// PacePercent is how fast the agent lets best-effort tasks run on the worker, in percent of
+	// unthrottled speed; 100 means not slowed down.
 	PacePercent int `cbor:"7,keyasint,omitempty"`
 	// Instance is the instance ID of the runner.
 	Instance string `cbor:"8,keyasint,omitempty"`
 }
 
-// ApplyReport takes in the full state of a worker: its runs and the ends that it lists. Runs that it
-// does not list are stopped, so that they can never start there.
+// ApplyReport takes in the full state of a worker: its runs and the run ends that it lists. Runs
+// that the scheduler knows at the worker and the worker does not list are ordered to stop, so that
+// they can never start there.
 func (sc *Scheduler) ApplyReport(now time.Time, wallMS int64, info *Worker, runs []RunStatus, ends []RunEnd) {
 	w := sc.workerState(info.Name)
 	if w.life != info.Life {
@@ -128,6 +137,7 @@
 	sc.learnInterference(now, w)
 }
 
+// workerState returns the state of a worker, which it creates if the worker is not known.
 func (sc *Scheduler) workerState(name string) *workerState {
 	w := sc.workers[name]
 	if w == nil {
@@ -137,6 +147,7 @@
 	return w
 }
 
+// setWorkerInfo takes in what a worker reports about itself, and records the contact.
 func (sc *Scheduler) setWorkerInfo(now time.Time, w *workerState, info *Worker) {
 	w.lastContact, w.silent, w.leaseExpired = now, false, false
 	w.service, w.capacity, w.draining, w.pacePercent, w.instance = info.Service, info.Capacity, info.Draining, info.PacePercent, info.Instance
@@ -170,8 +181,8 @@
 	}
 }
 
-// adoptRun takes in the status of a run from a report; the run may have been ordered in an
-// earlier term.
+// adoptRun takes in the status of a run from a report. The run may have been ordered in an
+// earlier term. It is ordered to stop if its task is not known or needs no further run.
 func (sc *Scheduler) adoptRun(now time.Time, w *workerState, status *RunStatus) {
 	if r := w.runs[status.Task]; r != nil && r.number == status.Run {
 		sc.updateRun(now, r, status)
@@ -179,7 +190,7 @@
 	}
 	s, t := sc.task(status.Task)
 	if t == nil || t.done || s.occurrence.job.phase.Ended() || (len(t.runs) > 0 && !s.spec.Speculative) {
-		sc.stops = append(sc.stops, Stop{Worker: w.name, Life: w.life, Task: status.Task, Run: status.Run, Reason: "the run is unknown or no longer needed"})
+		sc.pendingStops = append(sc.pendingStops, Stop{Worker: w.name, Life: w.life, Task: status.Task, Run: status.Run, Reason: "the run is unknown or no longer needed"})
 		return
 	}
 	r := sc.addRun(now, s, t, status.Task, w, status.Run)
@@ -188,11 +199,11 @@
 	s.occurrence.job.started = true
 }
 
-// addRun adds a run of a task at a worker.
+// addRun adds a run of a task, with the given run number, at a worker.
 func (sc *Scheduler) addRun(now time.Time, s *stepState, t *taskState, id workflow.TaskID, w *workerState, number uint64) *run {
 	r := &run{step: s, id: id, number: number, worker: w, orderedAt: now, progressedAt: now}
 	if len(t.runs) == 0 && !t.done {
-		sc.addWaiting(s, -1)
+		sc.addWaitingTasks(s, -1)
 	}
 	t.runs = append(t.runs, r)
 	t.lastRunNumber = max(t.lastRunNumber, number)
@@ -203,8 +214,9 @@
 	return r
 }
 
-func (sc *Scheduler) addWaiting(s *stepState, by int) {
-	s.waitingTasks += by
+// addWaitingTasks adds delta to the number of waiting tasks of a step.
+func (sc *Scheduler) addWaitingTasks(s *stepState, delta int) {
+	s.waitingTasks += delta
 	if s.waitingTasks > 0 && s.open && !s.occurrence.job.phase.Ended() {
 		sc.readySteps[s] = struct{}{}
 	} else {
@@ -212,7 +224,8 @@
 	}
 }
 
-// ApplyEnds takes in the ends that a worker lists.
+// ApplyEnds takes in the run ends that a worker lists in one life of its runner; those of another
+// life are ignored.
 func (sc *Scheduler) ApplyEnds(now time.Time, wallMS int64, name string, life uint64, ends []RunEnd) {
 	w := sc.workerState(name)
 	if w.life != life {
@@ -232,15 +245,15 @@
 	}
 }
 
-// OrderRefused records that an order is known never to run at a worker.
-func (sc *Scheduler) OrderRefused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, number uint64) {
+// OrderRefused records that a run that was ordered at a worker is known never to start.
+func (sc *Scheduler) OrderRefused(now time.Time, wallMS int64, name string, life uint64, id workflow.TaskID, runNumber uint64) {
 	w := sc.workerState(name)
 	if w.life == life {
-		sc.endRun(now, wallMS, w, &RunEnd{Task: id, Run: number, How: OutcomeRefused})
+		sc.endRun(now, wallMS, w, &RunEnd{Task: id, Run: runNumber, How: OutcomeRefused})
 	}
 }
 
-// endRun takes in one end.
+// endRun takes in the end of one run at a worker.
 func (sc *Scheduler) endRun(now time.Time, wallMS int64, w *workerState, e *RunEnd) {
 	s, t := sc.task(e.Task)
 	r := w.runs[e.Task]
@@ -292,10 +305,12 @@
 	}
 	if len(t.runs) == 0 && !t.done {
 		t.waitingSince = now
-		sc.addWaiting(s, 1)
+		sc.addWaitingTasks(s, 1)
 	}
 }
 
+// completeTask marks a task as done, with the whole gang if it belongs to one, and opens the steps
+// that this allows to start. A long-running task is never done.
 func (sc *Scheduler) completeTask(now time.Time, wallMS int64, s *stepState, t *taskState) {
 	j := s.occurrence.job
 	if s.spec.LongRunning || j.phase.Ended() {
@@ -318,6 +333,8 @@
 	}
 }
 
+// markTaskDone marks a task as done and stops its other runs. The runs of a gang are not stopped:
+// they end together.
 func (sc *Scheduler) markTaskDone(now time.Time, s *stepState, t *taskState) {
 	if t.done {
 		return
@@ -325,7 +342,7 @@
 	t.done = true
 	s.doneTasks++
 	if len(t.runs) == 0 {
-		sc.addWaiting(s, -1)
+		sc.addWaitingTasks(s, -1)
 	}
 	for _, r := range t.runs {
 		if !s.spec.Gang {
@@ -334,13 +351,15 @@
 	}
 }
 
-func (sc *Scheduler) recordFailure(now time.Time, wallMS int64, s *stepState, t *taskState, w *workerState, number uint64) {
+// recordFailure records the failure of a run. The job fails once the task has as many failed runs as
+// its queue allows; a long-running task is restarted after a delay instead.
+func (sc *Scheduler) recordFailure(now time.Time, wallMS int64, s *stepState, t *taskState, w *workerState, runNumber uint64) {
 	j := s.occurrence.job
-	if t.done || j.phase.Ended() || slices.Contains(t.failedRuns, number) {
+	if t.done || j.phase.Ended() || slices.Contains(t.failedRuns, runNumber) {
 		return
 	}
 	sc.markStarted(j)
-	t.failedRuns = append(t.failedRuns, number)
+	t.failedRuns = append(t.failedRuns, runNumber)
 	t.failedWorker = w.name
 	sc.changedJobs[j] = struct{}{}
 	if q := sc.queues[j.submission.Queue]; !s.spec.LongRunning && q.Attempts > 0 && len(t.failedRuns) >= q.Attempts {
@@ -352,6 +371,7 @@
 	}
 }
 
+// markStarted records that a task of a job has been started.
 func (sc *Scheduler) markStarted(j *jobState) {
 	if !j.started {
 		j.started = true
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -1,8 +1,8 @@
 // Package dispatch decides which worker runs which task. It holds the waiting and running tasks
 // of all jobs and the state of the workers, and returns orders to start and stop tasks.
 //
-// It does no I/O. The current time is an argument: now is on a clock that also advances while
-// the machine is suspended, wall-clock times are Unix milliseconds.
+// The package does no I/O. The current time is an argument: now is on a clock that also advances
+// while the machine is suspended, wallMS is the wall clock in Unix milliseconds.
 package dispatch
 
 import (
@@ -14,14 +14,15 @@
 
 // Queue is the configuration of a queue of jobs.
 type Queue struct {
+	// Service is the service that a worker has to belong to in order to run the queue's tasks.
 	Service string
 	// Priority 0 is the highest; long-running tasks may preempt tasks of lower priority.
 	Priority int
-	// Attempts is the number of failed runs of a task after which its job fails; 0 means no
-	// limit.
+	// Attempts is the number of failed runs of one task with which its job fails; 0 means no
+	// limit. Failures of long-running tasks do not count.
 	Attempts int
-	// Stretch and Target set the latency objective of a job: its critical path times the
-	// stretch, plus the target latency.
+	// Stretch and TargetLatency set the latency objective of a job: the estimated run time of
+	// its critical path times Stretch, plus TargetLatency.
 	Stretch       float64
 	TargetLatency time.Duration
 	// Policy is set if an external service decides which workers may run a step.
@@ -36,32 +37,40 @@
 	// runNumberBase is added to run numbers, so that they increase from term to term.
 	runNumberBase uint64
 	// unreported are workers that may run tasks started before this term and have not reported
-	// in it.
+	// in this term.
 	unreported map[string]bool
 	// readySteps are open steps with waiting tasks.
 	readySteps map[*stepState]struct{}
 	// changedJobs are jobs whose progress has to be stored.
 	changedJobs map[*jobState]struct{}
-	// acks are the ends, by worker, that have been processed and not yet acknowledged.
-	acks map[string]ackPosition
+	// pendingAcks holds, by worker name, the number of the last run end that has been processed
+	// and is still to be acknowledged to the worker.
+	pendingAcks map[string]ackPosition
 	// jobEnded is set if one of changedJobs has ended.
-	jobEnded           bool
-	stops              []Stop
-	lost               []LostRun
+	jobEnded bool
+	// pendingStops are the stop orders that the next call of Decide returns.
+	pendingStops []Stop
+	// lostRuns are the lost runs that the next call of TakeLostRuns returns.
+	lostRuns []LostRun
+	// remoteRackSlowdown is the factor by which a task takes longer on another rack than that of
+	// its data.
 	remoteRackSlowdown float64
-	// shareLimits are the fractions of a worker's processors that best-effort images may use
+	// shareLimits are the learned fractions of a worker's processors that best-effort images may use
 	// next to serving images.
 	shareLimits map[imagePair]float64
-	// anyPolicy is set if a queue has a placement policy; openQuestions are those without an
-	// answer.
-	anyPolicy     bool
-	openQuestions map[uint64]*openQuestion
-	lastQuestion  uint64
-	// workersWithUnknownJobs are the workers that list runs or ends of jobs that are not known.
+	// anyPolicy is set if at least one queue has a placement policy.
+	anyPolicy bool
+	// openQuestions are the questions to the placement policy service that have not been
+	// answered, by their sequence numbers; lastQuestionSeq is the newest of these numbers.
+	openQuestions   map[uint64]*openQuestion
+	lastQuestionSeq uint64
+	// workersWithUnknownJobs are the workers that list runs or run ends of jobs that the
+	// dispatcher does not know.
 	workersWithUnknownJobs map[*workerState]struct{}
 }
 
-// ackPosition is the number of the last end processed, in one life of a worker's runner.
+// ackPosition is the number of the last run end to acknowledge (end), in one life of a worker's
+// runner.
 type ackPosition struct {
 	life uint64
 	end  uint64
@@ -71,8 +80,9 @@
 // started more often in one term.
 const runsPerTerm = 1000
 
-// BeginTerm starts a term. Jobs from earlier terms may still run at one of the given workers,
-// until each has reported or its lease has expired.
+// BeginTerm discards the state of the previous term, except for the settings, and starts a term.
+// Tasks started in earlier terms may still run at any of the given workers, until that worker has
+// reported or its lease has expired.
 func (sc *Scheduler) BeginTerm(term uint64, workers []string) {
 	*sc = Scheduler{queues: sc.queues, anyPolicy: sc.anyPolicy, remoteRackSlowdown: sc.remoteRackSlowdown, shareLimits: make(map[imagePair]float64), openQuestions: make(map[uint64]*openQuestion)}
 	sc.workers = make(map[string]*workerState)
@@ -80,7 +90,7 @@
 	sc.unreported = make(map[string]bool)
 	sc.readySteps = make(map[*stepState]struct{})
 	sc.changedJobs = make(map[*jobState]struct{})
-	sc.acks = make(map[string]ackPosition)
+	sc.pendingAcks = make(map[string]ackPosition)
 	sc.workersWithUnknownJobs = make(map[*workerState]struct{})
 	if term > 1 {
 		sc.runNumberBase = (term - 1) * runsPerTerm
@@ -102,18 +112,22 @@
 // SetRemoteRackSlowdown sets the factor by which a task takes longer on another rack than that of its data.
 func (sc *Scheduler) SetRemoteRackSlowdown(factor float64) { sc.remoteRackSlowdown = factor }
 
-// UnreportedWorkers returns the number of workers that may still run tasks of an earlier term.
+// UnreportedWorkers returns the number of workers that may still run tasks started in an earlier
+// term and have not reported in this one.
 func (sc *Scheduler) UnreportedWorkers() int { return len(sc.unreported) }
 
-// ExpireEarlierTerms records that nothing of an earlier term can run any more.
+// ExpireEarlierTerms records that no run started in an earlier term can still be running on a worker
+// that has not reported.
 func (sc *Scheduler) ExpireEarlierTerms() { clear(sc.unreported) }
 
 type jobState struct {
 	submission *workflow.Submission
 	acceptedAt time.Time
 	phase      workflow.Phase
-	endedMS    int64
-	started    bool
+	// endedMS is when the job ended, in Unix milliseconds; 0 before the end.
+	endedMS int64
+	// started is set once a task of the job has been started.
+	started bool
 	// fromEarlierTerm is set if the job was accepted before this term, so that another
 	// dispatcher may have started it.
 	fromEarlierTerm bool
@@ -141,13 +155,14 @@
 	doneTasks  int
 	// waitingTasks counts tasks that have no run and are not done.
 	waitingTasks int
-	// open is set once all steps that this one depends on are done, closed once all its tasks
-	// are.
+	// open is set once all steps that this one depends on are done, closed once all tasks of
+	// this step are done.
 	open, closed bool
-	// runsPerWorker counts live runs by worker, for steps that limit them.
+	// runsPerWorker counts the present runs by worker, for steps that limit their number per
+	// worker.
 	runsPerWorker map[string]int
-	// criticalPathMS is the longest chain of estimated work from the start of this step to the
-	// end of the job, in milliseconds.
+	// criticalPathMS is the estimated time of the longest chain of steps from the start of this
+	// one to the end of the occurrence, in milliseconds.
 	criticalPathMS int64
 	permissions    stepPermissions
 }
@@ -179,22 +194,25 @@
 )
 
 type run struct {
-	step         *stepState
-	id           workflow.TaskID
-	number       uint64
-	worker       *workerState
-	phase        runPhase
-	orderedAt    time.Time
+	step      *stepState
+	id        workflow.TaskID
+	number    uint64
+	worker    *workerState
+	phase     runPhase
+	orderedAt time.Time
+	// percent is the progress of the run, and progressedAt when it last changed.
 	percent      int
 	progressedAt time.Time
-	// reading is the newest reading that the worker has reported.
+	// reading is the newest RunStatus.Reading: milliseconds of tail latency for a serving task,
+	// thousandths of a processor in use for another task.
 	reading       float64
 	checkpoint    string
 	stopOrderedAt time.Time
 	stopReason    string
 }
 
-// task returns the state of a task, or nil if the job, occurrence or step is not known.
+// task returns the states of a task and its step, or nil if the job, occurrence, step or task is
+// not known.
 func (sc *Scheduler) task(id workflow.TaskID) (*stepState, *taskState) {
 	j := sc.jobs[id.Job]
 	if j == nil {
@@ -229,11 +247,12 @@
 	labels   map[string]bool
 	rack     string
 	draining bool
-	// pacePercent is the pace of best-effort tasks there, in percent of full pace.
+	// pacePercent is how fast the agent lets best-effort tasks run on the worker, in percent of
+	// unthrottled speed; 100 means not slowed down.
 	pacePercent int
-	// lastSlowedAt is when best-effort tasks were last seen below full pace.
+	// lastSlowedAt is when the worker last reported that best-effort tasks are slowed down.
 	lastSlowedAt time.Time
-	// bestEffortEndedAt is when a best-effort run last ended.
+	// bestEffortEndedAt is when a best-effort run last ended on the worker.
 	bestEffortEndedAt time.Time
 	// servingTasksByImage counts tasks with a latency target by image.
 	servingTasksByImage map[string]int
@@ -241,8 +260,10 @@
 	// request.
 	bestEffortShares map[string]float64
 	lastContact      time.Time
-	silent           bool
-	// leaseExpired is set while nothing can run there.
+	// silent is set while there has been no recent contact.
+	silent bool
+	// leaseExpired is set once the worker's lease has expired, until the next contact: nothing can run
+	// on the worker.
 	leaseExpired bool
 	runs         map[workflow.TaskID]*run
 	allocated    worker.Resources
@@ -256,23 +277,26 @@
 	health              workerHealth
 	// instance is the instance ID of the runner.
 	instance string
-	// openQuestions counts the open questions of the worker's agent, which gets none before
-	// nextQuestionAt.
-	openQuestions  int
-	nextQuestionAt time.Time
-	// lastEndNumber is the number of the last end processed.
+	// openQuestionCount counts the open questions that the worker's agent has to ask; the agent
+	// gets no further question before nextQuestionAt.
+	openQuestionCount int
+	nextQuestionAt    time.Time
+	// lastEndNumber is the highest number of a run end that the worker has listed.
 	lastEndNumber uint64
 	unknownJobs   unknownJobReport
 }
 
+// free returns the resources that no task at the worker reserves.
 func (w *workerState) free() worker.Resources { return w.capacity.Minus(w.allocated) }
 
+// add adds a run to the worker, which reserves the resources that the run needs.
 func (w *workerState) add(r *run) {
 	w.runs[r.id] = r
 	w.allocated = w.allocated.Plus(r.step.spec.Reserved())
 	w.count(r, 1)
 }
 
+// remove removes a run from the worker and frees its resources.
 func (w *workerState) remove(r *run) {
 	if w.runs[r.id] != r {
 		return
@@ -282,28 +306,30 @@
 	w.count(r, -1)
 }
 
-// countBestEffort counts a best-effort run, or with by of -1 removes it from the count.
-func (w *workerState) countBestEffort(r *run, by int) {
+// countBestEffort adds the processor time of a best-effort run to the worker's sums if delta is 1, and
+// removes it from them if delta is -1.
+func (w *workerState) countBestEffort(r *run, delta int) {
 	image := r.step.spec.Image
-	w.bestEffortMilliCPU += int64(by) * r.step.spec.Size.MilliCPU
-	w.bestEffortShares[image] += float64(by) * float64(r.step.spec.Size.MilliCPU) / float64(max(1, w.capacity.MilliCPU))
+	w.bestEffortMilliCPU += int64(delta) * r.step.spec.Size.MilliCPU
+	w.bestEffortShares[image] += float64(delta) * float64(r.step.spec.Size.MilliCPU) / float64(max(1, w.capacity.MilliCPU))
 	if w.bestEffortShares[image] < 1e-9 {
 		delete(w.bestEffortShares, image)
 	}
 }
 
-func (w *workerState) count(r *run, by int) {
+// count adds a run to the worker's counts if delta is 1, and removes it from them if delta is -1.
+func (w *workerState) count(r *run, delta int) {
 	if r.step.spec.BestEffort {
-		w.countBestEffort(r, by)
+		w.countBestEffort(r, delta)
 	}
 	if r.step.spec.TargetMS > 0 {
-		w.servingTasks += by
-		if w.servingTasksByImage[r.step.spec.Image] += by; w.servingTasksByImage[r.step.spec.Image] <= 0 {
+		w.servingTasks += delta
+		if w.servingTasksByImage[r.step.spec.Image] += delta; w.servingTasksByImage[r.step.spec.Image] <= 0 {
 			delete(w.servingTasksByImage, r.step.spec.Image)
 		}
 	}
 	if r.step.spec.LongRunning {
-		w.longRunningTasks += by
-		w.longRunningMilliCPU += int64(by) * r.step.spec.Size.MilliCPU
+		w.longRunningTasks += delta
+		w.longRunningMilliCPU += int64(delta) * r.step.spec.Size.MilliCPU
 	}
 }
--- a/pkg/dispatch/score.go
+++ b/pkg/dispatch/score.go
@@ -11,18 +11,18 @@
 const (
 	// weightFailedWorker penalises the worker where the task's last run failed.
 	weightFailedWorker = 4.0
-	// weightRemoteRack penalises other racks than that of the data, per unit of the remote-rack
-	// slowdown above 1.
+	// weightRemoteRack penalises workers on another rack than that of the step's data, per unit
+	// of the remote-rack slowdown above 1.
 	weightRemoteRack = 2.0
-	// weightSlowWorker penalises a worker per unit of its slowdown above 1.5.
+	// weightSlowWorker penalises a worker per unit of its slowdown above toleratedSlowdown, 1.5.
 	weightSlowWorker  = 1.0
 	toleratedSlowdown = 1.5
 	// weightInterference penalises best-effort tasks next to serving tasks, by the expected
-	// interference and by how far best-effort tasks are slowed down there.
+	// interference and by how far best-effort tasks are slowed down on the worker.
 	weightInterference = 3.0
 	// weightPacking packs long-running tasks onto workers that already have some, so that other
-	// workers stay free for best-effort tasks; a quarter of it draws short tasks to workers
-	// with serving tasks.
+	// workers stay free for best-effort tasks; a quarter of this weight draws short tasks to
+	// workers with serving tasks.
 	weightPacking = 2.0
 	// weightDisplacement penalises taking processor time that best-effort tasks use.
 	weightDisplacement = 0.5
@@ -36,12 +36,13 @@
 	// processor time before the tasks slow down: with requests of up to twice that time, runs
 	// were as fast as alone.
 	bestEffortOvercommit = 2.0
-	// fullPacePercent is the pace of best-effort tasks that are not slowed down.
+	// fullPacePercent is the pace percentage of best-effort tasks that are not slowed down.
 	fullPacePercent = 100
 )
 
-// unusedMilliCPU returns the processor time that best-effort tasks at a worker could still use:
-// what nobody reserves, and a part of the reservations of long-running tasks.
+// unusedMilliCPU returns the processor time that best-effort tasks at a worker could still use: what
+// no task reserves, plus the part of the reservations of long-running tasks that these leave unused,
+// minus what best-effort tasks request already.
 func (w *workerState) unusedMilliCPU() float64 {
 	return float64(w.free().MilliCPU-w.bestEffortMilliCPU) + longRunningUnusedShare*float64(w.longRunningMilliCPU)
 }
@@ -53,8 +54,8 @@
 	return min(1, max(0, (load-from)/(to-from)))
 }
 
-// relativeDelay returns by which fraction best-effort tasks at a worker would run longer if one
-// more of the given size started.
+// relativeDelay returns by which fraction best-effort tasks at a worker would run longer if one more
+// that requests milliCPU of processor time started.
 func (w *workerState) relativeDelay(milliCPU int64) float64 {
 	limit := bestEffortOvercommit * (float64(w.free().MilliCPU) + longRunningUnusedShare*float64(w.longRunningMilliCPU))
 	requested := float64(w.bestEffortMilliCPU + milliCPU)
@@ -99,7 +100,7 @@
 	return score
 }
 
-// largestMilliCPU returns the processor time of the largest worker.
+// largestMilliCPU returns the processor capacity of the largest worker.
 func (sc *Scheduler) largestMilliCPU() int64 {
 	most := int64(1)
 	for _, w := range sc.workers {
@@ -108,8 +109,8 @@
 	return most
 }
 
-// preemptFor stops tasks of lower priority so that a long-running task fits once they have
-// ended. It chooses the worker where the fewest runs have to be stopped.
+// preemptFor orders runs of lower priority to stop, so that a task of a long-running step fits once
+// they have ended. It chooses the worker where the fewest runs have to be stopped.
 func (sc *Scheduler) preemptFor(now time.Time, s *stepState, q Queue) {
 	var best *workerState
 	var victims []*run
@@ -126,9 +127,9 @@
 	}
 }
 
-// preemptionVictims returns the runs of lower priority that have to end, the youngest first,
-// for need to fit, and reports whether that is enough. Runs that are being stopped count as
-// ended.
+// preemptionVictims returns the runs at a worker, of lower priority than the given one and the
+// youngest first, that have to end so that need fits. It reports whether need fits once they have
+// ended. Runs that are being stopped count as ended.
 func (sc *Scheduler) preemptionVictims(w *workerState, need worker.Resources, priority int) ([]*run, bool) {
 	free := w.free()
 	var candidates []*run
@@ -162,6 +163,7 @@
 	}
 }
 
+// younger reports whether run x was ordered after run y.
 func younger(x, y *run) bool {
 	if !x.orderedAt.Equal(y.orderedAt) {
 		return x.orderedAt.After(y.orderedAt)
--- a/pkg/dispatch/speculative.go
+++ b/pkg/dispatch/speculative.go
@@ -10,16 +10,17 @@
 const (
 	// maxParallelRuns is how many runs of one task may run at a time.
 	maxParallelRuns = 2
-	// A speculative run starts once a run has taken longer than speculateAfterEstimates times
-	// its estimate and speculateMargin. Progress is reported too late to tell sooner.
+	// A speculative run starts once a run has taken speculateAfterEstimates times its estimated
+	// time plus speculateMargin. Progress is reported too late to recognise a slow run sooner.
 	speculateAfterEstimates = 2
 	speculateMargin         = 200 * time.Millisecond
 	// fullPercent is the progress of a run that is done.
 	fullPercent = 100
 )
 
-// startSpeculativeRuns starts speculative runs for runs that are far behind, where room is left
-// once all waiting tasks have been placed. This makes up for slow, hanging and failing workers.
+// startSpeculativeRuns starts speculative runs of tasks whose present run is far behind, where room
+// is left once all waiting tasks have been placed. This makes up for slow, hanging and failing
+// workers.
 func (sc *Scheduler) startSpeculativeRuns(now time.Time, o *Orders) {
 	var stragglers []*run
 	for _, w := range sc.workers {
--- a/pkg/dispatch/stall.go
+++ b/pkg/dispatch/stall.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// stalledAfter is how long a run makes no progress before it is started elsewhere: one
+	// stalledAfter is how long a run makes no progress before its task is started elsewhere: one
 	// percent of the longest known tasks takes 0.1 s, or 0.7 s on a worker that is six times
 	// slower.
 	stalledAfter = 1800 * time.Millisecond
-	// maxStalls bounds how often a task is started elsewhere because it made no progress.
+	// maxStalls bounds how many runs of one task are stopped because they make no progress.
 	maxStalls = 3
 )
 
@@ -41,7 +41,7 @@
 	return r.phase == runRunning && !s.LongRunning && !s.Gang && !slowed && now.Sub(r.progressedAt) >= stalledAfter && now.Sub(w.lastSlowedAt) >= stalledAfter
 }
 
-// roomElsewhere reports whether another worker has room for a task of a step.
+// roomElsewhere reports whether a worker other than except has room for a task of a step.
 func (sc *Scheduler) roomElsewhere(now time.Time, s *stepState, except *workerState) bool {
 	q := sc.queues[s.occurrence.job.submission.Queue]
 	for _, w := range sc.workers {
--- a/pkg/dispatch/unknown.go
+++ b/pkg/dispatch/unknown.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// unknownJobReport is what a worker has listed of jobs that this dispatcher does not know:
-// another dispatcher may have read the record of a job earlier.
+// unknownJobReport holds the runs and run ends that a worker has listed of jobs that this dispatcher
+// does not know. Another dispatcher may have read the record of such a job earlier and started
+// the job.
 type unknownJobReport struct {
 	runs []RunStatus
 	ends []RunEnd
@@ -16,7 +17,8 @@
 
 func (u *unknownJobReport) empty() bool { return len(u.runs)+len(u.ends) == 0 }
 
-// firstEndNumber returns the number of the first end that must not be acknowledged.
+// firstEndNumber returns the lowest number of the held ends, which must not be acknowledged, or the
+// largest uint64 if no end is held.
 func (u *unknownJobReport) firstEndNumber() uint64 {
 	first := uint64(math.MaxUint64)
 	for i := range u.ends {
@@ -25,14 +27,14 @@
 	return first
 }
 
-// holdRun holds a run of an unknown job until the job is read from the store.
+// holdRun holds the status of a run of an unknown job until the job is read from the store.
 func (sc *Scheduler) holdRun(now time.Time, w *workerState, status *RunStatus) {
 	w.unknownJobs.runs = append(w.unknownJobs.runs, *status)
 	w.unknownJobs.lastListedAt = now
 	sc.workersWithUnknownJobs[w] = struct{}{}
 }
 
-// holdEnd holds an end of an unknown job until the job is read from the store.
+// holdEnd holds the end of a run of an unknown job until the job is read from the store.
 func (sc *Scheduler) holdEnd(now time.Time, w *workerState, e *RunEnd) {
 	for i := range w.unknownJobs.ends {
 		if w.unknownJobs.ends[i].Number == e.Number {
@@ -44,16 +46,16 @@
 	sc.workersWithUnknownJobs[w] = struct{}{}
 }
 
-// acknowledge lets a worker forget its ends up to the last one processed, but none from the
-// first end of an unknown job on.
+// acknowledge lets a worker forget its run ends up to the last one processed, but none from the first
+// end of an unknown job's run on.
 func (sc *Scheduler) acknowledge(w *workerState) {
 	upTo := min(w.lastEndNumber, w.unknownJobs.firstEndNumber()-1)
-	if n := sc.acks[w.name]; upTo > 0 && (n.life != w.life || n.end < upTo) {
-		sc.acks[w.name] = ackPosition{life: w.life, end: upTo}
+	if n := sc.pendingAcks[w.name]; upTo > 0 && (n.life != w.life || n.end < upTo) {
+		sc.pendingAcks[w.name] = ackPosition{life: w.life, end: upTo}
 	}
 }
 
-// applyHeld applies the runs and ends held for a job that has become known.
+// applyHeld applies the held runs and run ends of a job that has become known.
 func (sc *Scheduler) applyHeld(now time.Time, wallMS int64, job string) {
 	for w := range sc.workersWithUnknownJobs {
 		u := w.unknownJobs
@@ -85,8 +87,9 @@
 	sc.acknowledge(w)
 }
 
-// AllJobsKnown records that every job stored before a time is known: runs and ends of unknown jobs
-// that workers had listed by then belong to no job.
+// AllJobsKnown records that every job stored before a time is known, so that the runs and run ends of
+// unknown jobs that workers had listed before that time belong to no job: the runs are ordered to
+// stop, and the ends are acknowledged.
 func (sc *Scheduler) AllJobsKnown(now, before time.Time) {
 	for w := range sc.workersWithUnknownJobs {
 		if !w.unknownJobs.lastListedAt.Before(before) {
