--- a/pkg/worker/fleet.go
+++ b/pkg/worker/fleet.go
@@ -25,7 +25,8 @@
 	Free Resources
 	// Ready is false while the worker's Ledger refuses all grants.
 	Ready bool
-	// Draining is set while the worker is being drained; it gets no new tasks.
+	// Draining is set while the worker is being drained; the worker gets no new
+	// tasks.
 	Draining bool
 	// Load is the fraction of the service's request slots in use, from 0 to 1.
 	Load float64
@@ -58,7 +59,8 @@
 
 // workerState is what the scheduler knows about one worker.
 type workerState struct {
-	report      Report
+	report Report
+	// lastContact is when the newest report was received.
 	lastContact time.Time
 	// allocated is the sum of the sizes of the worker's tasks.
 	allocated Resources
@@ -73,8 +75,8 @@
 	// hasReport is false for workers that have not reported yet or were marked
 	// lost.
 	hasReport bool
-	// freed is set while the worker is in Fleet.recentlyFreed.
-	freed bool
+	// inRecentlyFreed is set while the worker is in Fleet.recentlyFreed.
+	inRecentlyFreed bool
 }
 
 // Fleet is the scheduler's view of all workers of its data centre. Free
@@ -141,7 +143,7 @@
 }
 
 // MarkLost discards the report of a worker that no longer reports. The worker's
-// allocations remain until the log ends them; a worker without allocations is
+// allocations remain until the log records their end; a worker without allocations is
 // removed from the fleet.
 func (f *Fleet) MarkLost(name string) {
 	i, ok := f.index[name]
@@ -185,16 +187,16 @@
 
 // Allocate records the allocation of a task and replaces the task's previous one,
 // if any.
-func (f *Fleet) Allocate(key TaskKey, h Allocation) {
+func (f *Fleet) Allocate(key TaskKey, allocation Allocation) {
 	f.Release(key)
 	if f.allocations == nil {
 		f.allocations = make(map[TaskKey]Allocation)
 	}
-	i := f.ensureIndex(h.Worker)
+	i := f.ensureIndex(allocation.Worker)
 	w := &f.workers[i]
-	f.allocations[key] = h
+	f.allocations[key] = allocation
 	w.tasks[key] = struct{}{}
-	w.allocated = w.allocated.Plus(h.Size)
+	w.allocated = w.allocated.Plus(allocation.Size)
 	if w.reservedFor == key {
 		w.reservedUntil = time.Time{}
 	}
@@ -203,23 +205,23 @@
 
 // Release removes and returns a task's allocation.
 func (f *Fleet) Release(key TaskKey) (Allocation, bool) {
-	h, ok := f.allocations[key]
+	allocation, ok := f.allocations[key]
 	if !ok {
 		return Allocation{}, false
 	}
 	delete(f.allocations, key)
-	i := f.index[h.Worker]
+	i := f.index[allocation.Worker]
 	w := &f.workers[i]
 	delete(w.tasks, key)
-	w.allocated = w.allocated.Minus(h.Size)
+	w.allocated = w.allocated.Minus(allocation.Size)
 	f.updateFree(i)
-	return h, true
+	return allocation, true
 }
 
 // Allocation returns a task's allocation.
 func (f *Fleet) Allocation(key TaskKey) (Allocation, bool) {
-	h, ok := f.allocations[key]
-	return h, ok
+	allocation, ok := f.allocations[key]
+	return allocation, ok
 }
 
 // AllocationCount returns the number of allocations.
@@ -271,6 +273,7 @@
 	w.reservedUntil = until
 }
 
+// ensureIndex returns the index of the named worker, which it adds if it is unknown.
 func (f *Fleet) ensureIndex(name string) int {
 	if i, ok := f.index[name]; ok {
 		return i
@@ -286,12 +289,14 @@
 	return i
 }
 
+// updateFree recomputes the free capacity of the worker at index i. If any amount has
+// grown, it adds the worker to recentlyFreed.
 func (f *Fleet) updateFree(i int) {
 	w := &f.workers[i]
 	before := f.free[i]
 	f.free[i] = w.report.Total.Minus(w.allocated).Minus(w.unaccounted)
-	if !w.freed && !f.free[i].Fits(before) {
-		w.freed = true
+	if !w.inRecentlyFreed && !f.free[i].Fits(before) {
+		w.inRecentlyFreed = true
 		f.recentlyFreed = append(f.recentlyFreed, i)
 	}
 }
@@ -312,7 +317,7 @@
 // capacity.
 func (f *Fleet) ResetRecentlyFreed() {
 	for _, i := range f.recentlyFreed {
-		f.workers[i].freed = false
+		f.workers[i].inRecentlyFreed = false
 	}
 	f.recentlyFreed = f.recentlyFreed[:0]
 }
--- a/pkg/worker/guard.go
+++ b/pkg/worker/guard.go
@@ -30,8 +30,8 @@
 	// maxTimeAtMinCPU is how long a task may stay at the lowest CPU limit
 	// before it is moved.
 	maxTimeAtMinCPU = 15 * time.Minute
-	// The moves of one worker are rate-limited by a token bucket that holds at most maxMoveBurst
-	// moves and is refilled at movesPerMinute.
+	// The moves of one worker are rate-limited by a token bucket that holds at most
+	// maxMoveBurst moves and is refilled at movesPerMinute.
 	movesPerMinute = 1.0
 	maxMoveBurst   = 2.0
 )
@@ -104,12 +104,13 @@
 
 // guardedTask is the guard's state of one task.
 type guardedTask struct {
-	// firstSeenAt is when the guard learned of the task. A task list may have
-	// been made before that and lack the task.
+	// firstSeenAt is when the guard learned of the task. A task list made earlier
+	// may lack the task.
 	firstSeenAt time.Time
 	// step is an index into throttlePercents.
 	step int
-	// savedAt is when the task's progress was last known to be saved.
+	// savedAt is when the task's progress was last saved or, if later, when the task
+	// started or was asked for a checkpoint before a move.
 	savedAt time.Time
 	// minCPUSince is when the task reached the lowest CPU limit.
 	minCPUSince time.Time
@@ -120,16 +121,20 @@
 
 // Guard protects the latency-critical service that shares a machine with a
 // worker. While the service's tail latency is too high, it throttles batch
-// tasks; if that is not enough, it checkpoints one and moves it to another
-// worker, at a limited rate. The zero value is ready to use.
+// tasks; if that is not enough, it checkpoints one task and moves this task to
+// another worker, at a limited rate. The zero value is ready to use.
 type Guard struct {
-	tasks             map[string]*guardedTask
-	model             Interference
+	tasks map[string]*guardedTask
+	model Interference
+	// highPressureSince and lowPressureSince are zero while the pressure is not
+	// above highPressure or not below lowPressure.
 	highPressureSince time.Time
 	lowPressureSince  time.Time
-	lastStepAt        time.Time
-	moveTokens        float64
-	refilledAt        time.Time
+	// lastStepAt is when Decide last returned actions after the settle time.
+	lastStepAt time.Time
+	// moveTokens is the content of the token bucket for moves, as of refilledAt.
+	moveTokens float64
+	refilledAt time.Time
 }
 
 // TaskStarted records that the worker has just started the task, without a CPU
@@ -182,9 +187,9 @@
 	return out
 }
 
-// syncTasks drops tasks that no longer run and adds unknown ones. Those were
-// started under a previous agent, so their CPU limits are unknown and are
-// removed.
+// syncTasks drops tasks that no longer run and adds unknown ones. An unknown task was
+// started under a previous agent or discarded by ForgetTask, so its CPU limit is
+// uncertain and is removed.
 func (g *Guard) syncTasks(now time.Time, running []GuardTask) []Action {
 	var out []Action
 	isRunning := make(map[string]bool, len(running))
@@ -205,6 +210,7 @@
 	return out
 }
 
+// updateModel corrects the interference model by a reading.
 func (g *Guard) updateModel(r *ServiceReading, running []GuardTask) {
 	if r.Service == "" || r.Pressure <= 0 {
 		return
@@ -217,6 +223,7 @@
 	g.model.Observe(r.Service, r.Load, parts, r.Pressure)
 }
 
+// cpuFraction returns a task's CPU limit as a fraction of the CPU that it asked for.
 func (g *Guard) cpuFraction(key string) float64 {
 	return float64(g.CPUPercent(key)) / float64(throttlePercents[0])
 }
@@ -245,16 +252,16 @@
 
 // throttle lowers the CPU limits, first of the tasks that contribute most,
 // until the model predicts targetPressure. If all tasks are at the lowest
-// limit, it moves one.
+// limit and the pressure has been high for moveDelay, throttle moves one task.
 func (g *Guard) throttle(now time.Time, r *ServiceReading, running []GuardTask) []Action {
 	excess := r.Pressure - targetPressure
 	var out []Action
 	for _, t := range g.throttleOrder(r, running) {
 		state := g.tasks[t.Key]
 		for state.step < len(throttlePercents)-1 && excess > 0 {
-			before := g.predictedPressure(r, t)
+			before := g.pressureContribution(r, t)
 			state.step++
-			excess -= before - g.predictedPressure(r, t)
+			excess -= before - g.pressureContribution(r, t)
 			if state.step == len(throttlePercents)-1 {
 				state.minCPUSince = now
 			}
@@ -291,7 +298,7 @@
 		if out[i].Urgent != out[k].Urgent {
 			return !out[i].Urgent
 		}
-		x, y := g.predictedPressure(r, out[i]), g.predictedPressure(r, out[k])
+		x, y := g.pressureContribution(r, out[i]), g.pressureContribution(r, out[k])
 		if x != y {
 			return x > y
 		}
@@ -300,14 +307,15 @@
 	return out
 }
 
-// predictedPressure returns the task's contribution to the pressure, as the
+// pressureContribution returns the task's contribution to the pressure, as the
 // model predicts it at the task's current CPU limit.
-func (g *Guard) predictedPressure(r *ServiceReading, t throttledTask) float64 {
+func (g *Guard) pressureContribution(r *ServiceReading, t throttledTask) float64 {
 	return r.Load * t.Share * g.cpuFraction(t.Key) * g.model.Slope(r.Service, t.Class)
 }
 
-// move first checkpoints the task that would lose the least work, and stops it
-// when called again after that.
+// move returns the next step of moving the task that moveVictim chooses: first a
+// checkpoint, and in a later call the move itself. It returns nothing while the rate
+// limit allows no move.
 func (g *Guard) move(now time.Time, running []GuardTask, reason string) []Action {
 	if g.moveTokens < 1 {
 		return nil
@@ -326,8 +334,10 @@
 	return []Action{{kind: ActionMove, key: victim, reason: reason}}
 }
 
-// moveVictim returns the task at the lowest CPU limit that would lose the least
-// work. A task that has already been checkpointed for a move is preferred.
+// moveVictim returns, of the tasks that are not urgent and already have the lowest CPU
+// limit, the one that would lose the least work by a move. A task that has already
+// been asked for a checkpoint before a move is preferred. It returns false if there is
+// none.
 func (g *Guard) moveVictim(running []GuardTask) (string, bool) {
 	best := ""
 	for i := range running {
@@ -343,6 +353,8 @@
 	return best, best != ""
 }
 
+// losesLessWork reports whether moveVictim prefers the task with key a to the one with
+// key b.
 func (g *Guard) losesLessWork(a, b string) bool {
 	x, y := g.tasks[a], g.tasks[b]
 	if x.checkpointRequested != y.checkpointRequested {
@@ -368,9 +380,9 @@
 		if state.step == 0 {
 			continue
 		}
-		before := g.predictedPressure(r, t)
+		before := g.pressureContribution(r, t)
 		state.step--
-		added := g.predictedPressure(r, t) - before
+		added := g.pressureContribution(r, t) - before
 		if added > headroom {
 			state.step++
 			continue
@@ -385,8 +397,8 @@
 	return g.moveStuckTask(now, running)
 }
 
-// moveStuckTask moves a task that has been at the lowest CPU limit for
-// maxTimeAtMinCPU.
+// moveStuckTask moves the task that moveVictim chooses if that task has been at the
+// lowest CPU limit for maxTimeAtMinCPU.
 func (g *Guard) moveStuckTask(now time.Time, running []GuardTask) []Action {
 	victim, ok := g.moveVictim(running)
 	if !ok || now.Sub(g.tasks[victim].minCPUSince) < maxTimeAtMinCPU {
--- a/pkg/worker/guard_test.go
+++ b/pkg/worker/guard_test.go
@@ -17,7 +17,7 @@
 //
 //	run KEY CLASS SHARE           starts a task
 //	end KEY                       ends a task
-//	hold SECONDS PRESSURE LOAD    calls Decide with this reading once a second
+//	hold SECONDS PRESSURE LOAD    calls Decide with this reading each second for SECONDS
 //	want ACTION...                expects these actions since the last want
 //	want-none                     expects no actions since the last want
 func TestGuardScripts(t *testing.T) {
@@ -110,8 +110,8 @@
 }
 
 // TestOscillatingLoadCausesFewMoves lets the pressure alternate between high
-// and low every minute for an hour. Moves must
-// stay within the rate limit: 2 at once and then 1 a minute.
+// and low every minute for an hour. Moves must stay within the rate limit: 2 at once
+// and then 1 a minute.
 func TestOscillatingLoadCausesFewMoves(t *testing.T) {
 	var g worker.Guard
 	running := make([]worker.GuardTask, 8)
--- a/pkg/worker/health.go
+++ b/pkg/worker/health.go
@@ -35,15 +35,16 @@
 	failedJobCount int
 	// failedProbes counts failed probes since the worker became suspect.
 	failedProbes int
-	probeAt      time.Time
+	// probeAt is the earliest time of a suspect worker's next probe.
+	probeAt time.Time
 }
 
 // FailureRate returns the failure rate of the latest runs, from 0 to 1, as an
 // exponentially weighted moving average.
 func (h *Health) FailureRate() float64 { return h.failureRate }
 
-// Suspect reports whether so many jobs have failed in a row that the worker
-// gets no tasks other than probes.
+// Suspect reports whether suspectAfterJobs distinct jobs have failed on the worker
+// with no success in between. Such a worker gets no tasks other than probes.
 func (h *Health) Suspect() bool { return h.failedJobCount >= suspectAfterJobs }
 
 // MayProbe reports whether a suspect worker is due to be probed with one task.
@@ -83,7 +84,7 @@
 }
 
 // RecordFailure records that the job failed on worker, and reports whether the failure
-// counts against the worker. It does not count once the job has already
+// counts against the worker. The failure does not count once the job has already
 // failed on minWorkersForBadJob workers.
 func (f *JobFailures) RecordFailure(worker string) bool {
 	blameWorker := len(f.workers) < minWorkersForBadJob
@@ -120,8 +121,8 @@
 	return backoff(firstRetryDelay, failures-1, maxRetryDelay)
 }
 
-// backoff returns first doubled n times, at most limit.
-func backoff(first time.Duration, n int, limit time.Duration) time.Duration {
-	d := float64(first) * math.Pow(2, float64(max(n, 0)))
+// backoff returns first, doubled the given number of times, at most limit.
+func backoff(first time.Duration, doublings int, limit time.Duration) time.Duration {
+	d := float64(first) * math.Pow(2, float64(max(doublings, 0)))
 	return time.Duration(min(d, float64(limit)))
 }
--- a/pkg/worker/interference.go
+++ b/pkg/worker/interference.go
@@ -48,38 +48,39 @@
 	return defaultSlope
 }
 
-// Predict returns the pressure that the model predicts at the given load, from 0
-// to 1.
-func (m *Interference) Predict(service string, load float64, parts []ClassShare) float64 {
+// Predict returns the pressure that the model predicts for a service at the given
+// load beside classes with the given shares. The load is the fraction of the service's
+// request slots in use, from 0 to 1.
+func (m *Interference) Predict(service string, load float64, shares []ClassShare) float64 {
 	sum := m.idlePressure[service]
-	for _, p := range parts {
+	for _, p := range shares {
 		sum += load * p.Share * m.Slope(service, p.Class)
 	}
 	return sum
 }
 
-// Observe corrects the model by one measured pressure, with a step of
-// normalised least mean squares: each class's slope changes in proportion to
-// load times its share.
-func (m *Interference) Observe(service string, load float64, parts []ClassShare, pressure float64) {
+// Observe corrects the model by the pressure of a service measured at the given load
+// beside classes with the given shares. It makes one step of normalised least mean
+// squares: each class's slope changes in proportion to load times its share.
+func (m *Interference) Observe(service string, load float64, shares []ClassShare, pressure float64) {
 	if m.idlePressure == nil {
 		m.idlePressure = make(map[string]float64)
 		m.slopes = make(map[ServiceClass]float64)
 	}
 	norm := 1.0
-	for _, p := range parts {
+	for _, p := range shares {
 		norm += load * p.Share * load * p.Share
 	}
-	step := learningRate * (pressure - m.Predict(service, load, parts)) / norm
+	step := learningRate * (pressure - m.Predict(service, load, shares)) / norm
 	m.idlePressure[service] = max(m.idlePressure[service]+step, 0)
-	for _, p := range parts {
+	for _, p := range shares {
 		pair := ServiceClass{Service: service, Class: p.Class}
 		m.slopes[pair] = min(max(m.Slope(service, p.Class)+step*load*p.Share, 0), maxSlope)
 	}
 }
 
-// RunningMean is a running mean of samples that fades old samples. The zero value
-// has no sample.
+// RunningMean is a mean of samples in which old samples fade. The zero value has no
+// sample.
 type RunningMean struct {
 	mean    float64
 	samples int
--- a/pkg/worker/ledger.go
+++ b/pkg/worker/ledger.go
@@ -37,10 +37,12 @@
 // Size returns the amount granted.
 func (g Grant) Size() Resources { return g.size }
 
-// grantState is a grant as the ledger keeps it. A task list requested after
-// startSettledAt that lacks the task ends the grant.
+// grantState is a grant as the ledger keeps it.
 type grantState struct {
-	size           Resources
+	size Resources
+	// startSettledAt is the time from which on the task's start request has reached
+	// the worker or never will. A task list requested later that lacks the task ends
+	// the grant.
 	startSettledAt time.Time
 }
 
@@ -56,22 +58,22 @@
 	ready           bool
 }
 
-// RequireListingSince makes Rebuild leave the ledger unready if its task list was requested
-// before from. At that time, start requests sent by a previous agent
+// RequireListingSince makes Rebuild leave the ledger unready if the task list was
+// requested before earliest. At that time, all start requests sent by a previous agent
 // of the worker have arrived or never will.
-func (l *Ledger) RequireListingSince(from time.Time) { l.earliestListing = from }
+func (l *Ledger) RequireListingSince(earliest time.Time) { l.earliestListing = earliest }
 
-// Rebuild replaces the grants by the task list of the worker, which was
-// requested at asOf. A grant missing from the list is kept if its start request
-// may have reached the worker after asOf.
-func (l *Ledger) Rebuild(total Resources, listed []Grant, asOf time.Time) {
+// Rebuild replaces the grants by the task list that the worker returned to a request
+// sent at requestedAt, and the capacity by total. A grant missing from the list is kept
+// if its start request may have reached the worker after requestedAt.
+func (l *Ledger) Rebuild(total Resources, listed []Grant, requestedAt time.Time) {
 	grants := make(map[string]grantState, len(listed))
 	for _, g := range listed {
 		size := g.size.Max(Resources{}).Max(grants[g.key].size)
 		grants[g.key] = grantState{size: size, startSettledAt: l.grants[g.key].startSettledAt}
 	}
 	for key, e := range l.grants {
-		if _, ok := grants[key]; !ok && !asOf.After(e.startSettledAt) {
+		if _, ok := grants[key]; !ok && !requestedAt.After(e.startSettledAt) {
 			grants[key] = e
 		}
 	}
@@ -81,11 +83,11 @@
 	for _, e := range grants {
 		l.used = l.used.Plus(e.size)
 	}
-	l.ready = !asOf.Before(l.earliestListing)
+	l.ready = !requestedAt.Before(l.earliestListing)
 }
 
 // Admit grants size to key. It must be called before the start request is sent
-// at now. Repeating it for the same key only extends the time for which the
+// at now. A repeated call for the same key only extends the time for which the
 // start may still arrive.
 func (l *Ledger) Admit(now time.Time, key string, size Resources) error {
 	if !l.ready {
--- a/pkg/worker/ledger_test.go
+++ b/pkg/worker/ledger_test.go
@@ -71,11 +71,11 @@
 		}
 		now := epoch
 		ledger := new(worker.Ledger)
-		listing, asOf := w.list(), now
+		listing, requestedAt := w.list(), now
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
-			"ask":     func(*rapid.T) { listing, asOf = w.list(), now },
-			"rebuild": func(*rapid.T) { ledger.Rebuild(w.total, listing, asOf) },
+			"ask":     func(*rapid.T) { listing, requestedAt = w.list(), now },
+			"rebuild": func(*rapid.T) { ledger.Rebuild(w.total, listing, requestedAt) },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 				w.advance(now)
@@ -112,10 +112,10 @@
 func TestLedgerKeepsUnlistedStartUntilRefuted(t *testing.T) {
 	size := worker.Resources{MilliCPU: 1000}
 	cases := []struct {
-		name    string
-		confirm bool
-		asOf    time.Duration
-		want    bool
+		name           string
+		confirm        bool
+		requestedAfter time.Duration
+		want           bool
 	}{
 		{"list requested before the admission", true, -time.Second, true},
 		{"list requested after the confirmation", true, time.Second, false},
@@ -132,7 +132,7 @@
 			if c.confirm {
 				l.Confirm(epoch, "a")
 			}
-			l.Rebuild(size, nil, epoch.Add(c.asOf))
+			l.Rebuild(size, nil, epoch.Add(c.requestedAfter))
 			if got := l.HasGrant("a"); got != c.want {
 				t.Errorf("got grant %v, want %v", got, c.want)
 			}
--- a/pkg/worker/pacer.go
+++ b/pkg/worker/pacer.go
@@ -9,11 +9,12 @@
 	pacerMaxPressure = 1.0
 	// pacerStopDelay is how long the target must be missed before best-effort tasks
 	// are stopped. It is short because the target must not be missed for 4 s
-	// without a break, and a reading is up to 0.9 s old when it is acted on. It
-	// is not shorter because stopping best-effort tasks earlier delays their work.
+	// without a break, and a reading of the pressure is up to 0.9 s old when it
+	// is acted on. The delay is not shorter because stopping best-effort tasks
+	// earlier delays their work.
 	pacerStopDelay = 2200 * time.Millisecond
-	// pacerSettleTime is how long it takes until the effect of a change shows:
-	// each reading covers the last 0.5 s.
+	// pacerSettleTime is how long it takes until the pressure shows the effect of
+	// stopping or resuming best-effort tasks: each reading covers the last 0.5 s.
 	pacerSettleTime = 600 * time.Millisecond
 	// pacerFullPercent is the speed of tasks that are not slowed down.
 	pacerFullPercent = 100
@@ -24,13 +25,16 @@
 // idle. They are stopped when a serving task misses its latency target for too
 // long. The zero value lets them run.
 type Pacer struct {
-	stopped   bool
+	stopped bool
+	// changedAt is when stopped was last changed.
 	changedAt time.Time
-	// missedSince is when the target began to be missed; zero while it is met.
+	// missedSince is since when the latency target has been missed without a
+	// break; zero while it is met.
 	missedSince time.Time
 }
 
-// Percent returns the current speed of best-effort tasks, as a percentage.
+// Percent returns the current speed of best-effort tasks, as a percentage: 100 if
+// they run, 0 if they are stopped.
 func (p *Pacer) Percent() int {
 	if p.stopped {
 		return 0
@@ -38,7 +42,8 @@
 	return pacerFullPercent
 }
 
-// TargetMissedFor returns for how long the target has been missed without a break.
+// TargetMissedFor returns for how long the latency target has been missed without a
+// break.
 func (p *Pacer) TargetMissedFor(now time.Time) time.Duration {
 	if p.missedSince.IsZero() {
 		return 0
--- a/pkg/worker/place.go
+++ b/pkg/worker/place.go
@@ -125,6 +125,7 @@
 	return true
 }
 
+// score returns the score of the worker at index i for a task; lower is better.
 func (f *Fleet) score(now time.Time, i int, t *Task) float64 {
 	w := &f.workers[i]
 	r := &w.report
@@ -161,12 +162,14 @@
 	reasonLeastBad     = "least bad of workers with high service latency or earlier failures of the job"
 )
 
-func (f *Fleet) choiceReason(i int, t *Task, considered int) string {
+// choiceReason returns the reason for the choice of the worker at index i out of the
+// given number of scored workers.
+func (f *Fleet) choiceReason(i int, t *Task, workersScored int) string {
 	w := &f.workers[i]
 	switch {
 	case w.health.Suspect():
 		return reasonProbe
-	case considered == 1:
+	case workersScored == 1:
 		return reasonOnly
 	case w.report.Pressure > 1 || (t.Failures != nil && t.Failures.On(w.report.Name)):
 		return reasonLeastBad
--- a/pkg/worker/preempt.go
+++ b/pkg/worker/preempt.go
@@ -9,17 +9,19 @@
 // preempt.
 const maxPreemptionCandidates = 64
 
-// FindPreemption chooses a worker on which stopping tasks makes enough room for an
-// urgent task of the given size, and the tasks to stop: as few as possible, and
-// the youngest, which lose the least work. It begins at the worker with index
-// start modulo the number of workers. It returns an empty name if there is no
-// such worker.
-func (f *Fleet) FindPreemption(now time.Time, key TaskKey, size Resources, start int) (string, []TaskKey) {
+// FindPreemption chooses a worker on which stopping tasks makes enough room for the
+// urgent task identified by key, which has the given size. It returns the worker's
+// name and the tasks to stop, or an empty name if there is no such worker. On each
+// worker the youngest tasks are stopped first, since they lose the least work; the
+// worker on which the fewest tasks must stop is chosen. The search begins at the
+// worker with index startIndex modulo the number of workers and examines at most
+// maxPreemptionCandidates workers.
+func (f *Fleet) FindPreemption(now time.Time, key TaskKey, size Resources, startIndex int) (string, []TaskKey) {
 	var worker string
 	var victims []TaskKey
 	examined := 0
 	for k := 0; k < len(f.workers) && examined < maxPreemptionCandidates; k++ {
-		i := (start + k) % len(f.workers)
+		i := (startIndex + k) % len(f.workers)
 		w := &f.workers[i]
 		if !w.accepts(now, key) || w.health.Suspect() || !size.Fits(w.report.Total) {
 			continue
@@ -33,18 +35,18 @@
 	return worker, victims
 }
 
-// preemptionVictims returns the youngest preemptible tasks of worker i that
-// must stop to make room for size, in addition to those that are stopping
-// already.
+// preemptionVictims returns the youngest preemptible tasks of the worker at index i
+// that must stop to make room for size, in addition to those that are stopping
+// already. It returns false if stopping all of them does not make enough room.
 func (f *Fleet) preemptionVictims(i int, size Resources) ([]TaskKey, bool) {
 	var keys []TaskKey
 	free := f.free[i]
 	for key := range f.workers[i].tasks {
-		h := f.allocations[key]
+		allocation := f.allocations[key]
 		switch {
-		case h.Ending:
-			free = free.Plus(h.Size)
-		case !h.Urgent && !h.Tentative:
+		case allocation.Ending:
+			free = free.Plus(allocation.Size)
+		case !allocation.Urgent && !allocation.Tentative:
 			keys = append(keys, key)
 		}
 	}
@@ -64,9 +66,11 @@
 	return keys, size.Fits(free)
 }
 
-// FindReservation returns the worker whose free capacity comes closest to size. The
-// caller reserves it for a task that has waited too long. FindReservation itself
-// reserves nothing.
+// FindReservation returns, of the workers that accept the task identified by key and
+// are large enough for size when idle, the one with the largest ratio of free
+// capacity to size in any single resource. The caller reserves the worker for a task
+// that has waited too long; FindReservation itself reserves nothing. It returns false
+// if there is no such worker.
 func (f *Fleet) FindReservation(now time.Time, key TaskKey, size Resources) (string, bool) {
 	best := -1
 	var bestFree float64
--- a/pkg/worker/resources.go
+++ b/pkg/worker/resources.go
@@ -67,6 +67,7 @@
 	return max(share(r.MilliCPU, whole.MilliCPU), share(r.MemoryMB, whole.MemoryMB), share(r.Accelerators, whole.Accelerators))
 }
 
+// share returns part as a fraction of whole, or 0 if whole is not positive.
 func share(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
@@ -74,6 +75,7 @@
 	return float64(part) / float64(whole)
 }
 
+// saturatingAdd returns a plus b, limited to the range of int64.
 func saturatingAdd(a, b int64) int64 {
 	sum := a + b
 	if a > 0 && b > 0 && sum < 0 {
@@ -85,6 +87,8 @@
 	return sum
 }
 
+// saturatingMul returns a times n, at most math.MaxInt64; it returns 0 unless both
+// are positive.
 func saturatingMul(a, n int64) int64 {
 	if n <= 0 || a <= 0 {
 		return 0
--- a/pkg/worker/tail.go
+++ b/pkg/worker/tail.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters of a Tail.
+// Parameters of a LatencyWindow.
 const (
 	// latencyWindow is the largest age of a sample that is counted.
 	latencyWindow = 5 * time.Second
@@ -23,20 +23,21 @@
 )
 
 type latencySample struct {
-	at   time.Time
-	took time.Duration
+	endedAt time.Time
+	latency time.Duration
 }
 
-// LatencyWindow keeps the latest request latencies of the service beside a worker in a
-// ring buffer. The zero value is empty.
+// LatencyWindow keeps the latest request latencies of the service beside a worker in
+// a ring buffer. The zero value is empty.
 type LatencyWindow struct {
 	ring []latencySample
+	// next is the index of the oldest sample once the ring is full.
 	next int
 }
 
 // Add records the latency of a request that ended at now.
-func (t *LatencyWindow) Add(now time.Time, took time.Duration) {
-	l := latencySample{at: now, took: took}
+func (t *LatencyWindow) Add(now time.Time, latency time.Duration) {
+	l := latencySample{endedAt: now, latency: latency}
 	if len(t.ring) < maxLatencySamples {
 		t.ring = append(t.ring, l)
 		return
@@ -46,18 +47,19 @@
 }
 
 // TailLatency returns the 99th percentile of the samples of the last 5 s, or false if
-// there are too few. With fewer than 200 samples it returns the second largest.
+// these are fewer than minLatencySamples. With fewer than 200 samples it returns the
+// second largest.
 func (t *LatencyWindow) TailLatency(now time.Time) (time.Duration, bool) {
-	took := make([]time.Duration, 0, len(t.ring))
+	latencies := make([]time.Duration, 0, len(t.ring))
 	for _, l := range t.ring {
-		if now.Sub(l.at) <= latencyWindow {
-			took = append(took, l.took)
+		if now.Sub(l.endedAt) <= latencyWindow {
+			latencies = append(latencies, l.latency)
 		}
 	}
-	if len(took) < minLatencySamples {
+	if len(latencies) < minLatencySamples {
 		return 0, false
 	}
-	slices.Sort(took)
-	above := max(minSamplesInTail, int(float64(len(took))*tailFraction))
-	return took[len(took)-above], true
+	slices.Sort(latencies)
+	samplesInTail := max(minSamplesInTail, int(float64(len(latencies))*tailFraction))
+	return latencies[len(latencies)-samplesInTail], true
 }
