--- a/pkg/queue/change.go
+++ b/pkg/queue/change.go
@@ -11,9 +11,10 @@
 // gangState is the scheduling state of a gang: a job whose tasks start
 // together.
 type gangState struct {
+	// pending holds the indexes of the tasks that wait to be placed.
 	pending map[uint32]struct{}
-	// revoked holds the tasks that have been revoked but not yet released by
-	// their worker.
+	// revoked holds the indexes of the tasks that have been revoked but not yet
+	// released by their worker.
 	revoked map[uint32]struct{}
 }
 
@@ -43,6 +44,7 @@
 	}
 }
 
+// removeTask discards all state of a task and of its job, which has been deleted.
 func (s *Scheduler) removeTask(now time.Time, id record.TaskID, j *job.Job) {
 	s.dequeue(now, id, j, false)
 	s.release(id)
@@ -55,10 +57,10 @@
 // after a success also the run-time estimate of the team and class.
 func (s *Scheduler) recordOutcome(now time.Time, id record.TaskID, t *job.Task) {
 	if t.Phase() == job.Succeeded {
-		if h, ok := s.fleet.Allocation(taskKey(id)); ok && !h.Tentative {
+		if allocation, ok := s.fleet.Allocation(taskKey(id)); ok && !allocation.Tentative {
 			s.fleet.Health(t.Worker()).RecordSuccess()
-			if !h.Since.IsZero() {
-				s.stats.addRun(h.Team, h.Class, now.Sub(h.Since))
+			if !allocation.Since.IsZero() {
+				s.stats.addRun(allocation.Team, allocation.Class, now.Sub(allocation.Since))
 			}
 		}
 		return
@@ -81,6 +83,7 @@
 	}
 }
 
+// enqueue adds a pending task to the queue, after a failure with a retry delay.
 func (s *Scheduler) enqueue(now time.Time, id record.TaskID, j *job.Job, t *job.Task) {
 	until, reason := now, ReasonQueued
 	if n := int(t.Failures()); n > 0 {
@@ -93,6 +96,7 @@
 	s.queue.Add(now, Key{Job: id.Job, Task: id.Index}, s.demand(j, 1), until, reason)
 }
 
+// demand returns what count tasks of a job that start together ask for.
 func (s *Scheduler) demand(j *job.Job, count int) Demand {
 	spec := j.Spec()
 	class := s.class(spec.Class)
@@ -107,10 +111,13 @@
 	return d
 }
 
-// gangRecheckInterval is when a gang that waits for revoked tasks is looked at
-// again. It is long because the release of the tasks requeues the gang.
+// gangRecheckInterval is how long a gang that waits for the release of revoked tasks
+// is delayed before it is tried again. It is long because each release requeues the
+// gang anyway.
 const gangRecheckInterval = time.Hour
 
+// enqueueGang adds a pending task to its gang and replaces the gang's item in the
+// queue.
 func (s *Scheduler) enqueueGang(now time.Time, id record.TaskID, j *job.Job, until time.Time, reason Reason) {
 	g := s.gangOf(id.Job)
 	delete(g.revoked, id.Index)
@@ -158,14 +165,16 @@
 	s.queue.Add(now, key, s.demand(j, len(g.pending)), until, reason)
 }
 
+// allocate records the allocation of a task that a worker may run, and charges the
+// team's quota for it.
 func (s *Scheduler) allocate(now time.Time, id record.TaskID, j *job.Job, t *job.Task) {
 	key := taskKey(id)
 	since := now
 	if s.lastHousekeeping.IsZero() {
 		since = time.Time{} // replayed from the log before the first decision: the actual start time is unknown
 	}
-	if h, ok := s.fleet.Allocation(key); ok && !h.Tentative {
-		since = h.Since
+	if allocation, ok := s.fleet.Allocation(key); ok && !allocation.Tentative {
+		since = allocation.Since
 	}
 	s.release(id)
 	spec := j.Spec()
@@ -177,14 +186,14 @@
 }
 
 // release ends a task's allocation and unblocks queued work that may fit the
-// capacity that it frees.
+// capacity freed by that.
 func (s *Scheduler) release(id record.TaskID) {
-	h, ok := s.fleet.Release(taskKey(id))
+	allocation, ok := s.fleet.Release(taskKey(id))
 	if !ok {
 		return
 	}
-	s.queue.Refund(h.Team, h.Size)
-	s.queue.UnblockFitting(s.fleet.Free(h.Worker))
+	s.queue.Refund(allocation.Team, allocation.Size)
+	s.queue.UnblockFitting(s.fleet.Free(allocation.Worker))
 }
 
 func taskKey(id record.TaskID) worker.TaskKey { return worker.TaskKey{Job: id.Job, Index: id.Index} }
--- a/pkg/queue/decision.go
+++ b/pkg/queue/decision.go
@@ -45,7 +45,7 @@
 func (d *Decision) Job() *job.Job { return d.job }
 
 // Message returns the log record that makes the decision effective, or nil if
-// it needs none.
+// the decision needs none.
 func (d *Decision) Message() record.Message { return d.message }
 
 // Placements returns the tasks placed and their workers.
@@ -57,8 +57,9 @@
 // Reason returns the reason in words, for logs.
 func (d *Decision) Reason() string { return d.reason }
 
-// place tries to place the given item, and reports whether it did. If it did
-// not, the decision may be a preemption or a parked job, or be of no kind.
+// place tries to place the given item of the job owner, and reports whether a worker
+// was found for each of its tasks. If not, the decision is a preemption, a parked job,
+// or the zero Decision.
 func (s *Scheduler) place(now time.Time, item *Item, owner *job.Job, random *rand.Rand) (Decision, bool) {
 	tasks := s.placementTasks(item, owner)
 	for i := range tasks {
@@ -84,6 +85,8 @@
 	}, true
 }
 
+// chooseWorkers chooses a worker for each task, or returns an error if any task does
+// not fit.
 func (s *Scheduler) chooseWorkers(now time.Time, tasks []worker.Task, random *rand.Rand) ([]worker.Choice, error) {
 	if len(tasks) > 1 {
 		return s.fleet.PlaceGang(now, tasks, random)
@@ -126,16 +129,16 @@
 	}
 	out := make(map[string]int)
 	for i := range owner.Tasks() {
-		if h, ok := s.fleet.Allocation(worker.TaskKey{Job: owner.Spec().ID, Index: uint32(i)}); ok {
-			out[s.fleet.Rack(h.Worker)]++
+		if allocation, ok := s.fleet.Allocation(worker.TaskKey{Job: owner.Spec().ID, Index: uint32(i)}); ok {
+			out[s.fleet.Rack(allocation.Worker)]++
 		}
 	}
 	return out
 }
 
-// handleNoPlacement handles an item that could not be placed: it parks an item
-// that exceeds every known worker, preempts other tasks for an urgent one, and
-// blocks any other.
+// handleNoPlacement handles an item that could not be placed because of err: it parks
+// an item that exceeds every known worker, preempts other tasks for an urgent one, and
+// blocks any other item.
 func (s *Scheduler) handleNoPlacement(now time.Time, item *Item, owner *job.Job, err error, random *rand.Rand) Decision {
 	if s.fleet.ExceedsAllWorkers(item.demand.Size) {
 		s.queue.Park(item.key)
@@ -153,14 +156,14 @@
 	// preemptionTimeout is how long the tasks stopped by one preemption have to
 	// free their capacity before the next preemption for the same item.
 	preemptionTimeout = 5 * time.Second
-	// preemptionRecheckInterval is how often an item that waits for its
-	// preemption is tried again.
+	// preemptionRecheckInterval is the time between two attempts to place an item
+	// for which other tasks are being stopped.
 	preemptionRecheckInterval = 100 * time.Millisecond
 )
 
-// preempt stops tasks to make room for an urgent task of a team within its
-// quota. It reports whether room is being made; the decision is of no kind if
-// no task needs to be stopped for it now.
+// preempt stops tasks to make room for an urgent task whose team is within its quota.
+// It reports whether room is being made for the item; if no task has to be stopped for
+// that now, the decision is the zero Decision.
 func (s *Scheduler) preempt(now time.Time, item *Item, owner *job.Job, random *rand.Rand) (Decision, bool) {
 	if !item.demand.Urgent || item.demand.Count != 1 || s.fleet.Len() == 0 || s.queue.Share(item.demand.Team) > 1 {
 		return Decision{}, false
@@ -189,11 +192,13 @@
 // preemptReason is the reason given to the log for a preempted task.
 const preemptReason = "urgent work needs the room"
 
+// revocation returns the decision to stop the victims for an urgent task of the job
+// owner.
 func (s *Scheduler) revocation(owner *job.Job, victims []worker.TaskKey) Decision {
 	d := Decision{kind: KindPreempt, job: owner, reason: preemptReason}
 	for _, v := range victims {
-		h, _ := s.fleet.Allocation(v)
-		d.revoked = append(d.revoked, record.AssignmentID{Task: taskID(v), Epoch: record.Position(h.Epoch)})
+		allocation, _ := s.fleet.Allocation(v)
+		d.revoked = append(d.revoked, record.AssignmentID{Task: taskID(v), Epoch: record.Position(allocation.Epoch)})
 	}
 	d.message = &record.Revoke{Assignments: d.revoked, Reason: preemptReason}
 	return d
--- a/pkg/queue/item.go
+++ b/pkg/queue/item.go
@@ -34,7 +34,7 @@
 	// Submitted is when the job was accepted.
 	Submitted time.Time
 	// LatestStart is the latest start time that meets the job's deadline; zero if
-	// it has no deadline.
+	// the job has no deadline.
 	LatestStart time.Time
 }
 
@@ -46,7 +46,7 @@
 const waitPerPriority = 30 * time.Minute
 
 // dueMS returns when the item becomes overdue, in Unix milliseconds. Items are
-// ordered by this time. It is at most a fixed time after the submission, so
+// ordered by this time. The due time is at most a fixed time after the submission, so
 // newer items cannot overtake an older one for ever.
 func (d *Demand) dueMS() int64 {
 	priority := min(max(d.Priority, 0), MaxPriority)
@@ -57,7 +57,7 @@
 	return due.UnixMilli()
 }
 
-// state is which list of the queue an item is in.
+// state says which list of the queue an item is in.
 type state uint8
 
 const (
--- a/pkg/queue/learned.go
+++ b/pkg/queue/learned.go
@@ -23,11 +23,14 @@
 // affect the order of the queue and placement scores, never the amounts
 // granted.
 type usageStats struct {
+	// runSeconds is the mean run time in seconds by team and class.
 	runSeconds map[teamClass]*worker.RunningMean
-	cpuRatio   map[string]*worker.RunningMean
+	// cpuRatio is the mean ratio of CPU used to CPU granted, by class.
+	cpuRatio map[string]*worker.RunningMean
 }
 
-func (s *usageStats) addRun(team, class string, took time.Duration) {
+// addRun adds the run time of a task of the team and class.
+func (s *usageStats) addRun(team, class string, runTime time.Duration) {
 	if s.runSeconds == nil {
 		s.runSeconds = make(map[teamClass]*worker.RunningMean)
 	}
@@ -35,9 +38,11 @@
 	if s.runSeconds[k] == nil {
 		s.runSeconds[k] = new(worker.RunningMean)
 	}
-	s.runSeconds[k].Add(took.Seconds())
+	s.runSeconds[k].Add(runTime.Seconds())
 }
 
+// runTime returns the expected run time of a task of the team and class: the mean of
+// past runs, or the declared run time if there were none.
 func (s *usageStats) runTime(team, class string, declared time.Duration) time.Duration {
 	e, ok := s.runSeconds[teamClass{team: team, class: class}]
 	if !ok {
@@ -46,6 +51,7 @@
 	return time.Duration(e.Mean(declared.Seconds()) * float64(time.Second))
 }
 
+// addUsage adds the CPU use of a class on one worker.
 func (s *usageStats) addUsage(u *ClassUse) {
 	if u.Granted.MilliCPU <= 0 {
 		return
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -78,7 +78,7 @@
 	return item, ok
 }
 
-// Reason returns why the item identified by key waits, and whether it is in the
+// Reason returns why the item identified by key waits, and whether the item is in the
 // queue.
 func (q *Queue) Reason(key Key) (Reason, bool) {
 	item, ok := q.items[key]
@@ -104,6 +104,8 @@
 	return nil, false
 }
 
+// nextOfTier returns the item of a tier to place next, or nil: the first item of the
+// team with the lowest effective share.
 func (q *Queue) nextOfTier(nowMS int64, tierIndex int) *Item {
 	var best *Item
 	var bestShare float64
@@ -128,9 +130,9 @@
 	}
 }
 
-// Block records that no worker has enough free capacity for the item now. It
-// blocks its shape and all shapes that ask for at least as much, until a worker
-// gains enough free capacity or UnblockAll is called.
+// Block records that no worker has enough free capacity for the item now, and
+// blocks the item's shape, and all shapes of the same urgency that ask for at least as
+// much, until a worker gains enough free capacity or UnblockAll is called.
 func (q *Queue) Block(key Key) {
 	item, ok := q.items[key]
 	if !ok {
@@ -145,6 +147,7 @@
 	}
 }
 
+// blockShape blocks a shape because no worker has room for the given size.
 func (q *Queue) blockShape(s *shapeState, size worker.Resources) {
 	s.blockedSize = size
 	if !s.blocked {
@@ -154,9 +157,9 @@
 }
 
 // Starving returns the blocked item that is overdue the longest, if it is
-// overdue by at least after. The caller should reserve a worker for it.
-func (q *Queue) Starving(now time.Time, after time.Duration) (*Item, bool) {
-	limit := now.Add(-after).UnixMilli()
+// overdue by at least minOverdue. The caller should reserve a worker for it.
+func (q *Queue) Starving(now time.Time, minOverdue time.Duration) (*Item, bool) {
+	limit := now.Add(-minOverdue).UnixMilli()
 	var worst *Item
 	for _, s := range q.blocked {
 		for _, b := range s.buckets {
@@ -172,8 +175,8 @@
 	return worst, worst != nil
 }
 
-// Park records that the item exceeds every known worker. It waits until
-// Reexamine.
+// Park records that the item exceeds every known worker. The item waits until
+// Reexamine is called.
 func (q *Queue) Park(key Key) {
 	item, ok := q.items[key]
 	if !ok {
@@ -186,7 +189,7 @@
 }
 
 // UnblockFitting records that a worker now has the given free capacity, and unblocks
-// the shapes that may fit there.
+// the shapes that may fit into it.
 func (q *Queue) UnblockFitting(free worker.Resources) {
 	remaining := q.blocked[:0]
 	for _, s := range q.blocked {
@@ -292,6 +295,7 @@
 	return q.team(d.Team).bucket(s)
 }
 
+// pushDelayed adds an item to the delayed items.
 func (q *Queue) pushDelayed(item *Item, until time.Time, reason Reason) {
 	item.state = delayed
 	item.delayedUntilMS = until.UnixMilli()
--- a/pkg/queue/scheduler.go
+++ b/pkg/queue/scheduler.go
@@ -14,19 +14,21 @@
 // Times of scheduling.
 const (
 	// PlacementTimeout is how long a placement may take to show in the log
-	// before it is taken for lost and repeated.
+	// before the placement is considered lost and is repeated.
 	PlacementTimeout = 2 * time.Second
 	// BackupDelay is how long an entry waits for the entry that ranks just
 	// above it for a job before it schedules the job itself.
 	BackupDelay = 1200 * time.Millisecond
 	// housekeepingInterval is how often all blocked items are unblocked and
-	// room is reserved for starving ones.
+	// a worker is reserved for the item that has starved the longest.
 	housekeepingInterval = time.Second
 )
 
 // Limits of one call of Decide.
 const (
-	maxPlacements       = 500
+	// maxDecisions limits the decisions returned.
+	maxDecisions = 500
+	// maxFailedPlacements limits the attempts to place an item that find no worker.
 	maxFailedPlacements = 64
 )
 
@@ -41,7 +43,9 @@
 	jobFailures map[string]*worker.JobFailures
 	// failuresSeen is the number of failures of each task that recordOutcome has
 	// already handled.
-	failuresSeen     map[record.TaskID]uint32
+	failuresSeen map[record.TaskID]uint32
+	// preemptingUntil is the time until which the item waits for a preemption to free
+	// capacity.
 	preemptingUntil  map[Key]time.Time
 	stats            usageStats
 	classes          []bundle.BatchClass
@@ -56,8 +60,8 @@
 // Fleet returns the scheduler's view of the workers.
 func (s *Scheduler) Fleet() *worker.Fleet { return &s.fleet }
 
-// WaitReason returns in words why a task of j waits, and whether it waits in the
-// queue.
+// WaitReason returns in words why the task of j at the given index waits, and whether
+// the task waits in the queue.
 func (s *Scheduler) WaitReason(j *job.Job, index uint32) (string, bool) {
 	if j.Task(int(index)).Phase() != job.Pending {
 		return "", false
@@ -116,8 +120,9 @@
 	})
 }
 
-// ApplyReport applies a worker's report. The use by class lets the scheduler learn how
-// much the classes use and how they slow down the service on the worker.
+// ApplyReport applies a worker's report. From the uses, the resource use of each batch
+// class on the worker, the scheduler learns how much the classes use and how they slow
+// down the service on the worker.
 func (s *Scheduler) ApplyReport(now time.Time, r *worker.Report, uses []ClassUse) {
 	before := s.fleet.Free(r.Name)
 	free := s.fleet.ApplyReport(now, r)
@@ -136,17 +141,17 @@
 type BackupDelayFunc func(jobID string) time.Duration
 
 // Decide returns the placements, preemptions and parked jobs that are due now.
-func (s *Scheduler) Decide(now time.Time, jobs *job.StateMachine, backup BackupDelayFunc, random *rand.Rand) []Decision {
+func (s *Scheduler) Decide(now time.Time, jobs *job.StateMachine, backupDelay BackupDelayFunc, random *rand.Rand) []Decision {
 	s.housekeep(now)
 	var out []Decision
-	for failedPlacements := 0; failedPlacements < maxFailedPlacements && len(out) < maxPlacements; {
+	for failedPlacements := 0; failedPlacements < maxFailedPlacements && len(out) < maxDecisions; {
 		item, ok := s.queue.Next(now)
 		if !ok {
 			s.fleet.ResetRecentlyFreed()
 			break
 		}
-		if ready := item.EligibleAt().Add(backup(item.key.Job)); ready.After(now) {
-			s.queue.Delay(item.key, ready, ReasonOtherEntry)
+		if mayPlaceAt := item.EligibleAt().Add(backupDelay(item.key.Job)); mayPlaceAt.After(now) {
+			s.queue.Delay(item.key, mayPlaceAt, ReasonOtherEntry)
 			continue
 		}
 		owner, ok := jobs.Job(item.key.Job)
--- a/pkg/queue/scheduler_test.go
+++ b/pkg/queue/scheduler_test.go
@@ -26,6 +26,8 @@
 	names     []string
 }
 
+// newTestScheduler returns a scheduler with the given number of workers, each with the
+// capacity total, and one team whose quota is the capacity of all of them.
 func newTestScheduler(workers int, total worker.Resources) *testScheduler {
 	s := &testScheduler{now: epoch, random: rand.New(rand.NewPCG(1, 2)), total: total}
 	s.jobs.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
@@ -55,12 +57,14 @@
 	_ = s.jobs.Apply(record.New(record.NewPosition(s.logOffset, 0), "test", s.logOffset, m))
 }
 
+// submit adds a job of the given batch class with tasks of the given size.
 func (s *testScheduler) submit(id, class string, tasks uint32, gang bool, size worker.Resources) {
 	s.apply(&record.Submit{Spec: record.Spec{
 		ID: id, Team: "clinics", Class: class, Tasks: tasks, Gang: gang, Size: size, MaxFailures: 100, SubmittedAt: s.now.UnixMilli(),
 	}})
 }
 
+// tick advances the time by 100 ms and applies the decisions of the scheduler.
 func (s *testScheduler) tick() []queue.Decision {
 	s.now = s.now.Add(100 * time.Millisecond)
 	s.heartbeats()
@@ -78,7 +82,8 @@
 	return j.Task(index)
 }
 
-func (s *testScheduler) hold(id string, index int) record.AssignmentID {
+// assignment returns the current assignment of a task.
+func (s *testScheduler) assignment(id string, index int) record.AssignmentID {
 	return record.AssignmentID{Task: record.TaskID{Job: id, Index: uint32(index)}, Epoch: s.task(id, index).Epoch()}
 }
 
@@ -93,7 +98,7 @@
 			t.Fatalf("got task %d in phase %s while the gang does not fit, want pending", i, got)
 		}
 	}
-	s.apply(&record.Finished{Assignment: s.hold("small", 0), Outcome: record.OutcomeSucceeded})
+	s.apply(&record.Finished{Assignment: s.assignment("small", 0), Outcome: record.OutcomeSucceeded})
 	decisions := s.tick()
 	if len(decisions) != 1 || len(decisions[0].Placements()) != 3 {
 		t.Fatalf("got %d decisions, want one with three placements", len(decisions))
@@ -109,12 +114,12 @@
 	s := newTestScheduler(4, cpu(4000))
 	s.submit("gang", "shaping", 2, true, cpu(4000))
 	s.tick()
-	s.apply(&record.Revoke{Assignments: []record.AssignmentID{s.hold("gang", 0), s.hold("gang", 1)}})
-	s.apply(&record.Released{Assignment: s.hold("gang", 0)})
+	s.apply(&record.Revoke{Assignments: []record.AssignmentID{s.assignment("gang", 0), s.assignment("gang", 1)}})
+	s.apply(&record.Released{Assignment: s.assignment("gang", 0)})
 	if got := len(s.tick()); got != 0 {
 		t.Fatalf("got %d decisions while a task is revoked, want none", got)
 	}
-	s.apply(&record.Released{Assignment: s.hold("gang", 1)})
+	s.apply(&record.Released{Assignment: s.assignment("gang", 1)})
 	if got := s.tick(); len(got) != 1 || len(got[0].Placements()) != 2 {
 		t.Fatalf("got %v, want one decision for both tasks", got)
 	}
@@ -183,7 +188,7 @@
 					outcome = record.OutcomeFailed
 					failures++
 				}
-				s.apply(&record.Finished{Assignment: s.hold(p.Task.Job, 0), Outcome: outcome})
+				s.apply(&record.Finished{Assignment: s.assignment(p.Task.Job, 0), Outcome: outcome})
 			}
 		}
 	}
@@ -203,7 +208,7 @@
 	for range 300 {
 		for _, d := range s.tick() {
 			for _, p := range d.Placements() {
-				s.apply(&record.Finished{Assignment: s.hold(p.Task.Job, int(p.Task.Index)), Outcome: record.OutcomeFailed})
+				s.apply(&record.Finished{Assignment: s.assignment(p.Task.Job, int(p.Task.Index)), Outcome: record.OutcomeFailed})
 			}
 		}
 		s.now = s.now.Add(time.Second)
@@ -225,7 +230,7 @@
 		s.submit(id, "shaping", 1, false, cpu(1000))
 		s.apply(&record.Assign{Placements: []record.Placement{{Task: record.TaskID{Job: id}, Worker: s.names[0]}}})
 		s.now = s.now.Add(time.Millisecond)
-		s.apply(&record.Finished{Assignment: s.hold(id, 0), Outcome: record.OutcomeSucceeded})
+		s.apply(&record.Finished{Assignment: s.assignment(id, 0), Outcome: record.OutcomeSucceeded})
 	}
 	now := s.now.UnixMilli()
 	add := func(id string, neededMS, expectedMS int64) {
@@ -271,7 +276,7 @@
 		s.now = s.now.Add(3 * time.Second)
 		for _, d := range s.tick() {
 			for _, p := range d.Placements() {
-				running = append(running, s.hold(p.Task.Job, 0))
+				running = append(running, s.assignment(p.Task.Job, 0))
 			}
 		}
 		if i > 100 && s.task("large", 0).Phase() == job.Assigned {
@@ -292,8 +297,8 @@
 	s := newTestScheduler(1, cpu(1000))
 	s.submit("one", "shaping", 1, false, cpu(1000))
 	s.now = s.now.Add(time.Second)
-	backup := func(string) time.Duration { return 0 }
-	if got := s.scheduler.Decide(s.now, &s.jobs, backup, s.random); len(got) != 1 {
+	backupDelay := func(string) time.Duration { return 0 }
+	if got := s.scheduler.Decide(s.now, &s.jobs, backupDelay, s.random); len(got) != 1 {
 		t.Fatalf("got %d decisions, want 1", len(got))
 	}
 	if got := s.tick(); len(got) != 0 {
--- a/pkg/queue/shape.go
+++ b/pkg/queue/shape.go
@@ -7,10 +7,10 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// shape identifies items of nearly the same demand: the same count and urgency,
-// and the same size after CPU and memory are rounded down to a multiple of a
-// quarter of a power of two. If one item finds no room, all items of its shape
-// are blocked together.
+// shape identifies items of nearly the same demand: the same number of tasks to start
+// together, the same urgency, and the same size after CPU and memory are rounded down
+// to a multiple of a quarter of a power of two. If one item finds no room, all items of
+// its shape are blocked together.
 type shape struct {
 	size   worker.Resources
 	count  int
@@ -20,11 +20,13 @@
 // shapeState is the state of one shape, shared by the buckets of all teams.
 type shapeState struct {
 	shape shape
-	// blocked is set after an item found no room, until a worker has more free
-	// capacity.
+	// blocked is set after no worker had room for an item of the shape, or for a
+	// smaller item, until a worker gains enough free capacity or all shapes are
+	// unblocked.
 	blocked bool
 	// recentlyUnblocked is set after the shape was unblocked because a worker
-	// gained free capacity: only workers that did so recently may have enough.
+	// gained free capacity: only workers whose free capacity has grown since the
+	// scheduler last tried all waiting work may have room.
 	recentlyUnblocked bool
 	// blockedSize is the size that found no room.
 	blockedSize worker.Resources
@@ -45,6 +47,8 @@
 // the first one.
 const roundingBits = 2
 
+// roundDown keeps the first binary digit of n and the roundingBits digits after it,
+// and sets the others to 0; it returns 0 for a negative n.
 func roundDown(n int64) int64 {
 	drop := bits.Len64(uint64(max(n, 0))) - 1 - roundingBits
 	if drop <= 0 {
--- a/pkg/queue/team.go
+++ b/pkg/queue/team.go
@@ -7,9 +7,9 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// maxShare limits a team's share. It is also the share of a team with running
-// work but no quota in the configuration bundle. Such a team gets its turn when
-// the other teams leave room, or when its work is overdue for long enough.
+// maxShare limits a team's dominant share of its quota. It is also the share of a team
+// with running work but no quota in the configuration bundle. Such a team gets its turn
+// when the other teams leave room, or when its work is overdue for long enough.
 const maxShare = 24
 
 // overduePerQuota is how long a team's next item must be overdue to lower the
@@ -48,7 +48,7 @@
 	return tierOther
 }
 
-// bucket returns the team's bucket of a shape.
+// bucket returns the team's bucket of a shape, which it creates if there is none.
 func (t *teamQueue) bucket(s *shapeState) *bucket {
 	for _, b := range s.buckets {
 		if b.team == t {
@@ -106,6 +106,8 @@
 	)
 }
 
+// quotaRatio returns used as a fraction of quota, at most maxShare. Without a quota,
+// any use counts as maxShare.
 func quotaRatio(used, quota int64) float64 {
 	if used <= 0 {
 		return 0
