--- a/pkg/endpoint/attempt_tracker.go
+++ b/pkg/endpoint/attempt_tracker.go
@@ -28,10 +28,14 @@
 type AttemptTracker struct {
 	mayRepeat bool
 	attempt   uint32
+	// exchanges is how often the current attempt was sent without a response.
 	exchanges int
+	// connected is set once there was a connection on which the current attempt may
+	// have been sent.
 	connected bool
 	abandoned bool
-	state     AttemptState
+	// state is the state of the current attempt.
+	state AttemptState
 	// earlierState is the combined state of the earlier attempts.
 	earlierState AttemptState
 }
@@ -40,7 +44,8 @@
 // more than once.
 func NewAttemptTracker(mayRepeat bool) AttemptTracker { return AttemptTracker{mayRepeat: mayRepeat} }
 
-// combine returns the state of a request whose attempts have the states a and b.
+// combine returns the combined state of a request whose attempts have the states a
+// and b.
 func combine(a, b AttemptState) AttemptState {
 	switch {
 	case a == AttemptDone || b == AttemptDone:
@@ -75,8 +80,9 @@
 // MayRepeat reports whether the request may run more than once.
 func (c *AttemptTracker) MayRepeat() bool { return c.mayRepeat }
 
-// RecordNoResponse records that sending the attempt brought no response; connected says
-// whether there was a connection on which it may have been sent.
+// RecordNoResponse records that sending the attempt brought no response, and returns
+// the next step; connected says whether there was a connection on which the attempt may
+// have been sent.
 func (c *AttemptTracker) RecordNoResponse(connected bool) Step {
 	c.exchanges++
 	c.connected = c.connected || connected
@@ -87,11 +93,11 @@
 	return StepQuery
 }
 
-// RecordQueryResult records the attempt's state as returned by the agent; over says that the
-// caller no longer waits for a response.
-func (c *AttemptTracker) RecordQueryResult(state AttemptState, over bool) Step {
+// RecordQueryResult records the attempt's state as returned by the agent, and returns
+// the next step; callerGone says that the caller no longer waits for a response.
+func (c *AttemptTracker) RecordQueryResult(state AttemptState, callerGone bool) Step {
 	c.state = state
-	if over || c.exchanges >= maxExchanges || state == AttemptNotRun || state == AttemptUnknown {
+	if callerGone || c.exchanges >= maxExchanges || state == AttemptNotRun || state == AttemptUnknown {
 		if state == AttemptRunning {
 			c.state = AttemptUnknown
 		}
@@ -110,11 +116,12 @@
 	c.state = AttemptUnknown
 }
 
-// RecordRefusal records that the agent refused the attempt, and in which state it is.
+// RecordRefusal records that the agent refused the attempt, and the state of the attempt.
 func (c *AttemptTracker) RecordRefusal(state AttemptState) { c.state = state }
 
-// MayRetry reports whether another attempt is safe: the last one was not run, or
-// the request may run more than once.
-func (c *AttemptTracker) MayRetry(over bool) bool {
-	return !over && c.attempt < maxAttempts && (c.state == AttemptNotRun || c.mayRepeat)
+// MayRetry reports whether another attempt is safe: the last one was not run, or the
+// request may run more than once. callerGone says that the caller no longer waits for a
+// response.
+func (c *AttemptTracker) MayRetry(callerGone bool) bool {
+	return !callerGone && c.attempt < maxAttempts && (c.state == AttemptNotRun || c.mayRepeat)
 }
--- a/pkg/endpoint/choose.go
+++ b/pkg/endpoint/choose.go
@@ -8,9 +8,9 @@
 
 // Parameters of the choice of an endpoint.
 const (
-	// fullScanMax is the number of endpoints up to which all are compared.
+	// fullScanMax is the number of endpoints up to which all of them are compared.
 	fullScanMax = 24
-	// sampleSize is the number compared if there are more.
+	// sampleSize is the number of endpoints compared if there are more.
 	sampleSize = 8
 	// queueSlack is how many requests may wait at an endpoint, as a share of its
 	// slots.
@@ -29,7 +29,8 @@
 	// slowThreshold is the slowness from which short work may wait for another
 	// endpoint instead.
 	slowThreshold = 1.7
-	// limitDecrease is the factor by which a refusal lowers an endpoint's limit.
+	// limitDecrease is the factor by which a refusal lowers an endpoint's limit on
+	// requests in flight.
 	limitDecrease = 0.7
 )
 
@@ -42,8 +43,9 @@
 	reasonLastResort = "no other endpoint can be used"
 )
 
-// pick returns the endpoint with the lowest cost.
-func (t *Table) pick(now time.Time, random *rand.Rand, ticket *Ticket, skip string) (*Endpoint, string, error) {
+// pick returns the endpoint with the lowest cost and the reason for the choice. skip
+// names an endpoint to avoid, or is "".
+func (t *Table) pick(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
 	n := len(t.list)
 	if n == 0 {
 		return nil, "", ErrNoEndpoint
@@ -52,9 +54,9 @@
 	if n > fullScanMax {
 		count, reason = sampleSize, reasonSampled
 	}
-	best, usable := t.scan(now, random, ticket, skip, count)
+	best, usable := t.scan(now, random, request, skip, count)
 	if best == nil && count < n {
-		best, usable = t.scan(now, random, ticket, skip, n)
+		best, usable = t.scan(now, random, request, skip, n)
 	}
 	switch {
 	case best != nil && best.Probing():
@@ -64,12 +66,13 @@
 	case usable > 0:
 		return nil, "", ErrBusy
 	}
-	return t.lastResort(now, ticket, skip)
+	return t.lastResort(now, request, skip)
 }
 
 // scan compares count endpoints, starting from a random one. It returns the one
-// with the lowest cost that has room, and how many of them take requests at all.
-func (t *Table) scan(now time.Time, random *rand.Rand, ticket *Ticket, skip string, count int) (*Endpoint, int) {
+// with the lowest cost that has room, or nil, and how many of those compared take
+// requests at all.
+func (t *Table) scan(now time.Time, random *rand.Rand, request *Ticket, skip string, count int) (*Endpoint, int) {
 	n := len(t.list)
 	i := int(random.Uint64N(uint64(n)))
 	step := 1
@@ -90,7 +93,7 @@
 		if isWarm {
 			warm++
 		}
-		if !e.hasRoom(ticket) {
+		if !e.hasRoom(request) {
 			continue
 		}
 		c := e.cost(now)
@@ -107,9 +110,9 @@
 	return best, usable
 }
 
-// lastResort returns an endpoint that is ejected or was to be skipped, if there
-// is no other.
-func (t *Table) lastResort(now time.Time, ticket *Ticket, skip string) (*Endpoint, string, error) {
+// lastResort returns an endpoint that is ejected or was to be skipped, for use if no
+// other endpoint takes requests.
+func (t *Table) lastResort(now time.Time, request *Ticket, skip string) (*Endpoint, string, error) {
 	var best *Endpoint
 	known := false
 	for _, e := range t.list {
@@ -117,7 +120,7 @@
 			continue
 		}
 		known = true
-		if e.InFlight() < e.maxInFlightFor(ticket) && (best == nil || best.report.Name == skip || e.InFlight() < best.InFlight()) {
+		if e.InFlight() < e.maxInFlightFor(request) && (best == nil || best.report.Name == skip || e.InFlight() < best.InFlight()) {
 			best = e
 		}
 	}
@@ -138,7 +141,7 @@
 	return !e.report.Draining && !e.isStale(now) && !e.Ejected(now) && e.report.Slots > 0
 }
 
-// HasUsable reports whether some endpoint takes requests.
+// HasUsable reports whether at least one endpoint takes requests.
 func (t *Table) HasUsable(now time.Time) bool {
 	for _, e := range t.list {
 		if e.isUsable(now) {
@@ -157,25 +160,25 @@
 	return top
 }
 
-// maxInFlightFor returns how many requests the endpoint may have in flight if one
-// like ticket is sent. Long work may not wait there.
-func (e *Endpoint) maxInFlightFor(ticket *Ticket) int {
-	if ticket.long {
+// maxInFlightFor returns how many requests the endpoint may have in flight once the
+// given one is sent. Long work may not wait at an endpoint.
+func (e *Endpoint) maxInFlightFor(request *Ticket) int {
+	if request.long {
 		return min(e.report.Slots, int(e.maxInFlight()))
 	}
 	return int(e.maxInFlight())
 }
 
-// hasRoom reports whether the endpoint can take a request now.
-func (e *Endpoint) hasRoom(ticket *Ticket) bool {
+// hasRoom reports whether the endpoint can take the request now.
+func (e *Endpoint) hasRoom(request *Ticket) bool {
 	n := e.InFlight()
 	if e.Probing() {
 		return e.ownInFlight == 0
 	}
-	if ticket.long && e.ownLong+e.otherLong >= e.report.Slots-e.report.Load.Reserved {
+	if request.long && e.ownLong+e.otherLong >= e.report.Slots-e.report.Load.Reserved {
 		return false
 	}
-	return n < e.maxInFlightFor(ticket) || e.ownInFlight == 0 && !ticket.long
+	return n < e.maxInFlightFor(request) || e.ownInFlight == 0 && !request.long
 }
 
 // isWarm reports whether the slow start of an endpoint is over, so that it takes
@@ -206,7 +209,8 @@
 	return c
 }
 
-// Slowness returns the endpoint's service time as a multiple of that elsewhere.
+// Slowness returns the endpoint's service time as a multiple of the mean for the same
+// class of requests over all endpoints; it is at least 1.
 func (e *Endpoint) Slowness(now time.Time) float64 {
 	if e.slowness <= 1 {
 		return 1
@@ -219,9 +223,9 @@
 }
 
 // RecordServiceTime updates an endpoint's slowness with the service time of a request and
-// the mean of its class.
-func (t *Table) RecordServiceTime(now time.Time, e *Endpoint, took, mean time.Duration) {
-	ratio := min(took.Seconds()/max(mean.Seconds(), 1e-6), maxSlownessSample)
+// the mean service time of the request's class.
+func (t *Table) RecordServiceTime(now time.Time, e *Endpoint, serviceTime, classMean time.Duration) {
+	ratio := min(serviceTime.Seconds()/max(classMean.Seconds(), 1e-6), maxSlownessSample)
 	s := e.Slowness(now)
 	if e.slowness > 0 && e.slowness < 1 {
 		s = e.slowness
@@ -230,14 +234,14 @@
 	e.slownessUpdatedAt = now
 }
 
-// RecordRefusal lowers the endpoint's limit after it refused a request because it was
-// full.
+// RecordRefusal lowers the endpoint's limit on requests in flight after the endpoint
+// refused a request because it was full.
 func (t *Table) RecordRefusal(e *Endpoint) {
 	e.inFlightLimit = max(1, limitDecrease*min(e.maxInFlight(), float64(max(e.InFlight(), 1))))
 }
 
-// RecordAcceptance raises a limit that was lowered, by about one for each round of
-// requests.
+// RecordAcceptance raises a limit on requests in flight that refusals have lowered, by
+// about one for each round of accepted requests.
 func (t *Table) RecordAcceptance(e *Endpoint) {
 	if e.inFlightLimit <= 0 {
 		return
--- a/pkg/endpoint/dedup.go
+++ b/pkg/endpoint/dedup.go
@@ -22,7 +22,8 @@
 // String returns the name used in headers and logs.
 func (f AttemptState) String() string { return stateNames[f] }
 
-// ParseAttemptState returns the state with a name; an unknown name gives the unknown state.
+// ParseAttemptState returns the state with the given name, or AttemptUnknown if there is
+// none.
 func ParseAttemptState(name string) AttemptState {
 	for i, n := range stateNames {
 		if n == name {
@@ -100,12 +101,12 @@
 // attempts and answers queries for the state of an attempt. The zero value is
 // empty. It is not safe for concurrent use.
 //
-// Marks tell which attempts it may have forgotten. A mark is a counter that
+// Marks tell which attempts the table may have forgotten. A mark is a counter that
 // grows with each of the agent's reports, and an attempt carries the newest mark
-// that its sender had received. So an attempt arrives when the table's mark is
-// no lower than its own, and one whose mark is above those of all forgotten
-// attempts was not forgotten. Any other attempt may have been: it is neither
-// run nor said to be not run.
+// that its sender had received. So when an attempt arrives, the table's mark is no
+// lower than that of the attempt, and an attempt whose mark is above those of all
+// forgotten attempts was not forgotten. Any other attempt that the table does not
+// contain may have been forgotten: it is not run, and it is not said to be not run.
 type DedupTable struct {
 	entries map[AttemptID]*dedupEntry
 	// ended holds the ended attempts in the order of their ends. Running
@@ -122,13 +123,14 @@
 }
 
 type dedupEntry struct {
-	state    AttemptState
-	endedAt  time.Time
+	state   AttemptState
+	endedAt time.Time
+	// mark is the table's mark when the attempt was added.
 	mark     uint64
 	response *Response
 }
 
-// NextMark moves to the next mark and returns it, for the agent's next report.
+// NextMark increments the table's mark and returns it, for the agent's next report.
 func (b *DedupTable) NextMark() uint64 {
 	b.mark++
 	return b.mark
@@ -180,8 +182,8 @@
 	b.evict(now)
 }
 
-// QueryOrFence returns the attempt's state. An attempt that was never seen is fenced
-// first: it will be refused if it arrives later.
+// QueryOrFence returns the state of an attempt that carries the given mark. An attempt
+// that was never seen is fenced first: the attempt will be refused if it arrives later.
 func (b *DedupTable) QueryOrFence(now time.Time, id AttemptID, mark uint64) AttemptState {
 	b.evict(now)
 	if e, ok := b.entries[id]; ok {
@@ -206,10 +208,13 @@
 // Len returns the number of attempts that are remembered.
 func (b *DedupTable) Len() int { return len(b.entries) }
 
+// mayHaveForgotten reports whether an attempt with this mark that is not in the table
+// may have been in it.
 func (b *DedupTable) mayHaveForgotten(mark uint64) bool {
 	return b.maxForgottenMark > 0 && mark <= b.maxForgottenMark
 }
 
+// put adds an attempt to the table.
 func (b *DedupTable) put(id AttemptID, e *dedupEntry) {
 	if b.entries == nil {
 		b.entries = make(map[AttemptID]*dedupEntry)
--- a/pkg/endpoint/gate.go
+++ b/pkg/endpoint/gate.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Verdict is the decision on a ticket.
+// Verdict is the decision on a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Start means that the ticket now holds a slot.
+	// Start means that the request now holds a slot or is sent to an endpoint.
 	Start Verdict = iota
-	// Wait means that the ticket waits in the queue.
+	// Wait means that the request waits in the queue.
 	Wait
-	// Shed means that the ticket is refused without having run.
+	// Shed means that the request is refused without having run.
 	Shed
 )
 
@@ -37,19 +37,20 @@
 // concurrent use.
 type Gate struct {
 	slots       int
-	connections int
+	maxRequests int
 	queue       Queue
 	running     int
 	runningLong int
-	// shortDemand is the moving average of short requests that run or wait.
+	// shortDemand is the moving average of the number of short requests that run or
+	// wait.
 	shortDemand     float64
 	shortWaiting    int
 	demandUpdatedAt time.Time
 }
 
-// SetLimits sets the limits: slots, and connections as the most requests that
-// run or wait together.
-func (g *Gate) SetLimits(slots, connections int) { g.slots, g.connections = slots, connections }
+// SetLimits sets the number of slots, and the most requests that may run or wait at a
+// time.
+func (g *Gate) SetLimits(slots, maxRequests int) { g.slots, g.maxRequests = slots, maxRequests }
 
 // Running returns the number of slots in use.
 func (g *Gate) Running() int { return g.running }
@@ -57,7 +58,7 @@
 // RunningLong returns the number of slots in use by long work.
 func (g *Gate) RunningLong() int { return g.runningLong }
 
-// Waiting returns the number of tickets that wait.
+// Waiting returns the number of requests that wait.
 func (g *Gate) Waiting() int { return g.queue.Len() }
 
 // ReservedSlots returns the number of slots that long work may not use.
@@ -68,89 +69,90 @@
 	return min(max(int(g.shortDemand+reserveMargin), 1), g.slots-1)
 }
 
-// Offer starts, queues or refuses a ticket. A less important ticket that had to
-// make room for it is returned as the victim.
-func (g *Gate) Offer(now time.Time, t *Ticket) (verdict Verdict, victim *Ticket, reason string) {
+// Offer starts, queues or refuses a request. A less important waiting request that was
+// removed from the queue to make room for it is returned as the victim.
+func (g *Gate) Offer(now time.Time, request *Ticket) (verdict Verdict, victim *Ticket, reason string) {
 	g.updateDemand(now)
-	if t.tooLate(now) && now.After(t.deadline) {
+	if request.tooLate(now) && now.After(request.deadline) {
 		return Shed, nil, "the deadline has passed"
 	}
-	if g.running+g.queue.Len() >= g.connections {
+	if g.running+g.queue.Len() >= g.maxRequests {
 		victim = g.queue.ShedCandidate()
-		if victim == nil || levelOf(victim) <= levelOf(t) {
+		if victim == nil || levelOf(victim) <= levelOf(request) {
 			return Shed, nil, "the endpoint is full"
 		}
 		g.remove(victim)
 	}
-	if g.slotFree(t) && g.queue.Peek(!t.long) == nil {
-		g.start(t)
+	if g.slotFree(request) && g.queue.Peek(!request.long) == nil {
+		g.start(request)
 		return Start, victim, "a slot is free"
 	}
-	g.queue.Push(t)
-	if !t.long {
+	g.queue.Push(request)
+	if !request.long {
 		g.shortWaiting++
 	}
 	return Wait, victim, "all slots are taken"
 }
 
-// Cancel removes a waiting ticket and reports whether it was waiting.
-func (g *Gate) Cancel(now time.Time, t *Ticket) bool {
+// Cancel removes a waiting request and reports whether it was waiting.
+func (g *Gate) Cancel(now time.Time, request *Ticket) bool {
 	g.updateDemand(now)
-	return g.remove(t)
+	return g.remove(request)
 }
 
-func (g *Gate) remove(t *Ticket) bool {
-	if !g.queue.Remove(t) {
+func (g *Gate) remove(request *Ticket) bool {
+	if !g.queue.Remove(request) {
 		return false
 	}
-	if !t.long {
+	if !request.long {
 		g.shortWaiting--
 	}
 	return true
 }
 
-// Release frees the slot of a ticket that has ended.
-func (g *Gate) Release(now time.Time, t *Ticket) {
+// Release frees the slot of a request that has ended.
+func (g *Gate) Release(now time.Time, request *Ticket) {
 	g.updateDemand(now)
 	g.running--
-	if t.long {
+	if request.long {
 		g.runningLong--
 	}
 }
 
-// Next returns the ticket to start now, or one that can no longer meet its
-// deadline and must be refused. It returns nil if there is none; call it until
-// then.
+// Next returns the waiting request to start now, or one that can no longer meet its
+// deadline and must be refused. It returns nil if there is neither; the caller must
+// call Next until then.
 func (g *Gate) Next(now time.Time) (*Ticket, Verdict) {
-	t := g.queue.Peek(false)
-	if t != nil && !g.slotFree(t) {
-		t = g.queue.Peek(true)
+	request := g.queue.Peek(false)
+	if request != nil && !g.slotFree(request) {
+		request = g.queue.Peek(true)
 	}
-	if t == nil || !g.slotFree(t) {
+	if request == nil || !g.slotFree(request) {
 		return nil, Wait
 	}
-	if t.tooLate(now) {
-		g.remove(t)
-		return t, Shed
+	if request.tooLate(now) {
+		g.remove(request)
+		return request, Shed
 	}
-	g.queue.Take(t)
-	if !t.long {
+	g.queue.Take(request)
+	if !request.long {
 		g.shortWaiting--
 	}
-	g.start(t)
-	return t, Start
+	g.start(request)
+	return request, Start
 }
 
-func (g *Gate) slotFree(t *Ticket) bool {
+// slotFree reports whether a slot is free that the request may use.
+func (g *Gate) slotFree(request *Ticket) bool {
 	if g.running >= g.slots {
 		return false
 	}
-	return !t.long || g.runningLong < g.slots-g.ReservedSlots()
+	return !request.long || g.runningLong < g.slots-g.ReservedSlots()
 }
 
-func (g *Gate) start(t *Ticket) {
+func (g *Gate) start(request *Ticket) {
 	g.running++
-	if t.long {
+	if request.long {
 		g.runningLong++
 	}
 }
@@ -166,8 +168,8 @@
 	g.demandUpdatedAt = now
 }
 
-// decayWeight returns the weight, in an exponential moving average, of a value
-// that held for the time passed.
-func decayWeight(passed, window time.Duration) float64 {
-	return 1 - math.Exp(-passed.Seconds()/window.Seconds())
+// decayWeight returns the weight, in an exponential moving average with the given time
+// constant, of a value that held for the time passed.
+func decayWeight(passed, timeConstant time.Duration) float64 {
+	return 1 - math.Exp(-passed.Seconds()/timeConstant.Seconds())
 }
--- a/pkg/endpoint/gate_test.go
+++ b/pkg/endpoint/gate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func newShortTicket(now time.Time, priority int) *Ticket {
+func newShortRequest(now time.Time, priority int) *Ticket {
 	return NewTicket("short", "team", priority, now.Add(time.Second), time.Millisecond)
 }
 
@@ -22,10 +22,10 @@
 		for range 500 {
 			now = now.Add(time.Duration(random.IntN(5)) * time.Millisecond)
 			if random.IntN(2) == 0 {
-				ticket := newShortTicket(now, random.IntN(10))
-				ticket.SetLong(random.IntN(3) == 0)
-				if v, _, _ := g.Offer(now, ticket); v == Start {
-					running = append(running, ticket)
+				request := newShortRequest(now, random.IntN(10))
+				request.SetLong(random.IntN(3) == 0)
+				if v, _, _ := g.Offer(now, request); v == Start {
+					running = append(running, request)
 				}
 			} else if len(running) > 0 {
 				i := random.IntN(len(running))
@@ -33,12 +33,12 @@
 				running = append(running[:i], running[i+1:]...)
 			}
 			for {
-				ticket, v := g.Next(now)
-				if ticket == nil {
+				request, v := g.Next(now)
+				if request == nil {
 					break
 				}
 				if v == Start {
-					running = append(running, ticket)
+					running = append(running, request)
 				}
 			}
 			if got := len(running); got > limit || got != g.Running() {
@@ -55,8 +55,8 @@
 	var g Gate
 	g.SetLimits(1, 2)
 	now := time.Unix(1, 0)
-	low, high := newShortTicket(now, 1), newShortTicket(now, 9)
-	g.Offer(now, newShortTicket(now, 5))
+	low, high := newShortRequest(now, 1), newShortRequest(now, 9)
+	g.Offer(now, newShortRequest(now, 5))
 	g.Offer(now, low)
 	verdict, victim, _ := g.Offer(now, high)
 	if got, want := verdict, Wait; got != want {
@@ -65,7 +65,7 @@
 	if got, want := victim, low; got != want {
 		t.Errorf("victim: got %v, want %v", got, want)
 	}
-	verdict, _, _ = g.Offer(now, newShortTicket(now, 1))
+	verdict, _, _ = g.Offer(now, newShortRequest(now, 1))
 	if got, want := verdict, Shed; got != want {
 		t.Errorf("unimportant request at a full gate: got %v, want %v", got, want)
 	}
@@ -86,7 +86,7 @@
 	if got, want := started, 7; got != want {
 		t.Errorf("long requests started: got %d, want %d", got, want)
 	}
-	if got, _, _ := g.Offer(now, newShortTicket(now, 5)); got != Start {
+	if got, _, _ := g.Offer(now, newShortRequest(now, 5)); got != Start {
 		t.Errorf("short request behind long ones: got %v, want %v", got, Start)
 	}
 }
@@ -102,12 +102,12 @@
 	}
 	got := make(map[string]int)
 	for range 10 {
-		ticket := q.Peek(false)
-		q.Take(ticket)
-		got[ticket.team]++
+		request := q.Peek(false)
+		q.Take(request)
+		got[request.team]++
 	}
 	if want := 5; got["modest"] != want {
-		t.Errorf("tickets of the modest team among the first ten: got %d, want %d", got["modest"], want)
+		t.Errorf("requests of the modest team among the first ten: got %d, want %d", got["modest"], want)
 	}
 }
 
--- a/pkg/endpoint/health.go
+++ b/pkg/endpoint/health.go
@@ -24,23 +24,25 @@
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
 	// probeSuccesses is how many probes must succeed before an ejected endpoint
-	// is readmitted.
+	// gets its share of requests again.
 	probeSuccesses = 3
 )
 
 // health is an endpoint's failure record.
 type health struct {
-	failureRate  float64
-	samples      int
+	failureRate float64
+	samples     int
+	// ejections is the number of ejections less the number of probations passed.
 	ejections    int
 	ejectedUntil time.Time
-	// probesLeft is the number of successful probes until readmission; 0 means
-	// that the endpoint is not ejected.
+	// probesLeft is the number of probes that must still succeed before the endpoint
+	// gets its share of requests again; 0 means that the endpoint is neither ejected
+	// nor on probation.
 	probesLeft int
 }
 
-// Ejected reports whether the endpoint currently gets no requests because it
-// failed.
+// Ejected reports whether the endpoint currently gets no requests because earlier
+// requests to it failed.
 func (e *Endpoint) Ejected(now time.Time) bool { return now.Before(e.health.ejectedUntil) }
 
 // Probing reports whether the endpoint is on probation after an ejection: it
@@ -64,8 +66,8 @@
 }
 
 // RecordFailure records a failed request of the endpoint, and reports whether the
-// endpoint was ejected for it. None is ejected while the service as a whole
-// fails, or while too many others are out.
+// endpoint was ejected for it. No endpoint is ejected while the service as a whole
+// fails, or while too many other endpoints are ejected or on probation.
 func (t *Table) RecordFailure(now time.Time, random *rand.Rand, e *Endpoint) bool {
 	h := &e.health
 	h.samples++
--- a/pkg/endpoint/rate.go
+++ b/pkg/endpoint/rate.go
@@ -8,8 +8,8 @@
 const (
 	// rateTimeConstant is the time constant of a rate's moving average.
 	rateTimeConstant = 2 * time.Second
-	// minSlotShare is the least share of all slots that the work of a level is
-	// assumed to get.
+	// minSlotShare is the least share of all slots that the work of one level of the
+	// queue is assumed to get.
 	minSlotShare = 0.05
 )
 
@@ -32,7 +32,7 @@
 }
 
 // value returns the rate. A rate that was first used less than its time constant
-// ago is scaled up to what it would be if the work had always come like this.
+// ago is scaled up to what it would be if work had always been started at this rate.
 func (r *workRate) value(now time.Time) float64 {
 	if r.firstAt.IsZero() {
 		return 0
@@ -40,6 +40,7 @@
 	return r.decayed(now) / max(decayWeight(now.Sub(r.firstAt), rateTimeConstant), decayWeight(rateTimeConstant/10, rateTimeConstant))
 }
 
+// decayed returns the sum after its exponential decay since the last update.
 func (r *workRate) decayed(now time.Time) float64 {
 	if passed := now.Sub(r.updatedAt); passed > 0 {
 		return r.sum * math.Exp(-passed.Seconds()/rateTimeConstant.Seconds())
--- a/pkg/endpoint/router.go
+++ b/pkg/endpoint/router.go
@@ -11,8 +11,8 @@
 	// maxQueuedPerEndpoint is how many requests may wait at an entry for each
 	// endpoint.
 	maxQueuedPerEndpoint = 64
-	// maxWaitDivisor bounds a request's expected wait to this fraction of the
-	// time until it must start: one in so many. Longer waits would fill the slots
+	// maxWaitDivisor bounds a request's expected wait to this fraction of the time
+	// until the request must start: one in so many. Longer waits would fill the slots
 	// with work that ends too late.
 	maxWaitDivisor = 2
 	// minRetryAfter is the least time after which a refused caller may try again.
@@ -27,7 +27,8 @@
 	times  ServiceTimes
 	queue  Queue
 	budget RetryBudget
-	// startRates holds the rate of work started of each level of the queue.
+	// startRates holds, for each level of the queue, the rate at which its work is
+	// started.
 	startRates [2 * (maxPriority + 1)]workRate
 }
 
@@ -36,9 +37,10 @@
 	Verdict  Verdict
 	Endpoint *Endpoint
 	Reason   string
-	// RetryAfter is when the caller of a refused request may try again.
+	// RetryAfter is how long the caller of a refused request should wait before it
+	// tries again.
 	RetryAfter time.Duration
-	// Victim was waiting and is now refused to make room, or is nil.
+	// Victim is a request that was waiting and is now refused to make room, or nil.
 	Victim *Ticket
 }
 
@@ -51,23 +53,23 @@
 // Waiting returns the number of waiting requests.
 func (r *Router) Waiting() int { return r.queue.Len() }
 
-// NewTicket returns a ticket for a request; declared is the service time that is
-// declared for its class.
+// NewTicket returns the slot request of a request with these properties; declared is the
+// service time that is declared for its class.
 func (r *Router) NewTicket(now time.Time, class, team string, priority int, deadline time.Time, declared time.Duration) *Ticket {
 	mean, long := r.times.Estimate(class, declared)
-	t := NewTicket(class, team, priority, deadline, mean)
-	t.long = long
-	t.startMargin = max(mean, min(r.times.StartMargin(class), t.deadline.Sub(now)/2))
-	return t
+	request := NewTicket(class, team, priority, deadline, mean)
+	request.long = long
+	request.startMargin = max(mean, min(r.times.StartMargin(class), request.deadline.Sub(now)/2))
+	return request
 }
 
-// Offer sends, queues or refuses a request; skip names an endpoint to avoid, or
-// is "".
-func (r *Router) Offer(now time.Time, random *rand.Rand, t *Ticket, skip string) Decision {
-	if r.queue.Peek(!t.long) == nil {
-		e, reason, err := r.place(now, random, t, skip)
+// Offer decides whether to send, queue or refuse a request; skip names an endpoint to
+// avoid, or is "".
+func (r *Router) Offer(now time.Time, random *rand.Rand, request *Ticket, skip string) Decision {
+	if r.queue.Peek(!request.long) == nil {
+		e, reason, err := r.place(now, random, request, skip)
 		if err == nil {
-			r.startRates[levelOf(t)].add(now, t.serviceTime)
+			r.startRates[levelOf(request)].add(now, request.serviceTime)
 			return Decision{Verdict: Start, Endpoint: e, Reason: reason}
 		}
 		if errors.Is(err, ErrNoEndpoint) {
@@ -77,81 +79,82 @@
 	if !r.table.HasUsable(now) {
 		return Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
 	}
-	wait := r.queueWait(now, t)
-	if wait > t.LatestStart().Sub(now)/maxWaitDivisor {
+	wait := r.queueWait(now, request)
+	if wait > request.LatestStart().Sub(now)/maxWaitDivisor {
 		return Decision{Verdict: Shed, Reason: "the expected wait is too long for the deadline", RetryAfter: max(wait, minRetryAfter)}
 	}
 	var victim *Ticket
 	if r.queue.Len() >= maxQueuedPerEndpoint*r.table.Len() {
 		victim = r.queue.ShedCandidate()
-		if levelOf(victim) <= levelOf(t) {
+		if levelOf(victim) <= levelOf(request) {
 			return Decision{Verdict: Shed, Reason: "the queue is full", RetryAfter: max(wait, minRetryAfter)}
 		}
 		r.queue.Remove(victim)
 	}
-	r.queue.Push(t)
+	r.queue.Push(request)
 	return Decision{Verdict: Wait, Reason: ErrBusy.Error(), Victim: victim}
 }
 
 // Cancel removes a waiting request and reports whether it was waiting.
-func (r *Router) Cancel(t *Ticket) bool { return r.queue.Remove(t) }
+func (r *Router) Cancel(request *Ticket) bool { return r.queue.Remove(request) }
 
-// Next returns the waiting request to send now and its endpoint, or one to
-// refuse. The ticket is nil if there is none; call Next until then.
+// Next returns the waiting request to send now and its endpoint, or one to refuse. It
+// returns a nil request if there is neither; the caller must call Next until then.
 func (r *Router) Next(now time.Time, random *rand.Rand) (*Ticket, Decision) {
-	t := r.queue.Peek(false)
-	if t == nil {
+	request := r.queue.Peek(false)
+	if request == nil {
 		return nil, Decision{Verdict: Wait}
 	}
-	if t.tooLate(now) {
-		r.queue.Remove(t)
-		return t, Decision{Verdict: Shed, Reason: "the deadline is too near", RetryAfter: minRetryAfter}
+	if request.tooLate(now) {
+		r.queue.Remove(request)
+		return request, Decision{Verdict: Shed, Reason: "the deadline is too near", RetryAfter: minRetryAfter}
 	}
-	e, reason, err := r.place(now, random, t, "")
+	e, reason, err := r.place(now, random, request, "")
 	if errors.Is(err, ErrNoEndpoint) {
-		r.queue.Remove(t)
-		return t, Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
+		r.queue.Remove(request)
+		return request, Decision{Verdict: Shed, Reason: ErrNoEndpoint.Error(), RetryAfter: minRetryAfter}
 	}
-	if err != nil && t.long {
-		if t = r.queue.Peek(true); t != nil && !t.tooLate(now) {
-			e, reason, err = r.place(now, random, t, "")
+	if err != nil && request.long {
+		if request = r.queue.Peek(true); request != nil && !request.tooLate(now) {
+			e, reason, err = r.place(now, random, request, "")
 		}
 	}
-	if err != nil || t == nil {
+	if err != nil || request == nil {
 		return nil, Decision{Verdict: Wait}
 	}
-	r.queue.Take(t)
-	r.startRates[levelOf(t)].add(now, t.serviceTime)
-	return t, Decision{Verdict: Start, Endpoint: e, Reason: reason}
+	r.queue.Take(request)
+	r.startRates[levelOf(request)].add(now, request.serviceTime)
+	return request, Decision{Verdict: Start, Endpoint: e, Reason: reason}
 }
 
-// place chooses an endpoint. Short work waits instead of going to a slow
-// endpoint if that is expected to be faster.
-func (r *Router) place(now time.Time, random *rand.Rand, t *Ticket, skip string) (*Endpoint, string, error) {
-	e, reason, err := r.table.Choose(now, random, t, skip)
-	if err != nil || t.long {
+// place chooses an endpoint for a request; skip names an endpoint to avoid, or is "".
+// It returns ErrBusy instead of a slow endpoint if short work is expected to end sooner
+// by waiting for another one.
+func (r *Router) place(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
+	e, reason, err := r.table.Choose(now, random, request, skip)
+	if err != nil || request.long {
 		return e, reason, err
 	}
 	slowness := e.Slowness(now)
 	if slowness < slowThreshold || r.effectiveEndpoints(now)-1/slowness < 1 {
 		return e, reason, nil
 	}
-	extra := time.Duration((slowness - 1) * float64(t.serviceTime))
-	if r.queueWait(now, t) >= extra {
+	extra := time.Duration((slowness - 1) * float64(request.serviceTime))
+	if r.queueWait(now, request) >= extra {
 		return e, reason, nil
 	}
-	r.table.Done(e, t)
+	r.table.Done(e, request)
 	return nil, "", ErrBusy
 }
 
-// queueWait estimates how long a request like t waits in the queue: the work of
-// more important levels is served by all slots, that of its own level at the
-// rate at which work of that level was started recently.
-func (r *Router) queueWait(now time.Time, t *Ticket) time.Duration {
+// queueWait estimates how long a request waits in the queue: the work of
+// more important levels is served by all slots, the work of the request's
+// own level at the rate at which work of that level was started recently.
+func (r *Router) queueWait(now time.Time, request *Ticket) time.Duration {
 	capacity := max(r.effectiveSlots(now), 1)
-	l := levelOf(t)
-	own := r.queue.levels[l].queuedWork + t.serviceTime
-	ahead := r.queue.WorkAhead(t) + t.serviceTime - own
+	l := levelOf(request)
+	own := r.queue.levels[l].queuedWork + request.serviceTime
+	ahead := r.queue.WorkAhead(request) + request.serviceTime - own
 	speed := min(max(r.startRates[l].value(now), minSlotShare*capacity), capacity)
 	return time.Duration(float64(ahead)/capacity + float64(own)/speed)
 }
@@ -180,12 +183,12 @@
 	return sum
 }
 
-// Done records that a request sent to e has ended.
-func (r *Router) Done(e *Endpoint, t *Ticket) { r.table.Done(e, t) }
+// Done records that a request sent to the endpoint e has ended.
+func (r *Router) Done(e *Endpoint, request *Ticket) { r.table.Done(e, request) }
 
 // RecordServiceTime records the service time of a request at an endpoint.
-func (r *Router) RecordServiceTime(now time.Time, e *Endpoint, class string, took time.Duration) {
-	mean, _ := r.times.Estimate(class, took)
-	r.table.RecordServiceTime(now, e, took, mean)
-	r.times.Observe(class, took)
+func (r *Router) RecordServiceTime(now time.Time, e *Endpoint, class string, serviceTime time.Duration) {
+	mean, _ := r.times.Estimate(class, serviceTime)
+	r.table.RecordServiceTime(now, e, serviceTime, mean)
+	r.times.Observe(class, serviceTime)
 }
--- a/pkg/endpoint/router_test.go
+++ b/pkg/endpoint/router_test.go
@@ -57,8 +57,8 @@
 			case "offer":
 				w.offer(i, step.Class, max(step.Times, 1), step.Want, step.Among, step.Most)
 			case "done":
-				for _, ticket := range w.inFlight[step.Endpoint] {
-					w.router.Done(w.router.table.byName[step.Endpoint], ticket)
+				for _, request := range w.inFlight[step.Endpoint] {
+					w.router.Done(w.router.table.byName[step.Endpoint], request)
 				}
 				w.inFlight[step.Endpoint] = nil
 			case "fail":
@@ -76,6 +76,8 @@
 	})
 }
 
+// offer offers requests of a class to the router and checks the verdict on each of them,
+// the endpoints chosen, and that none gets more than most requests (0 for no limit).
 func (w *routeRunner) offer(step int, class string, times int, want string, among []string, most int) {
 	w.t.Helper()
 	declared := 10 * time.Millisecond
@@ -84,8 +86,8 @@
 	}
 	got := make(map[string]int)
 	for range times {
-		ticket := w.router.NewTicket(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
-		d := w.router.Offer(w.now, w.random, ticket, "")
+		request := w.router.NewTicket(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
+		d := w.router.Offer(w.now, w.random, request, "")
 		if d.Verdict.String() != want {
 			w.t.Errorf("step %d: got %v (%s), want %s", step, d.Verdict, d.Reason, want)
 		}
@@ -94,7 +96,7 @@
 		}
 		name := d.Endpoint.Name()
 		got[name]++
-		w.inFlight[name] = append(w.inFlight[name], ticket)
+		w.inFlight[name] = append(w.inFlight[name], request)
 		if among != nil && !slices.Contains(among, name) {
 			w.t.Errorf("step %d: got endpoint %s, want one of %v", step, name, among)
 		}
--- a/pkg/endpoint/service_times.go
+++ b/pkg/endpoint/service_times.go
@@ -22,13 +22,14 @@
 }
 
 type classTime struct {
-	mean      time.Duration
+	mean time.Duration
+	// deviation is the mean absolute deviation from the mean.
 	deviation time.Duration
 	long      bool
 }
 
-// Estimate returns the mean service time of a class and whether it is long work;
-// declared is used until a service time was observed.
+// Estimate returns the mean service time of a class and whether the class is long work.
+// The declared service time serves as the mean until one has been observed.
 func (t *ServiceTimes) Estimate(class string, declared time.Duration) (mean time.Duration, long bool) {
 	c, ok := t.classes[class]
 	if !ok {
@@ -37,15 +38,15 @@
 	return c.mean, c.long
 }
 
-// Observe records the service time of one request.
-func (t *ServiceTimes) Observe(class string, took time.Duration) {
+// Observe records the service time of one request of a class.
+func (t *ServiceTimes) Observe(class string, serviceTime time.Duration) {
 	c, ok := t.classes[class]
 	if !ok {
-		t.add(class, took)
+		t.add(class, serviceTime)
 		return
 	}
-	c.deviation += time.Duration(meanWeight * float64((took-c.mean).Abs()-c.deviation))
-	c.mean += time.Duration(meanWeight * float64(took-c.mean))
+	c.deviation += time.Duration(meanWeight * float64((serviceTime-c.mean).Abs()-c.deviation))
+	c.mean += time.Duration(meanWeight * float64(serviceTime-c.mean))
 	t.classifyLong()
 }
 
@@ -59,6 +60,7 @@
 	return c.mean + startMarginDeviations*c.deviation
 }
 
+// add adds a class with the given mean service time.
 func (t *ServiceTimes) add(class string, mean time.Duration) *classTime {
 	if t.classes == nil {
 		t.classes = make(map[string]*classTime)
--- a/pkg/endpoint/spill.go
+++ b/pkg/endpoint/spill.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minSavedRoundTrips is how many times the round trip to another data centre
-	// the wait here must be for a request to be sent there.
+	// minSavedRoundTrips is the least ratio of the expected wait in this data centre
+	// to the round trip to another one at which a request is sent to the other one.
 	minSavedRoundTrips = 2
 	// loadStaleAfter is how long a data centre's reported load is used.
 	loadStaleAfter = 3 * time.Second
@@ -18,9 +18,10 @@
 	DataCentre string
 	// Slots is the number of slots of the endpoints that take requests.
 	Slots int
-	// InFlight is the number of requests that run or wait there.
+	// InFlight is the number of requests that run or wait in the data centre.
 	InFlight int
-	// Entries is the number of entries that may send requests there. An entry is
+	// Entries is the number of entries that may send requests to the data centre. An
+	// entry is
 	// a process that accepts requests from callers.
 	Entries int
 	// RoundTrip is the network round-trip time.
@@ -36,8 +37,9 @@
 type remoteDataCentre struct {
 	load         DataCentreLoad
 	lastReportAt time.Time
-	// ownInFlight is the number of this process's own requests in flight there,
-	// and ownReported that of those which the reported load includes.
+	// ownInFlight is the number of this process's own requests in flight in the data
+	// centre, and ownReported how many of them were in flight when the load was
+	// received, so that the load includes them.
 	ownInFlight, ownReported int
 }
 
@@ -53,11 +55,11 @@
 	n.dataCentres = append(n.dataCentres, remoteDataCentre{load: load, lastReportAt: now})
 }
 
-// Spill returns the data centre to which a request should be sent instead of
-// waiting here, or "", and the reason. The wait saved must exceed the cost of
-// the link by a margin. Each process uses no more than its part of the free
-// slots at a time, so that the entries do not overload one data centre together.
-// The caller must call Done when the request has ended.
+// Spill returns the data centre to which a request should be sent instead of waiting
+// for the given time in this one, or "", and the reason. The wait must be at least
+// minSavedRoundTrips times the round trip. Each entry uses no more than its part of the
+// free slots of the other data centre, so that the entries together do not overload
+// that one. The caller must call Done when the request has ended.
 func (n *RemoteDataCentres) Spill(now time.Time, random *rand.Rand, wait time.Duration) (dataCentre, reason string) {
 	free := 0
 	for i := range n.dataCentres {
@@ -77,7 +79,7 @@
 	return "", ""
 }
 
-// Done records that a request sent to a data centre has ended.
+// Done records that a request sent to a data centre, which Spill returned, has ended.
 func (n *RemoteDataCentres) Done(dataCentre string) {
 	for i := range n.dataCentres {
 		if n.dataCentres[i].load.DataCentre == dataCentre {
@@ -86,7 +88,8 @@
 	}
 }
 
-// sendable returns how many more requests may be sent there now.
+// sendable returns how many more requests may now be sent to the data centre, given how
+// long they would wait in this one.
 func (d *remoteDataCentre) sendable(now time.Time, wait time.Duration) int {
 	if now.Sub(d.lastReportAt) > loadStaleAfter || wait < minSavedRoundTrips*d.load.RoundTrip {
 		return 0
--- a/pkg/endpoint/spill_test.go
+++ b/pkg/endpoint/spill_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// TestSpillCountsReportedRequestsOnce checks that a request that the reported
-// load already includes does not use a second slot of this process's part.
+// TestSpillCountsReportedRequestsOnce checks that a request that is already in the load
+// reported by the other data centre is not subtracted a second time from this entry's
+// share of the free slots there.
 func TestSpillCountsReportedRequestsOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.UnixMilli(1_000_000)
--- a/pkg/endpoint/table.go
+++ b/pkg/endpoint/table.go
@@ -27,7 +27,7 @@
 
 // Load is the number of requests at an endpoint.
 type Load struct {
-	// InFlight is the number of requests that run or wait there.
+	// InFlight is the number of requests that run or wait at the endpoint.
 	InFlight int
 	// Long is how many of these are long work.
 	Long int
@@ -45,9 +45,11 @@
 	Address string
 	// Incarnation increases with each start of the agent.
 	Incarnation uint64
-	// Mark increases with each report of an incarnation. Attempts carry the
-	// newest one, so that the agent can tell whether it may have forgotten them.
-	Mark     uint64
+	// Mark increases with each report of an incarnation. An attempt carries the
+	// newest mark that its sender has received, so that the agent can tell whether
+	// it may have forgotten the attempt.
+	Mark uint64
+	// Slots is the number of requests that the endpoint processes at once.
 	Slots    int
 	Load     Load
 	Draining bool
@@ -55,7 +57,7 @@
 
 // Durations used by the table.
 const (
-	// StaleAfter is how long an endpoint is used after its last report.
+	// StaleAfter is how long after its last report an endpoint still gets requests.
 	StaleAfter = 5 * time.Second
 	// slowStartDuration is how long a restarted endpoint takes to reach its full
 	// share.
@@ -69,22 +71,25 @@
 type Endpoint struct {
 	report       Report
 	lastReportAt time.Time
-	// ownInFlight is the number of this process's own requests in flight there.
+	// ownInFlight is the number of this process's own requests in flight at the
+	// endpoint; ownLong counts those that are long work.
 	ownInFlight, ownLong int
-	// otherInFlight is the number of other processes' requests as of the newest
-	// report or response.
+	// otherInFlight is the number of other processes' requests in flight at the
+	// endpoint as of the newest report or response; otherLong counts those that are
+	// long work.
 	otherInFlight, otherLong int
 	// inFlightLimit is lowered by refusals; 0 means that only the slots limit the
 	// requests in flight.
 	inFlightLimit float64
-	// slowness is the endpoint's service time as a multiple of that elsewhere; 0
-	// means 1.
+	// slowness is the endpoint's service time as a multiple of the mean for the
+	// same class of requests over all endpoints, as of slownessUpdatedAt; 0 means 1.
 	slowness          float64
 	slownessUpdatedAt time.Time
 	// slowStartBegan is when the slow start of a cold endpoint began.
 	slowStartBegan time.Time
-	cold           bool
-	health         health
+	// cold is set while the endpoint is in its slow start.
+	cold   bool
+	health health
 }
 
 // Name returns the endpoint's name.
@@ -99,10 +104,10 @@
 // Incarnation returns the agent's incarnation.
 func (e *Endpoint) Incarnation() uint64 { return e.report.Incarnation }
 
-// Mark returns the mark of the newest report.
+// Mark returns the mark of the newest report; see Report.Mark.
 func (e *Endpoint) Mark() uint64 { return e.report.Mark }
 
-// InFlight returns the estimated number of requests in flight there.
+// InFlight returns the estimated number of requests in flight at the endpoint.
 func (e *Endpoint) InFlight() int { return e.ownInFlight + e.otherInFlight }
 
 // Slots returns the number of requests that the endpoint processes at once.
@@ -139,9 +144,9 @@
 	if !ok || r.Incarnation > old.Incarnation {
 		e.resetStats(now, now.Sub(t.createdAt) > initialWarmPeriod)
 	}
-	leaving := r.Draining || ok && r.Incarnation == old.Incarnation && old.Draining
+	draining := r.Draining || ok && r.Incarnation == old.Incarnation && old.Draining
 	e.report = r
-	e.report.Draining = leaving
+	e.report.Draining = draining
 	e.lastReportAt = now
 	e.updateLoad(r.Load)
 }
@@ -155,8 +160,9 @@
 	e.cold = cold
 }
 
-// UpdateLoad records the load that a response carried; that load does not include the
-// answered request, which must still be counted as in flight.
+// UpdateLoad records the load of the endpoint that a response carried. The load does
+// not include the request that was answered; the caller must not have called Done for
+// it yet.
 func (t *Table) UpdateLoad(e *Endpoint, load Load) {
 	e.ownInFlight--
 	e.updateLoad(load)
@@ -202,25 +208,25 @@
 // pruneAfter is how long after its last report an endpoint stays in the table.
 const pruneAfter = 10 * time.Minute
 
-// Choose returns the endpoint for a ticket and the reason; skip names an
-// endpoint to avoid, or is "". The caller must call Done when the request has
-// ended.
-func (t *Table) Choose(now time.Time, random *rand.Rand, ticket *Ticket, skip string) (*Endpoint, string, error) {
-	e, reason, err := t.pick(now, random, ticket, skip)
+// Choose returns the endpoint to which the request should be sent and the reason for
+// the choice. skip names an endpoint to avoid, or is "". The request then counts as in
+// flight at the endpoint until the caller calls t.Done.
+func (t *Table) Choose(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
+	e, reason, err := t.pick(now, random, request, skip)
 	if err != nil {
 		return nil, reason, err
 	}
 	e.ownInFlight++
-	if ticket.long {
+	if request.long {
 		e.ownLong++
 	}
 	return e, reason, nil
 }
 
-// Done records that a request sent to e has ended.
-func (t *Table) Done(e *Endpoint, ticket *Ticket) {
+// Done records that the request, for which Choose returned e, has ended.
+func (t *Table) Done(e *Endpoint, request *Ticket) {
 	e.ownInFlight--
-	if ticket.long {
+	if request.long {
 		e.ownLong--
 	}
 }
