--- a/pkg/job/ended.go
+++ b/pkg/job/ended.go
@@ -12,13 +12,13 @@
 }
 
 func (sm *StateMachine) addEnded(j *Job) {
-	sm.ended = append(sm.ended, endedJob{id: j.spec.ID, position: j.ended})
+	sm.ended = append(sm.ended, endedJob{id: j.spec.ID, position: j.endPosition})
 }
 
 // stillKnown reports whether the state still contains a listed job.
 func (sm *StateMachine) stillKnown(e endedJob) bool {
 	j, ok := sm.jobs[e.id]
-	return ok && j.ended == e.position
+	return ok && j.endPosition == e.position
 }
 
 func (sm *StateMachine) trimEnded() {
--- a/pkg/job/failover.go
+++ b/pkg/job/failover.go
@@ -12,9 +12,10 @@
 // maxMovesPerDecision limits the number of jobs that one decision moves.
 const maxMovesPerDecision = 512
 
-// resubmitWithin is how long after a Move record its Submit record may still be
-// appended to the other stream. It is shorter than the time for which ended jobs
-// are kept, so the other stream still knows whether it has received the job.
+// resubmitWithin is how long after a Move record the Submit record with which the job
+// continues may still be appended to the stream of the other data centre. It is shorter
+// than the time for which ended jobs are kept, so the state of that stream still shows
+// whether it has received the job.
 const resubmitWithin = 30 * time.Minute
 
 // Failover decides how the open jobs of a lost data centre continue in another
@@ -37,14 +38,14 @@
 // detects the violation.
 func (o *Failover) SetFaults(f FailoverFaults) {
 	if f.NoWait {
-		o.reclaimer.SetRules(ReclaimerRules{TakeoverAt: func(_ lease.Terms, _, seen time.Time) time.Time { return seen }})
+		o.reclaimer.SetRules(ReclaimerRules{TakeoverAt: func(_ lease.Terms, _, seenAt time.Time) time.Time { return seenAt }})
 	}
 }
 
 // Decide returns the records to append to the stream of the lost data centre
 // and those to append to the stream of the local one. The states of the two
-// streams are lost and own; home is the local data centre. Jobs whose failover
-// target is another data centre are left to that one.
+// streams are lost and own; home is the local data centre. Jobs for whose
+// id target returns another data centre as the failover target are left to that one.
 func (o *Failover) Decide(now time.Time, lost, own *StateMachine, home string, target func(job string) string) (lostRecords []record.Message, submits []*record.Submit) {
 	if o.lastQueued == nil {
 		o.lastQueued = make(map[string]time.Time)
@@ -71,6 +72,7 @@
 	return lostRecords, submits
 }
 
+// move returns the Move record for a job that can be moved to home now, or nil.
 func (o *Failover) move(now time.Time, j *Job, home string, target func(string) string) record.Message {
 	if j.Ended() || j.cancelled || j.hasActiveTask() || target(j.spec.ID) != home || !o.allowQueue(now, j) {
 		return nil
@@ -86,6 +88,8 @@
 	return Resubmission(j)
 }
 
+// allowQueue reports whether a record about the job may be queued now. If so, it counts
+// a record as queued.
 func (o *Failover) allowQueue(now time.Time, j *Job) bool {
 	if at, ok := o.lastQueued[j.spec.ID]; ok && now.Sub(at) < requeueAfter {
 		return false
@@ -94,8 +98,8 @@
 	return true
 }
 
-// Pending reports whether a job that was moved to the data centre home still has
-// to be submitted there.
+// Pending reports whether any job that was moved out of the lost data centre to home
+// still has to be submitted to the stream of home, whose state is own.
 func (o *Failover) Pending(now time.Time, lost, own *StateMachine, home string) bool {
 	pending := false
 	lost.Each(func(j *Job) bool {
@@ -105,10 +109,10 @@
 	return pending
 }
 
-// needsResubmission reports whether a job was moved to home and is not known
-// there. A move that is not completed within resubmitWithin is abandoned: home
-// may have received the job, run it and dropped it since, and must not run it
-// again.
+// needsResubmission reports whether a job was moved to home and own, the state of the
+// stream of home, does not contain it yet. A move that is not completed within
+// resubmitWithin is abandoned: home may have received the job, run it and dropped it
+// since, and must not run it again.
 func needsResubmission(now time.Time, j *Job, own *StateMachine, home string) bool {
 	if j.MovedTo() != home || now.Sub(time.UnixMilli(j.endedMS)) > resubmitWithin {
 		return false
--- a/pkg/job/failover_test.go
+++ b/pkg/job/failover_test.go
@@ -13,11 +13,14 @@
 type streams struct {
 	lost, own StateMachine
 	offsets   [2]uint64
-	// releasedAfter is the time from the newest revocation to its release.
+	// revokedAt is when the newest Revoke record was applied, and releasedAfter the
+	// time from then to the newest Released record.
 	revokedAt     time.Time
 	releasedAfter time.Duration
 }
 
+// apply appends records to the stream of the lost data centre and submissions to the
+// other stream, and applies both.
 func (s *streams) apply(now time.Time, lostRecords []record.Message, submits []*record.Submit) {
 	for _, m := range lostRecords {
 		switch m.(type) {
@@ -59,19 +62,21 @@
 	return s
 }
 
-func drive(s *streams, o *Failover, start time.Time, span time.Duration, target func(string) string) {
+// runFailover lets a Failover of dc-1 decide every 500 ms from start on, for the given
+// span, and applies the records. target returns the failover target of a job.
+func runFailover(s *streams, o *Failover, start time.Time, span time.Duration, target func(string) string) {
 	for now := start; now.Sub(start) < span; now = now.Add(500 * time.Millisecond) {
 		lostRecords, submits := o.Decide(now, &s.lost, &s.own, "dc-1", target)
 		s.apply(now, lostRecords, submits)
 	}
 }
 
-func toOne(string) string { return "dc-1" }
+func targetDC1(string) string { return "dc-1" }
 
 func TestFailoverMovesOpenJobs(t *testing.T) {
 	s := lostStreams(4)
 	start := time.UnixMilli(1_000_000)
-	drive(s, new(Failover), start, 30*time.Second, toOne)
+	runFailover(s, new(Failover), start, 30*time.Second, targetDC1)
 	if got, want := s.own.Len(), 4; got != want {
 		t.Errorf("jobs moved: got %d, want %d", got, want)
 	}
@@ -91,7 +96,7 @@
 	s := lostStreams(2)
 	o := new(Failover)
 	o.SetFaults(FailoverFaults{NoWait: true})
-	drive(s, o, time.UnixMilli(1_000_000), 30*time.Second, toOne)
+	runFailover(s, o, time.UnixMilli(1_000_000), 30*time.Second, targetDC1)
 	if s.releasedAfter > failoverTakeover {
 		t.Errorf("release of a failover that does not wait: got %s, want at most %s", s.releasedAfter, failoverTakeover)
 	}
@@ -99,7 +104,7 @@
 
 func TestFailoverLeavesJobsOfOtherTargets(t *testing.T) {
 	s := lostStreams(4)
-	drive(s, new(Failover), time.UnixMilli(1_000_000), 30*time.Second, func(id string) string {
+	runFailover(s, new(Failover), time.UnixMilli(1_000_000), 30*time.Second, func(id string) string {
 		if id == "job-2" {
 			return "dc-1"
 		}
@@ -111,9 +116,9 @@
 }
 
 // TestFailoverFinishesMoves covers an entry that dies after it has appended a Move
-// record and before the Submit record: the submission is made up for. A move older
-// than resubmitWithin is left alone, since the target may have received the job
-// and dropped it since.
+// record and before the Submit record: another entry must append the Submit record. A
+// move older than resubmitWithin is left alone, since the failover target may have
+// received the job and dropped it since.
 func TestFailoverFinishesMoves(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -127,7 +132,7 @@
 		start := time.UnixMilli(1_000_000)
 		move := &record.Move{Job: "job-2", To: "dc-1", AtMS: start.UnixMilli()}
 		s.apply(start, []record.Message{move}, nil)
-		drive(s, new(Failover), start.Add(test.after), 10*time.Second, func(string) string { return "dc-3" })
+		runFailover(s, new(Failover), start.Add(test.after), 10*time.Second, func(string) string { return "dc-3" })
 		if got := s.own.Len(); got != test.want {
 			t.Errorf("%s: jobs submitted: got %d, want %d", test.name, got, test.want)
 		}
--- a/pkg/job/heartbeat.go
+++ b/pkg/job/heartbeat.go
@@ -8,7 +8,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// forgetSilentAfter is how long the state of a silent agent or worker is kept.
+// forgetSilentAfter is how long after its last contact the state of an agent or worker
+// is kept.
 const forgetSilentAfter = 10 * time.Minute
 
 // Heartbeat is the part of an agent's heartbeat that concerns its worker's tasks.
@@ -20,13 +21,14 @@
 	Round uint64
 	// Ready means that the agent can start tasks.
 	Ready bool
-	// Primary asks this entry to queue the records that the reports call for.
+	// Primary is set if the agent asks this entry, and no other, to queue the records
+	// that the reports call for.
 	Primary bool
 	Reports []lease.Report
 }
 
-// HeartbeatResponder decides at an entry (a process that accepts and schedules work) what an
-// agent is told about the log in reply to its heartbeat, and which records its
+// HeartbeatResponder decides at an entry (a process that accepts and schedules work)
+// what an agent is told about the log in reply to its heartbeat, and which records its
 // reports call for. The zero value has not read the log.
 type HeartbeatResponder struct {
 	// lastReadBegan is when the newest read of the log that was applied in full began.
@@ -37,20 +39,22 @@
 	rules         HeartbeatResponderRules
 }
 
-// HeartbeatResponderRules are the rules on which the safety of these decisions depends. A nil field
-// stands for the rule of the protocol. The schedule explorer replaces a rule to
-// prove that it detects the resulting failure.
+// HeartbeatResponderRules are the rules on which the safety of a HeartbeatResponder's
+// decisions depends. A nil field stands for the rule of the protocol. The schedule
+// explorer replaces a rule to prove that it detects the resulting failure.
 type HeartbeatResponderRules struct {
 	// HeartbeatRound returns the agent's newest round whose heartbeat was received before
-	// a read of the log that began at the given time.
-	HeartbeatRound func(h *lease.HeartbeatTracker, began time.Time) uint64
+	// a read of the log that began at readBegan.
+	HeartbeatRound func(tracker *lease.HeartbeatTracker, readBegan time.Time) uint64
 }
 
-func (r *HeartbeatResponderRules) heartbeatRound(h *lease.HeartbeatTracker, began time.Time) uint64 {
+// heartbeatRound applies the rule HeartbeatRound, or the rule of the protocol if it is
+// nil.
+func (r *HeartbeatResponderRules) heartbeatRound(tracker *lease.HeartbeatTracker, readBegan time.Time) uint64 {
 	if r.HeartbeatRound != nil {
-		return r.HeartbeatRound(h, began)
+		return r.HeartbeatRound(tracker, readBegan)
 	}
-	return h.NewestRoundBefore(began)
+	return tracker.NewestRoundBefore(readBegan)
 }
 
 // SetRules replaces rules of the protocol, for the schedule explorer.
@@ -63,17 +67,17 @@
 	lastHeartbeat time.Time
 }
 
-// NoteRead notes that every record that was in the log when a read began has been
-// applied.
-func (r *HeartbeatResponder) NoteRead(began time.Time) { r.lastReadBegan = began }
+// NoteRead notes that every record that was in the log at readBegan, when a read of it
+// began, has been applied.
+func (r *HeartbeatResponder) NoteRead(readBegan time.Time) { r.lastReadBegan = readBegan }
 
 // LastReadBegan returns when the newest completed read of the log began, or the zero
 // time before the first.
 func (r *HeartbeatResponder) LastReadBegan() time.Time { return r.lastReadBegan }
 
 // Respond returns what the log says about the heartbeat's worker, and the records
-// that the heartbeat's reports call for. The reading is empty until the log has
-// been read once, and for a heartbeat of an agent that has been replaced.
+// that the heartbeat's reports call for. The log reading is empty until the log
+// has been read once, and for a heartbeat of an agent that has been replaced.
 func (r *HeartbeatResponder) Respond(now time.Time, sm *StateMachine, hb *Heartbeat) (lease.LogReading, []record.Message) {
 	a := r.agent(now, hb)
 	if hb.Incarnation < a.incarnation || r.lastReadBegan.IsZero() {
@@ -87,9 +91,9 @@
 	return reading, records
 }
 
-// agent returns the state of the heartbeat's agent. Incarnations come from a
-// clock. If the clock went back before an agent was replaced, the new agent has
-// the lower incarnation; it is accepted once its predecessor has been silent for
+// agent returns the state of the heartbeat's agent. Incarnations come from a clock. If
+// the clock went back before an agent was replaced, the new agent has the lower
+// incarnation; the new agent is accepted once its predecessor has been silent for
 // longer than LostAfter.
 func (r *HeartbeatResponder) agent(now time.Time, hb *Heartbeat) *agentState {
 	if r.agents == nil {
@@ -108,6 +112,7 @@
 	return a
 }
 
+// prune drops the state of agents whose last heartbeat is older than forgetSilentAfter.
 func (r *HeartbeatResponder) prune(now time.Time) {
 	if now.Sub(r.prunedAt) < forgetSilentAfter {
 		return
@@ -178,7 +183,7 @@
 }
 
 // addOrders adds orders for the worker's tasks that the heartbeat does not
-// report: to start those assigned to it, and to stop those revoked.
+// report: to start the tasks assigned to the worker, and to stop the revoked ones.
 func addOrders(sm *StateMachine, hb *Heartbeat, reading *lease.LogReading) {
 	reported := make(map[record.AssignmentID]bool, len(hb.Reports))
 	for i := range hb.Reports {
--- a/pkg/job/reclaimer.go
+++ b/pkg/job/reclaimer.go
@@ -25,11 +25,14 @@
 
 // Reclaimer decides at an entry when the tasks of silent workers are revoked, and
 // when revoked tasks are released so that they can start on another worker. The
-// zero value is ready for use; silence counts from its first use at the earliest.
+// zero value is ready for use. A worker's silence is counted from the first use of
+// the Reclaimer at the earliest.
 type Reclaimer struct {
 	// startedAt is when the zero value was first used.
-	startedAt   time.Time
+	startedAt time.Time
+	// lastContact maps a worker to when it was last heard from.
 	lastContact map[string]time.Time
+	// confirmedAt maps a worker to when ConfirmLost was last called for it.
 	confirmedAt map[string]time.Time
 	// revocations holds the revocations in effect.
 	revocations map[record.AssignmentID]revocation
@@ -48,21 +51,22 @@
 // stands for the rule of the protocol. The schedule explorer replaces the rules
 // one at a time to prove that it detects the resulting failure.
 type ReclaimerRules struct {
-	// TakeoverAt returns when a task may be released whose revocation was
-	// decided and first seen in the log at these times; decided is zero if
-	// another entry decided it.
-	TakeoverAt func(t lease.Terms, decided, seen time.Time) time.Time
+	// TakeoverAt returns when a revoked task may be assigned again, given when this
+	// entry decided to revoke it (the zero time if another entry did) and when this
+	// entry first saw the revocation in the log.
+	TakeoverAt func(terms lease.Terms, decidedAt, seenAt time.Time) time.Time
 }
 
-func (r *ReclaimerRules) takeoverAt(t lease.Terms, decided, seen time.Time) time.Time {
+// takeoverAt applies the rule TakeoverAt, or the rule of the protocol if it is nil.
+func (r *ReclaimerRules) takeoverAt(terms lease.Terms, decidedAt, seenAt time.Time) time.Time {
 	if r.TakeoverAt != nil {
-		return r.TakeoverAt(t, decided, seen)
+		return r.TakeoverAt(terms, decidedAt, seenAt)
 	}
-	return t.TakeoverAt(seen)
+	return terms.TakeoverAt(seenAt)
 }
 
 // SetRules replaces rules of the protocol, for the schedule explorer.
-func (rc *Reclaimer) SetRules(r ReclaimerRules) { rc.rules = r }
+func (rc *Reclaimer) SetRules(rules ReclaimerRules) { rc.rules = rules }
 
 // NoteContact notes that the worker was heard from at the given time, by this entry or
 // another one.
@@ -77,7 +81,7 @@
 // LastContact returns when the worker was last heard from, or the zero time.
 func (rc *Reclaimer) LastContact(worker string) time.Time { return rc.lastContact[worker] }
 
-// ConfirmLost notes that no other entry has recently heard from the worker.
+// ConfirmLost notes that, as of now, no other entry has recently heard from the worker.
 func (rc *Reclaimer) ConfirmLost(now time.Time, worker string) {
 	rc.init(now)
 	rc.confirmedAt[worker] = now
@@ -98,7 +102,7 @@
 	rc.init(now)
 	var out []string
 	sm.EachWorker(func(worker string) {
-		if rc.silent(now, worker) && !rc.lost(now, worker) {
+		if rc.silent(now, worker) && !rc.confirmedLost(now, worker) {
 			out = append(out, worker)
 		}
 	})
@@ -106,17 +110,19 @@
 	return out
 }
 
-// Lost reports whether a worker is still silent after the other entries were
-// asked. Unless all of them could be asked, the worker must also have been silent
-// for longer than minSilence.
+// Lost reports whether a worker is still silent after the other entries were asked for
+// their last contact with it. Unless allAsked says that all of them could be asked, the
+// worker must also have been silent for longer than minSilence.
 func (rc *Reclaimer) Lost(now time.Time, worker string, allAsked bool, minSilence time.Duration) bool {
 	return rc.silent(now, worker) && (allAsked || rc.silence(now, worker) > minSilence)
 }
 
+// silent reports whether the worker has been silent for longer than LostAfter.
 func (rc *Reclaimer) silent(now time.Time, worker string) bool {
 	return rc.silence(now, worker) > LostAfter
 }
 
+// silence returns how long the worker has been silent.
 func (rc *Reclaimer) silence(now time.Time, worker string) time.Duration {
 	at := rc.lastContact[worker]
 	if at.Before(rc.startedAt) {
@@ -125,7 +131,8 @@
 	return now.Sub(at)
 }
 
-func (rc *Reclaimer) lost(now time.Time, worker string) bool {
+// confirmedLost reports whether a valid confirmation says that the worker is lost.
+func (rc *Reclaimer) confirmedLost(now time.Time, worker string) bool {
 	at, ok := rc.confirmedAt[worker]
 	return ok && now.Sub(at) < confirmationValidFor
 }
@@ -158,6 +165,7 @@
 	})
 }
 
+// releaseDue returns the records that release the tasks whose takeover time has passed.
 func (rc *Reclaimer) releaseDue(now time.Time, sm *StateMachine) []record.Message {
 	var due []*record.Released
 	sm.EachRevoked(func(assignment record.AssignmentID, j *Job, task *Task) {
@@ -178,10 +186,11 @@
 	return out
 }
 
+// revokeLost returns the record that revokes the tasks of lost workers, or nil.
 func (rc *Reclaimer) revokeLost(now time.Time, sm *StateMachine) record.Message {
 	var lost []record.AssignmentID
 	sm.EachWorker(func(worker string) {
-		if !rc.silent(now, worker) || !rc.lost(now, worker) {
+		if !rc.silent(now, worker) || !rc.confirmedLost(now, worker) {
 			return
 		}
 		sm.EachActive(worker, func(assignment record.AssignmentID, _ *Job, task *Task) {
@@ -213,7 +222,8 @@
 	}
 }
 
-func (sm *StateMachine) isRevoked(h record.AssignmentID) bool {
-	epoch, ok := sm.revokedEpochs[h.Task]
-	return ok && epoch == h.Epoch
+// isRevoked reports whether the assignment is in effect and revoked.
+func (sm *StateMachine) isRevoked(assignment record.AssignmentID) bool {
+	epoch, ok := sm.revokedEpochs[assignment.Task]
+	return ok && epoch == assignment.Epoch
 }
--- a/pkg/job/requeue_limiter.go
+++ b/pkg/job/requeue_limiter.go
@@ -7,7 +7,7 @@
 )
 
 // requeueAfter is the least time between queuing a record about an assignment
-// and queuing one of the same kind about it again.
+// and queuing another one of the same kind about the same assignment.
 const requeueAfter = 2 * time.Second
 
 // forgetQueuedAfter is how long a queued record is remembered.
@@ -24,7 +24,7 @@
 }
 
 // requeueLimiter remembers recently queued records, so that a record is not
-// queued again while it is still being appended and read back.
+// queued again while it is still being appended to the log and read back.
 type requeueLimiter struct {
 	queued   map[queuedKey]queuedTimes
 	prunedAt time.Time
@@ -56,6 +56,7 @@
 	return c.queued[queuedKey{assignment: assignment, kind: kind}].first
 }
 
+// prune drops records that were last queued longer than forgetQueuedAfter ago.
 func (c *requeueLimiter) prune(now time.Time) {
 	if now.Sub(c.prunedAt) < forgetQueuedAfter {
 		return
--- a/pkg/job/snapshot.go
+++ b/pkg/job/snapshot.go
@@ -59,8 +59,9 @@
 }
 
 // Snapshot returns the whole state, which includes all batches applied, as
-// records to append. The chunks in a part take at most maxPartBytes bytes,
-// unless the part has only one chunk. Snapshots of the same state are the same.
+// records to append. Each record holds one part of the snapshot, which consists of
+// chunks of jobs. The chunks in a part take at most maxPartBytes bytes, unless the part
+// has only one chunk. Snapshots of the same state are the same.
 // Snapshot must be called between two batches.
 func (sm *StateMachine) Snapshot(id string, maxPartBytes int) ([]*record.Snapshot, error) {
 	maxPartBytes = max(maxPartBytes, minPartBytes)
@@ -84,6 +85,7 @@
 	return sm.encode(id, parts)
 }
 
+// encode returns the records of a snapshot with the given parts.
 func (sm *StateMachine) encode(id string, parts []snapshotPart) ([]*record.Snapshot, error) {
 	out := make([]*record.Snapshot, len(parts))
 	for i := range parts {
@@ -103,8 +105,8 @@
 		out = append(out, j)
 	}
 	slices.SortFunc(out, func(a, b *Job) int {
-		if a.submitted != b.submitted {
-			return comparePositions(a.submitted, b.submitted)
+		if a.submitPosition != b.submitPosition {
+			return comparePositions(a.submitPosition, b.submitPosition)
 		}
 		return strings.Compare(a.spec.ID, b.spec.ID)
 	})
@@ -121,13 +123,14 @@
 	return 0
 }
 
+// chunks returns the state of the job and its tasks as chunks in order.
 func (j *Job) chunks() []jobChunk {
 	var out []jobChunk
 	for first := 0; first < len(j.tasks); first += tasksPerChunk {
 		c := jobChunk{First: uint32(first)}
 		if first == 0 {
 			c.Spec = &j.spec
-			c.Submitted, c.Cancelled, c.Ended, c.EndedMS = j.submitted, j.cancelled, j.ended, j.endedMS
+			c.Submitted, c.Cancelled, c.Ended, c.EndedMS = j.submitPosition, j.cancelled, j.endPosition, j.endedMS
 			c.Moves = j.moves
 		}
 		for i := first; i < min(first+tasksPerChunk, len(j.tasks)); i++ {
@@ -140,7 +143,7 @@
 
 func (t *Task) state() taskState {
 	return taskState{
-		Phase: t.phase, Attempt: t.attempt, Failures: t.failures, Epoch: t.epoch, Revoked: t.revokedAt,
+		Phase: t.phase, Attempt: t.attempt, Failures: t.failures, Epoch: t.epoch, Revoked: t.revokePosition,
 		Worker: t.worker, Checkpoint: t.checkpoint, Detail: t.detail,
 	}
 }
@@ -177,6 +180,7 @@
 	return nil
 }
 
+// restorePart adds the content of one part of a snapshot to the state.
 func (sm *StateMachine) restorePart(state []byte) error {
 	var part snapshotPart
 	if err := cbor.Unmarshal(state, &part); err != nil {
@@ -197,10 +201,12 @@
 	return nil
 }
 
+// restoreChunk adds the tasks of a chunk to their job, which it creates for the first
+// chunk of a job.
 func (sm *StateMachine) restoreChunk(c *jobChunk) error {
 	if c.Spec != nil {
 		sm.restoring = &Job{
-			spec: *c.Spec, submitted: c.Submitted, cancelled: c.Cancelled, ended: c.Ended, endedMS: c.EndedMS,
+			spec: *c.Spec, submitPosition: c.Submitted, cancelled: c.Cancelled, endPosition: c.Ended, endedMS: c.EndedMS,
 			moves: c.Moves,
 		}
 		sm.jobs[c.Spec.ID] = sm.restoring
@@ -214,7 +220,7 @@
 			return errors.Newf("unknown phase %d", s.Phase)
 		}
 		j.tasks = append(j.tasks, Task{
-			phase: s.Phase, attempt: s.Attempt, failures: s.Failures, epoch: s.Epoch, revokedAt: s.Revoked,
+			phase: s.Phase, attempt: s.Attempt, failures: s.Failures, epoch: s.Epoch, revokePosition: s.Revoked,
 			worker: s.Worker, checkpoint: s.Checkpoint, detail: s.Detail,
 		})
 	}
@@ -255,7 +261,7 @@
 }
 
 // notifyRestored calls OnTaskChange for all tasks that a restored snapshot may have
-// changed; old holds the jobs from before.
+// changed; old holds the jobs from before the restore.
 func (sm *StateMachine) notifyRestored(old map[string]*Job) {
 	for id, j := range old {
 		if sm.jobs[id] != nil {
--- a/pkg/job/snapshot_assembler.go
+++ b/pkg/job/snapshot_assembler.go
@@ -8,7 +8,11 @@
 // SnapshotAssembler assembles snapshots from their parts as these are read from the
 // stream. The zero value is ready for use.
 type SnapshotAssembler struct {
-	open  map[string][]*record.Snapshot
+	// open holds the parts of incomplete snapshots by snapshot id; missing parts are
+	// nil.
+	open map[string][]*record.Snapshot
+	// order holds the ids of snapshots in the order in which their first parts
+	// were added. It may still contain completed snapshots.
 	order []string
 }
 
@@ -37,6 +41,7 @@
 	return parts
 }
 
+// remember notes a new snapshot and drops the oldest one if there are too many.
 func (c *SnapshotAssembler) remember(id string) {
 	if c.open == nil {
 		c.open = make(map[string][]*record.Snapshot)
--- a/pkg/job/snapshot_test.go
+++ b/pkg/job/snapshot_test.go
@@ -72,13 +72,15 @@
 	}
 }
 
+// checkIndexes compares the derived fields of a restored state with those of a state
+// that was computed from all records.
 func checkIndexes(t *testing.T, seed uint64, whole, restored *StateMachine) {
 	t.Helper()
 	if got, want := len(restored.byWorker), len(whole.byWorker); got != want {
 		t.Errorf("seed %d: workers with tasks: got %d, want %d", seed, got, want)
 	}
-	for name, held := range whole.byWorker {
-		if got, want := len(restored.byWorker[name]), len(held); got != want {
+	for name, tasks := range whole.byWorker {
+		if got, want := len(restored.byWorker[name]), len(tasks); got != want {
 			t.Errorf("seed %d: tasks of %s: got %d, want %d", seed, name, got, want)
 		}
 	}
--- a/pkg/job/state.go
+++ b/pkg/job/state.go
@@ -49,14 +49,14 @@
 
 // Task is the state of one task.
 type Task struct {
-	phase      Phase
-	attempt    uint32
-	failures   uint32
-	epoch      record.Position
-	revokedAt  record.Position
-	worker     string
-	checkpoint string
-	detail     string
+	phase          Phase
+	attempt        uint32
+	failures       uint32
+	epoch          record.Position
+	revokePosition record.Position
+	worker         string
+	checkpoint     string
+	detail         string
 }
 
 // Phase returns the task's phase.
@@ -73,7 +73,7 @@
 
 // RevokedAt returns the position of the Revoke or Cancel record that has withdrawn
 // the assignment in effect, or 0.
-func (t *Task) RevokedAt() record.Position { return t.revokedAt }
+func (t *Task) RevokedAt() record.Position { return t.revokePosition }
 
 // Worker returns the worker that the task was last assigned to.
 func (t *Task) Worker() string { return t.worker }
@@ -82,31 +82,35 @@
 func (t *Task) Checkpoint() string { return t.checkpoint }
 
 // Detail returns the newest detail or reason recorded about the task. For a moved
-// task it is the data centre where the job continues.
+// task, the detail is the data centre where the job continues.
 func (t *Task) Detail() string { return t.detail }
 
 // Job is the state of one job.
 type Job struct {
-	spec      record.Spec
-	submitted record.Position
-	cancelled bool
-	tasks     []Task
+	spec record.Spec
+	// submitPosition is the position of the Submit record.
+	submitPosition record.Position
+	cancelled      bool
+	tasks          []Task
+	// openTasks is the number of tasks that have not ended.
 	openTasks int
-	moves     uint32
-	ended     record.Position
-	endedMS   int64
+	// moves is how often the job was moved between data centres before.
+	moves uint32
+	// endPosition is the position of the record that ended the job's last task.
+	endPosition record.Position
+	endedMS     int64
 }
 
 // Spec returns the specification that the team submitted.
 func (j *Job) Spec() *record.Spec { return &j.spec }
 
 // Submitted returns the position of the Submit record.
-func (j *Job) Submitted() record.Position { return j.submitted }
+func (j *Job) Submitted() record.Position { return j.submitPosition }
 
 // Cancelled reports whether the job's team has cancelled it.
 func (j *Job) Cancelled() bool { return j.cancelled }
 
-// Tasks returns the number of tasks.
+// Tasks returns the number of the job's tasks.
 func (j *Job) Tasks() int { return len(j.tasks) }
 
 // Task returns the task at index.
@@ -116,8 +120,8 @@
 func (j *Job) Ended() bool { return j.openTasks == 0 }
 
 // EndedMS returns when the job ended, in Unix milliseconds on the clock of the
-// entry that recorded it. If that was not recorded, it returns the time of the
-// submission, or 0 if that is not known either.
+// entry that recorded the end. If that time was not recorded, EndedMS returns the time
+// of the submission, or 0 if this is not known either.
 func (j *Job) EndedMS() int64 { return max(j.endedMS, j.spec.SubmittedAt) }
 
 // Phase returns the job's phase: Cancelled if the job was cancelled and has ended,
--- a/pkg/job/state_machine.go
+++ b/pkg/job/state_machine.go
@@ -23,8 +23,8 @@
 	// restoring is the job whose chunks are currently read from a snapshot.
 	restoring *Job
 	// OnTaskChange is called, if set, after a task's phase was set by a submission or
-	// has changed, and for each task of a job that a Forget record has dropped (t
-	// is then nil).
+	// has changed, and for each task of a job that a Forget record or a restored
+	// snapshot has dropped (t is then nil).
 	OnTaskChange func(id record.TaskID, j *Job, t *Task)
 }
 
@@ -47,7 +47,7 @@
 // Len returns the number of jobs.
 func (sm *StateMachine) Len() int { return len(sm.jobs) }
 
-// Each calls fn for every job, in no particular order, until it returns false.
+// Each calls fn for every job, in no particular order, until fn returns false.
 func (sm *StateMachine) Each(fn func(*Job) bool) {
 	for _, j := range sm.jobs {
 		if !fn(j) {
@@ -79,7 +79,8 @@
 	}
 }
 
-// CurrentTask returns the task if the assignment is in effect and is to this worker.
+// CurrentTask returns the task of an assignment if the assignment is in effect and is to
+// the given worker.
 func (sm *StateMachine) CurrentTask(worker string, assignment record.AssignmentID) (*Task, bool) {
 	t := sm.currentTask(assignment)
 	if t == nil || t.worker != worker {
@@ -98,6 +99,8 @@
 	return sm.apply(r)
 }
 
+// apply passes a record to the method for its kind. Each of these methods gets the
+// position of the record if the new state depends on it.
 func (sm *StateMachine) apply(r record.Record) error {
 	switch m := r.Message().(type) {
 	case *record.Submit:
@@ -124,7 +127,7 @@
 	return nil
 }
 
-func (sm *StateMachine) submit(at record.Position, m *record.Submit) error {
+func (sm *StateMachine) submit(position record.Position, m *record.Submit) error {
 	if j, ok := sm.jobs[m.Spec.ID]; ok && (j.MovedTo() == "" || m.Moves <= j.moves) {
 		return errors.Wrap(ErrNoEffect, "the job exists already")
 	}
@@ -132,7 +135,7 @@
 		return errors.Wrap(ErrNoEffect, "the job has no id or no tasks")
 	}
 	sm.init()
-	j := sm.newJob(at, m)
+	j := sm.newJob(position, m)
 	sm.jobs[m.Spec.ID] = j
 	for i := range j.tasks {
 		sm.notifyChange(record.TaskID{Job: m.Spec.ID, Index: uint32(i)}, j, &j.tasks[i])
@@ -140,9 +143,10 @@
 	return nil
 }
 
-func (sm *StateMachine) newJob(at record.Position, m *record.Submit) *Job {
+// newJob returns the job that a Submit record at the given position adds.
+func (sm *StateMachine) newJob(position record.Position, m *record.Submit) *Job {
 	n := int(m.Spec.Tasks)
-	j := &Job{spec: m.Spec, submitted: at, moves: m.Moves, tasks: make([]Task, n), openTasks: n}
+	j := &Job{spec: m.Spec, submitPosition: position, moves: m.Moves, tasks: make([]Task, n), openTasks: n}
 	for i, ref := range m.Checkpoints {
 		if int(i) < n {
 			j.tasks[i].checkpoint = ref
@@ -150,7 +154,7 @@
 	}
 	for i, outcome := range m.Ended {
 		if int(i) < n {
-			sm.endTask(endRecord{at, 0}, j, &j.tasks[i], phaseOf(outcome))
+			sm.endTask(endRecord{position, 0}, j, &j.tasks[i], phaseOf(outcome))
 		}
 	}
 	return j
@@ -171,7 +175,7 @@
 	}
 }
 
-func (sm *StateMachine) assign(at record.Position, m *record.Assign) error {
+func (sm *StateMachine) assign(position record.Position, m *record.Assign) error {
 	for i, p := range m.Placements {
 		if err := sm.assignable(&p, m.Placements[:i]); err != nil {
 			return err
@@ -181,8 +185,8 @@
 		t := sm.task(p.Task)
 		t.phase = Assigned
 		t.attempt++
-		t.epoch = at
-		t.revokedAt = 0
+		t.epoch = position
+		t.revokePosition = 0
 		t.worker = p.Worker
 		sm.addToWorker(p.Task, t)
 		sm.notifyChange(p.Task, sm.jobs[p.Task.Job], t)
@@ -190,6 +194,8 @@
 	return nil
 }
 
+// assignable returns an error if a placement cannot take effect: the task is not pending
+// at the stated attempt, or one of the earlier placements of the record assigns it.
 func (sm *StateMachine) assignable(p *record.Placement, earlier []record.Placement) error {
 	t := sm.task(p.Task)
 	if t == nil || t.attempt != p.Attempt {
@@ -208,14 +214,14 @@
 
 func (sm *StateMachine) started(m *record.Started) error {
 	applied := false
-	for _, h := range m.Assignments {
-		t := sm.currentTask(h)
+	for _, assignment := range m.Assignments {
+		t := sm.currentTask(assignment)
 		if t == nil || t.phase != Assigned {
 			continue
 		}
 		t.phase = Running
 		applied = true
-		sm.notifyChange(h.Task, sm.jobs[h.Task.Job], t)
+		sm.notifyChange(assignment.Task, sm.jobs[assignment.Task.Job], t)
 	}
 	return noEffectUnless(applied, "every assignment in the record is stale or has started already")
 }
@@ -229,7 +235,7 @@
 	return nil
 }
 
-func (sm *StateMachine) finished(at record.Position, m *record.Finished) error {
+func (sm *StateMachine) finished(position record.Position, m *record.Finished) error {
 	t := sm.currentTask(m.Assignment)
 	if t == nil {
 		return errors.Wrapf(ErrNoEffect, "%s: stale epoch", m.Assignment.Task)
@@ -239,42 +245,42 @@
 	t.detail = m.Detail
 	defer sm.notifyChange(m.Assignment.Task, j, t)
 	if m.Outcome == record.OutcomeSucceeded {
-		sm.endTask(endRecord{at, m.AtMS}, j, t, Succeeded)
+		sm.endTask(endRecord{position, m.AtMS}, j, t, Succeeded)
 		return nil
 	}
 	t.failures++
 	switch {
 	case j.cancelled:
-		sm.endTask(endRecord{at, m.AtMS}, j, t, Cancelled)
+		sm.endTask(endRecord{position, m.AtMS}, j, t, Cancelled)
 	case t.failures >= j.spec.MaxFailures:
-		sm.endTask(endRecord{at, m.AtMS}, j, t, Failed)
+		sm.endTask(endRecord{position, m.AtMS}, j, t, Failed)
 	default:
 		t.phase = Pending
 	}
 	return nil
 }
 
-func (sm *StateMachine) revoke(at record.Position, m *record.Revoke) error {
+func (sm *StateMachine) revoke(position record.Position, m *record.Revoke) error {
 	applied := false
-	for _, h := range m.Assignments {
-		t := sm.currentTask(h)
+	for _, assignment := range m.Assignments {
+		t := sm.currentTask(assignment)
 		if t == nil || t.phase == Revoked {
 			continue
 		}
-		sm.markRevoked(at, h.Task, t)
+		sm.markRevoked(position, assignment.Task, t)
 		t.detail = m.Reason
 		applied = true
-		sm.notifyChange(h.Task, sm.jobs[h.Task.Job], t)
+		sm.notifyChange(assignment.Task, sm.jobs[assignment.Task.Job], t)
 	}
 	return noEffectUnless(applied, "every assignment in the record is stale or revoked already")
 }
 
-func (sm *StateMachine) released(at record.Position, m *record.Released) error {
+func (sm *StateMachine) released(position record.Position, m *record.Released) error {
 	t := sm.currentTask(m.Assignment)
 	if t == nil {
 		return errors.Wrapf(ErrNoEffect, "%s: stale epoch", m.Assignment.Task)
 	}
-	if m.Revoked != 0 && m.Revoked != t.revokedAt {
+	if m.Revoked != 0 && m.Revoked != t.revokePosition {
 		return errors.Wrapf(ErrNoEffect, "%s: the task was not revoked at position %d", m.Assignment.Task, m.Revoked)
 	}
 	j := sm.jobs[m.Assignment.Task.Job]
@@ -285,14 +291,14 @@
 	t.detail = m.Reason
 	defer sm.notifyChange(m.Assignment.Task, j, t)
 	if j.cancelled {
-		sm.endTask(endRecord{at, m.AtMS}, j, t, Cancelled)
+		sm.endTask(endRecord{position, m.AtMS}, j, t, Cancelled)
 		return nil
 	}
 	t.phase = Pending
 	return nil
 }
 
-func (sm *StateMachine) cancel(at record.Position, m *record.Cancel) error {
+func (sm *StateMachine) cancel(position record.Position, m *record.Cancel) error {
 	applied := false
 	for _, id := range m.Jobs {
 		j, ok := sm.jobs[id]
@@ -303,13 +309,15 @@
 		applied = true
 		for i := range j.tasks {
 			task := record.TaskID{Job: id, Index: uint32(i)}
-			sm.cancelTask(endRecord{at, m.AtMS}, task, j)
+			sm.cancelTask(endRecord{position, m.AtMS}, task, j)
 			sm.notifyChange(task, j, &j.tasks[i])
 		}
 	}
 	return noEffectUnless(applied, "no job is open")
 }
 
+// cancelTask ends a pending task of a cancelled job, and revokes an assigned or running
+// one.
 func (sm *StateMachine) cancelTask(e endRecord, id record.TaskID, j *Job) {
 	t := &j.tasks[id.Index]
 	switch t.phase {
@@ -320,7 +328,7 @@
 	}
 }
 
-func (sm *StateMachine) move(at record.Position, m *record.Move) error {
+func (sm *StateMachine) move(position record.Position, m *record.Move) error {
 	j, ok := sm.jobs[m.Job]
 	if !ok || j.cancelled || j.Ended() {
 		return errors.Wrapf(ErrNoEffect, "%s: the job is not open", m.Job)
@@ -333,7 +341,7 @@
 	for i := range j.tasks {
 		if !j.tasks[i].phase.Ended() {
 			j.tasks[i].detail = m.To
-			sm.endTask(endRecord{at, m.AtMS}, j, &j.tasks[i], Moved)
+			sm.endTask(endRecord{position, m.AtMS}, j, &j.tasks[i], Moved)
 			sm.notifyChange(record.TaskID{Job: m.Job, Index: uint32(i)}, j, &j.tasks[i])
 		}
 	}
--- a/pkg/job/stream_test.go
+++ b/pkg/job/stream_test.go
@@ -21,7 +21,7 @@
 	return &stream{random: rand.New(rand.NewPCG(seed, 1)), seq: make(map[string]uint64)}
 }
 
-// next generates the records of the batch at an offset.
+// next generates the records of the batch at an offset, or a copy of the batch before.
 func (s *stream) next(offset uint64) []record.Record {
 	if len(s.last) > 0 && s.random.IntN(8) == 0 {
 		return s.copyOf(offset)
@@ -44,6 +44,7 @@
 	return out
 }
 
+// apply applies the batch at an offset to a state and notes the assignments in it.
 func (s *stream) apply(f *StateMachine, batch []record.Record, offset uint64) {
 	for _, r := range batch {
 		_ = f.Apply(r)
