--- a/pkg/record/carry_forward.go
+++ b/pkg/record/carry_forward.go
@@ -6,10 +6,11 @@
 	// minCopyAge is the age that a copy must have before it is written again
 	// because of its age.
 	minCopyAge = 30 * time.Second
-	// retentionDivisor divides the known retention: a copy older than this part of
-	// the retention is written again.
+	// retentionDivisor sets the age at which a copy is written again: the known
+	// retention divided by this number.
 	retentionDivisor = 3
-	// maxSamples limits the number of samples from which the age of batches is known.
+	// maxSamples limits the number of samples from which the age of batches is
+	// estimated.
 	maxSamples = 128
 )
 
@@ -19,45 +20,49 @@
 	nextOffset uint64
 }
 
-// CarryForwardSchedule decides when a record that must outlive the log's retention, such as a
-// snapshot, is carried forward: a new copy of it is appended before the log drops
-// the old one. The retention is not configured here; a lower bound of it is
-// learned from the age of the batches that the stream still keeps. The zero value
-// is ready for use.
+// CarryForwardSchedule decides when a record that must outlive the log's retention,
+// such as a snapshot, is carried forward: a new copy of the record is appended before
+// the log drops the old one. The retention is not configured here; a lower bound of it
+// is learned from the age of the batches that the stream still keeps. The zero value is
+// ready for use.
 type CarryForwardSchedule struct {
+	// firstOffset and nextOffset are the stream's first offset and its end as of
+	// observedAt.
 	firstOffset, nextOffset uint64
 	observedAt              time.Time
-	samples                 []sample
+	// samples are in the order of their times and offsets.
+	samples []sample
 	// minSampleInterval is the least time between two samples.
 	minSampleInterval time.Duration
 
-	// copied reports whether a copy is known; copyOffset and copiedAt describe the
-	// newest one.
+	// copied is set once a copy is known. copyOffset and copiedAt are the offset and
+	// the time of writing of the newest one; see NoteCopy.
 	copied     bool
 	copyOffset uint64
 	copiedAt   time.Time
 }
 
-// Observe notes which offsets the stream keeps: those from first on and before next.
-func (c *CarryForwardSchedule) Observe(now time.Time, first, next uint64) {
-	c.firstOffset, c.nextOffset, c.observedAt = first, next, now
+// Observe notes which offsets the stream keeps: those from firstOffset on and before
+// nextOffset.
+func (c *CarryForwardSchedule) Observe(now time.Time, firstOffset, nextOffset uint64) {
+	c.firstOffset, c.nextOffset, c.observedAt = firstOffset, nextOffset, now
 	expired := 0
-	for expired < len(c.samples) && c.samples[expired].nextOffset <= first {
+	for expired < len(c.samples) && c.samples[expired].nextOffset <= firstOffset {
 		expired++
 	}
 	c.samples = c.samples[expired:]
 	n := len(c.samples)
-	if n > 0 && (c.samples[n-1].nextOffset >= next || now.Sub(c.samples[n-1].observedAt) < c.minSampleInterval) {
+	if n > 0 && (c.samples[n-1].nextOffset >= nextOffset || now.Sub(c.samples[n-1].observedAt) < c.minSampleInterval) {
 		return
 	}
-	c.samples = append(c.samples, sample{observedAt: now, nextOffset: next})
+	c.samples = append(c.samples, sample{observedAt: now, nextOffset: nextOffset})
 	if len(c.samples) > maxSamples {
 		c.dropEveryOtherSample()
 	}
 }
 
-// dropEveryOtherSample halves the number of samples and doubles the least interval
-// between later ones.
+// dropEveryOtherSample halves the number of samples and doubles the least time between
+// two samples, to at least one second.
 func (c *CarryForwardSchedule) dropEveryOtherSample() {
 	kept := make([]sample, 0, maxSamples)
 	for i := 0; i < len(c.samples); i += 2 {
@@ -67,8 +72,9 @@
 	c.minSampleInterval = max(2*c.minSampleInterval, time.Second)
 }
 
-// MinRetention returns a lower bound of how long the stream keeps a batch: the
-// observed age of the oldest batch that it still keeps.
+// MinRetention returns a lower bound of how long the stream keeps a batch: the least
+// possible age, according to the samples, of the oldest batch that the stream still
+// keeps.
 func (c *CarryForwardSchedule) MinRetention(now time.Time) time.Duration {
 	for _, s := range c.samples {
 		if s.nextOffset > c.firstOffset {
@@ -79,16 +85,16 @@
 }
 
 // NoteCopy notes a copy that is usable as long as the stream keeps the batches from
-// offset on. The time of writing is on the writer's clock; a time after now and
-// the zero time count as now.
-func (c *CarryForwardSchedule) NoteCopy(now, written time.Time, offset uint64) {
+// offset on. The time of writing, writtenAt, is on the writer's clock; a time after now
+// and the zero time count as now.
+func (c *CarryForwardSchedule) NoteCopy(now, writtenAt time.Time, offset uint64) {
 	if c.copied && offset < c.copyOffset {
 		return
 	}
-	if written.IsZero() || written.After(now) {
-		written = now
+	if writtenAt.IsZero() || writtenAt.After(now) {
+		writtenAt = now
 	}
-	c.copied, c.copyOffset, c.copiedAt = true, offset, written
+	c.copied, c.copyOffset, c.copiedAt = true, offset, writtenAt
 }
 
 // CopyOffset returns the offset from which the stream must be kept for the newest
--- a/pkg/record/carry_forward_test.go
+++ b/pkg/record/carry_forward_test.go
@@ -11,11 +11,12 @@
 func TestCarryForwardBeforeRetentionEnds(t *testing.T) {
 	cases := []struct {
 		name string
-		// every is the time between two batches of other writers, keep and count
-		// are the stream's retention by age and by number of batches; 0 for none.
-		every, keep time.Duration
-		count       uint64
-		maxCopies   int
+		// batchInterval is the time between two batches of other writers. maxAge and
+		// maxBatches are the stream's retention by age and by number of batches; 0
+		// for none.
+		batchInterval, maxAge time.Duration
+		maxBatches            uint64
+		maxCopies             int
 	}{
 		{"one hour, a batch a second", time.Second, time.Hour, 0, 200},
 		{"two minutes, a batch a second", time.Second, 2 * time.Minute, 0, 2200},
@@ -32,15 +33,15 @@
 			copies := 0
 			last := now
 			for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(time.Second) {
-				if now.Sub(last) >= c.every {
+				if now.Sub(last) >= c.batchInterval {
 					appended, last = append(appended, now), now
 				}
 				next := uint64(len(appended))
-				for c.keep > 0 && first < next && now.Sub(appended[first]) > c.keep {
+				for c.maxAge > 0 && first < next && now.Sub(appended[first]) > c.maxAge {
 					first++
 				}
-				if c.count > 0 && next > c.count {
-					first = next - c.count
+				if c.maxBatches > 0 && next > c.maxBatches {
+					first = next - c.maxBatches
 				}
 				carry.Observe(now, first, next)
 				if carry.CopyOffset() < first {
--- a/pkg/record/dedup.go
+++ b/pkg/record/dedup.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// dedupWindowOffsets is how many offsets after a writer's newest batch duplicates
-// of its records are still recognised.
+// dedupWindowOffsets is how many offsets after a writer's newest batch duplicates of
+// the writer's records are still recognised.
 const dedupWindowOffsets = 1 << 16
 
 // WriterSeq is the newest sequence number read from one writer, and the offset of
@@ -21,7 +21,9 @@
 // The result depends only on the earlier records, so all readers of a stream
 // agree. The zero value is ready for use.
 type Deduper struct {
-	writers        map[string]WriterSeq
+	// writers maps a writer to its newest record.
+	writers map[string]WriterSeq
+	// prunedAtOffset is the offset at which old writers were last dropped.
 	prunedAtOffset uint64
 }
 
@@ -53,7 +55,7 @@
 	}
 }
 
-// Writers returns the state for a snapshot, ordered by the writers' names.
+// Writers returns the Deduper's state for a snapshot, ordered by the writers' names.
 func (d *Deduper) Writers() []WriterSeq {
 	out := make([]WriterSeq, 0, len(d.writers))
 	for _, w := range d.writers {
--- a/pkg/record/log.go
+++ b/pkg/record/log.go
@@ -15,7 +15,8 @@
 	// ErrOutcomeUnknown means that the reply was lost: the call may or may not have taken
 	// effect.
 	ErrOutcomeUnknown = errors.New("the log service's reply was lost")
-	// ErrExpired means that the offset is older than the log's retention.
+	// ErrExpired means that the log's retention has dropped the batch at the offset to
+	// be read.
 	ErrExpired = errors.New("the offset is older than the log's retention")
 )
 
@@ -24,8 +25,8 @@
 	// Batches are in the order of their offsets without gaps, starting at the
 	// requested offset.
 	Batches []RawBatch
-	// FirstOffset is the oldest offset that the log still keeps, Next is the offset of
-	// the next append.
+	// FirstOffset is the oldest offset that the log still keeps; NextOffset is the
+	// offset of the next append.
 	FirstOffset, NextOffset uint64
 }
 
@@ -37,9 +38,9 @@
 
 // Log holds the functions by which the platform's log service is called.
 type Log struct {
-	// Append appends one batch to a stream and returns its offset.
+	// Append appends one batch to a stream and returns the batch's offset.
 	Append func(ctx context.Context, stream string, data []byte) (offset uint64, err error)
-	// Read returns batches from offset from on. If there are none yet, it waits for
-	// up to wait.
-	Read func(ctx context.Context, stream string, from uint64, wait time.Duration) (Page, error)
+	// Read returns batches of a stream from fromOffset on. If there are none yet, it
+	// waits for them for at most maxWait.
+	Read func(ctx context.Context, stream string, fromOffset uint64, maxWait time.Duration) (Page, error)
 }
--- a/pkg/record/messages.go
+++ b/pkg/record/messages.go
@@ -27,6 +27,8 @@
 	KindMember
 )
 
+// newMessage returns an empty message of a kind to decode into, or nil for an unknown
+// kind.
 func newMessage(k Kind) Message {
 	switch k {
 	case KindSubmit:
@@ -70,7 +72,7 @@
 func (t TaskID) String() string { return fmt.Sprintf("%s.%d", t.Job, t.Index) }
 
 // AssignmentID identifies one assignment of a task to a worker. The epoch is the position
-// of the Assign record; it serves as the fencing token: later records about the
+// of the Assign record. The epoch serves as the fencing token: later records about the
 // task have no effect unless they carry the epoch of its current assignment.
 type AssignmentID struct {
 	_     struct{} `cbor:",toarray"`
@@ -79,14 +81,14 @@
 }
 
 // String returns the name under which the worker lists the task.
-func (h AssignmentID) String() string { return fmt.Sprintf("%s@%d", h.Task, h.Epoch) }
+func (a AssignmentID) String() string { return fmt.Sprintf("%s@%d", a.Task, a.Epoch) }
 
 // Compare orders assignments by job, task index and epoch.
-func (h AssignmentID) Compare(o AssignmentID) int {
+func (a AssignmentID) Compare(b AssignmentID) int {
 	return cmp.Or(
-		cmp.Compare(h.Task.Job, o.Task.Job),
-		cmp.Compare(h.Task.Index, o.Task.Index),
-		cmp.Compare(h.Epoch, o.Epoch),
+		cmp.Compare(a.Task.Job, b.Task.Job),
+		cmp.Compare(a.Task.Index, b.Task.Index),
+		cmp.Compare(a.Epoch, b.Epoch),
 	)
 }
 
@@ -101,20 +103,20 @@
 	Size worker.Resources `cbor:"6,keyasint"           json:"size"`
 	// ExpectedMS is the declared run time of a task in milliseconds.
 	ExpectedMS int64 `cbor:"7,keyasint,omitempty" json:"expected-ms,omitempty"`
-	// NeededBy is when the result is needed, in Unix milliseconds; 0 means no such
-	// time.
+	// NeededBy is when the result is needed, in Unix milliseconds; 0 means that it is
+	// needed at no particular time.
 	NeededBy int64 `cbor:"8,keyasint,omitempty" json:"needed-by,omitempty"`
 	// SubmittedAt is in Unix milliseconds on the clock of the entry that accepted
 	// the job.
 	SubmittedAt int64  `cbor:"9,keyasint,omitempty"  json:"submitted-at,omitempty"`
 	Payload     []byte `cbor:"10,keyasint,omitempty" json:"payload,omitempty"`
 	// MaxFailures is the number of failed runs after which a task fails for good.
-	// It is copied from the batch class at submission, so that all readers of the
+	// The number is copied from the batch class at submission, so that all readers of the
 	// stream agree.
 	MaxFailures uint32 `cbor:"11,keyasint,omitempty" json:"max-failures,omitempty"`
-	// TakeoverMS is the takeover time in milliseconds: how long a lost worker's task
-	// is left alone before it is started elsewhere. It is copied from the batch class
-	// at submission, so that the agent that holds the lease and the entry that
+	// TakeoverMS is the takeover time in milliseconds: how long a lost worker's task is
+	// left alone before it is started elsewhere. The value is copied from the batch
+	// class at submission, so that the agent that holds the lease and the entry that
 	// reclaims the task agree.
 	TakeoverMS int64 `cbor:"12,keyasint,omitempty" json:"takeover-ms,omitempty"`
 }
@@ -198,6 +200,7 @@
 
 // Cancel cancels jobs.
 type Cancel struct {
+	// Jobs holds the ids of the jobs.
 	Jobs []string `cbor:"1,keyasint"`
 	// AtMS is the writer's time in Unix milliseconds.
 	AtMS int64 `cbor:"2,keyasint,omitempty"`
@@ -214,46 +217,55 @@
 
 // Forget removes ended jobs from the state.
 type Forget struct {
+	// Jobs holds the ids of the jobs.
 	Jobs []string `cbor:"1,keyasint"`
 }
 
 // Snapshot is one part of a snapshot of the state after all records of the stream
 // before an offset.
 type Snapshot struct {
-	ID    string `cbor:"1,keyasint"`
+	ID string `cbor:"1,keyasint"`
+	// Part is the index of this part, and Parts the number of parts of the snapshot.
 	Part  uint32 `cbor:"2,keyasint"`
 	Parts uint32 `cbor:"3,keyasint"`
 	// EndOffset is the offset before which all batches are included in the state.
 	EndOffset uint64 `cbor:"4,keyasint"`
-	State     []byte `cbor:"5,keyasint"`
-	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
+	// State is the content of the part in encoded form.
+	State []byte `cbor:"5,keyasint"`
+	// WrittenMS is when the snapshot was written, in Unix milliseconds on the writer's
+	// clock.
 	WrittenMS int64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Bundle publishes a signed configuration bundle, or carries the one in force
 // forward.
 type Bundle struct {
+	// Signed is the signed bundle in encoded form.
 	Signed []byte `cbor:"1,keyasint"`
-	// CarriedForward means that the bundle was already in force and was written again so
-	// that it outlives the log's retention.
+	// CarriedForward means that the bundle was already in force and was written again
+	// before the log's retention could drop it.
 	CarriedForward bool `cbor:"2,keyasint,omitempty"`
-	// OperatorChanges holds, in encoded form, the earlier bundles that changed the operators.
+	// OperatorChanges holds, in encoded form, the earlier bundles that changed the
+	// operators.
 	OperatorChanges [][]byte `cbor:"3,keyasint,omitempty"`
-	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
+	// WrittenMS is when the record was written, in Unix milliseconds on the writer's
+	// clock.
 	WrittenMS int64 `cbor:"4,keyasint,omitempty"`
-	// EndOffset is, for a bundle carried forward, the offset before which no newer one
-	// came in force.
+	// EndOffset is, for a bundle carried forward, the offset before which no newer
+	// bundle came in force.
 	EndOffset uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Member says that an entry has started, is still running, or is leaving.
+// Member says that an entry has started, is still running, or is draining (Leaving) and
+// about to stop.
 type Member struct {
 	Name        string `cbor:"1,keyasint"`
 	DataCentre  string `cbor:"2,keyasint"`
 	Address     string `cbor:"3,keyasint"`
 	Incarnation uint64 `cbor:"4,keyasint"`
 	Leaving     bool   `cbor:"5,keyasint,omitempty"`
-	// WrittenMS is when it was written, in Unix milliseconds on the writer's clock.
+	// WrittenMS is when the record was written, in Unix milliseconds on the writer's
+	// clock.
 	WrittenMS int64 `cbor:"6,keyasint,omitempty"`
 }
 
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -86,7 +86,7 @@
 // EncodedRecord is one encoded record.
 type EncodedRecord struct{ wire wireRecord }
 
-// Size returns the number of bytes of the encoded message.
+// Size returns the size of the encoded message in bytes.
 func (e EncodedRecord) Size() int { return len(e.wire.Body) }
 
 // EncodeMessage encodes one record.
@@ -144,8 +144,8 @@
 	return records, skipped, nil
 }
 
-// BatchHeader returns the writer and the first sequence number of an encoded batch,
-// which identify the batch.
+// BatchHeader returns the writer and the first sequence number of an encoded batch.
+// Together they identify the batch.
 func BatchHeader(data []byte) (writer string, firstSeq uint64, err error) {
 	var b struct {
 		Writer   string `cbor:"2,keyasint"`
