--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -52,7 +52,8 @@
 	MaxConnections int `yaml:"connections" json:"connections"`
 	// MaxBodyBytes is the maximum size of a request body in bytes.
 	MaxBodyBytes int64 `yaml:"body-limit" json:"body-limit"`
-	// LatencyObjective is the latency that the service should meet at the 99th percentile.
+	// LatencyObjective is the latency that the service should meet at the 99th
+	// percentile.
 	LatencyObjective Duration `yaml:"objective" json:"objective"`
 }
 
@@ -61,7 +62,7 @@
 	Name string `yaml:"name" json:"name"`
 	// Priority is from 0 to 9; requests of the lowest priority are shed first.
 	Priority int `yaml:"priority" json:"priority"`
-	// Deadline is the default for requests that have none.
+	// Deadline is the default time limit for requests that have none.
 	Deadline Duration `yaml:"deadline" json:"deadline"`
 	// ExpectedServiceTime is the declared service time of a request.
 	ExpectedServiceTime Duration `yaml:"expected" json:"expected"`
@@ -69,8 +70,9 @@
 
 // BatchClass is a class of jobs.
 type BatchClass struct {
-	Name     string `yaml:"name"     json:"name"`
-	Priority int    `yaml:"priority" json:"priority"`
+	Name string `yaml:"name"     json:"name"`
+	// Priority is from 0 to 9; tasks of the highest priority are due first.
+	Priority int `yaml:"priority" json:"priority"`
 	// TakeoverAfter is how long a lost worker's task is left alone before it is
 	// started elsewhere.
 	TakeoverAfter Duration `yaml:"takeover-after" json:"takeover-after"`
--- a/pkg/bundle/chain.go
+++ b/pkg/bundle/chain.go
@@ -16,7 +16,7 @@
 // Limits on what a chain keeps.
 const (
 	// maxUndecided limits the number of bundles kept that cannot be decided on before
-	// a proof covers the part of the log that was not read.
+	// a proof takes the part of the log that was not read into account.
 	maxUndecided = 64
 	// maxHistoryVersions limits the number of versions whose digest is remembered.
 	maxHistoryVersions = 512
@@ -29,9 +29,9 @@
 // Of the valid children of the bundle in force, the first one in the order of the
 // log comes in force next; a bundle whose parent is not in force at its offset has
 // no effect. A chain that has missed part of the log since its bundle came in force
-// cannot tell which child was the first. It keeps the bundles that it reads until a
-// proof shows which bundle was in force at an offset from which it has read the log
-// without a gap.
+// cannot tell which child was the first. Such a chain keeps the bundles that it reads
+// until a proof shows which bundle was in force at an offset from which the chain has
+// read the log without a gap.
 type Chain struct {
 	roots    Operators
 	signed   *Signed
@@ -39,16 +39,19 @@
 	digest   string
 	// operatorChanges holds the bundles that changed the operators, from the roots on.
 	operatorChanges []*Signed
-	// endOffset is the offset up to which the log is taken into account: before it,
-	// the log has put this bundle in force and no newer one.
+	// endOffset is the exclusive end of the part of the log that is taken into account:
+	// this part has put the bundle above in force and no newer one.
 	endOffset uint64
 	// readFromOffset is the offset from which the log was read without a gap.
-	readFromOffset  uint64
-	undecided       []undecidedBundle
+	readFromOffset uint64
+	// undecided holds the bundles that were read after a gap, in the order of the log.
+	undecided []undecidedBundle
+	// digestByVersion holds the digests of the bundles that came in force.
 	digestByVersion map[uint64]string
 }
 
-// undecidedBundle is a bundle that was read after a gap, and its offset.
+// undecidedBundle is a bundle that was read after a gap in the log, and the bundle's
+// offset.
 type undecidedBundle struct {
 	offset uint64
 	signed *Signed
@@ -83,8 +86,8 @@
 	return &Proof{signed: c.signed, operatorChanges: c.operatorChanges, endOffset: c.endOffset}
 }
 
-// AcceptedDigest returns the digest of the bundle that came in force with a version, or
-// "" if it is not remembered.
+// AcceptedDigest returns the digest of the bundle with the given version that came in
+// force, or "" if the chain does not remember it.
 func (c *Chain) AcceptedDigest(version uint64) string { return c.digestByVersion[version] }
 
 // Check returns the error that Offer would return, without changing anything.
@@ -125,7 +128,7 @@
 }
 
 // addUndecided keeps a bundle until it can be decided on. If there are too many, it
-// drops the oldest one and treats the log as read only from after its offset.
+// drops the oldest one and treats the log as read only from after the offset of that one.
 func (c *Chain) addUndecided(u undecidedBundle) {
 	c.undecided = append(c.undecided, u)
 	if len(c.undecided) > maxUndecided {
@@ -134,8 +137,8 @@
 	}
 }
 
-// NoteGap notes that part of the log was skipped and that reading continues at an
-// offset.
+// NoteGap notes that part of the log was skipped and that reading continues at the
+// given offset. Undecided bundles from before the gap are dropped.
 func (c *Chain) NoteGap(offset uint64) {
 	c.readFromOffset = offset
 	c.undecided = nil
@@ -171,7 +174,7 @@
 	return d, c.signers().Verify(s)
 }
 
-// putInForce puts a validated bundle in force.
+// putInForce puts the bundle s, which was found valid and has the document d, in force.
 func (c *Chain) putInForce(s *Signed, d *Document) {
 	if !d.Operators.equal(c.signers()) {
 		c.operatorChanges = append(c.operatorChanges[:len(c.operatorChanges):len(c.operatorChanges)], s)
@@ -188,10 +191,10 @@
 	}
 }
 
-// Adopt puts the bundle of a proof in force if its version is higher and the proof
-// leads from the operators in force here to the bundle's signatures. It is meant
-// for a bundle that a peer has in force or that was carried forward in the log,
-// where the bundles in between may be missing.
+// Adopt puts the bundle of a proof in force if the bundle's version is higher than the
+// one in force and the proof leads from the operators in force here to the bundle's
+// signatures. It is meant for a bundle that a peer has in force or that was carried
+// forward in the log, where the bundles in between may be missing.
 func (c *Chain) Adopt(p *Proof) error {
 	digest := Digest(p.signed.content)
 	if digest == c.digest {
@@ -222,9 +225,9 @@
 	return nil
 }
 
-// advanceEndOffset notes that the bundle in force is the newest one that the log
-// has put in force before an offset. If the log was read from there on without a
-// gap, it then decides on the bundles that were kept.
+// advanceEndOffset notes that the bundle in force is the newest one that the log has
+// put in force before the given offset. If the log was read from that offset on without
+// a gap, advanceEndOffset then decides on the undecided bundles.
 func (c *Chain) advanceEndOffset(offset uint64) {
 	c.endOffset = max(c.endOffset, offset)
 	if c.endOffset < c.readFromOffset {
@@ -239,7 +242,8 @@
 
 // verifyOperatorChanges follows the proof's changes of operators, starting with the
 // operators in force here. It returns the operators who must have signed the
-// proof's bundle, and the changes that it has verified.
+// proof's bundle, and the changes whose signatures it has verified. d is the document of
+// the proof's bundle.
 func (c *Chain) verifyOperatorChanges(p *Proof, d *Document) (*Operators, []*Signed, error) {
 	trusted := c.signers()
 	version := c.Version()
--- a/pkg/bundle/chain_test.go
+++ b/pkg/bundle/chain_test.go
@@ -30,11 +30,13 @@
 
 // testBundle describes one bundle of the test cases.
 type testBundle struct {
-	version   uint64
+	version uint64
+	// parent is the name of the parent in testBundles.
 	parent    string
 	operators Operators
 	// slots makes bundles with the same version differ.
-	slots   int
+	slots int
+	// signers are the operators who sign; mallory signs as alice, with another key.
 	signers []string
 }
 
@@ -90,6 +92,7 @@
 	return out
 }
 
+// testDocument returns a valid document with one service.
 func testDocument(version uint64, slots int, operators Operators) *Document {
 	return &Document{
 		Version: version, Operators: operators,
@@ -144,6 +147,8 @@
 	}
 }
 
+// runChainStep runs step i of a case and checks the result, the version and the bundle
+// in force.
 func runChainStep(t *testing.T, chain *Chain, bundles map[string]*Signed, i int, s *chainStep) {
 	t.Helper()
 	before := chain.Version()
--- a/pkg/bundle/diff.go
+++ b/pkg/bundle/diff.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// itemName returns the name of a list item, or its index if it has none.
+// itemName returns the name of the list item at index i, or the index if the item has
+// no name.
 func itemName(i int, item any) string {
 	if m, ok := item.(map[string]any); ok {
 		if name, ok := m["name"].(string); ok {
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -37,8 +37,8 @@
 	return &d, nil
 }
 
-// lineFinder returns a function that returns the line of a field, or 0 if it is not
-// found.
+// lineFinder returns a function that returns the line of a field, or 0 if the field is
+// not found. It returns nil if the document cannot be parsed.
 func lineFinder(data []byte) func(field string) int {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -77,32 +77,35 @@
 	}
 	seen = names{}
 	for i := range d.Services {
-		at := fmt.Sprintf("services[%d]", i)
-		c.name(at, d.Services[i].Name, seen)
-		c.service(at, &d.Services[i])
+		path := fmt.Sprintf("services[%d]", i)
+		c.name(path, d.Services[i].Name, seen)
+		c.service(path, &d.Services[i])
 	}
 	seen = names{}
 	for i := range d.BatchClasses {
-		at := fmt.Sprintf("batch-classes[%d]", i)
-		c.name(at, d.BatchClasses[i].Name, seen)
-		c.batchClass(at, &d.BatchClasses[i])
+		path := fmt.Sprintf("batch-classes[%d]", i)
+		c.name(path, d.BatchClasses[i].Name, seen)
+		c.batchClass(path, &d.BatchClasses[i])
 	}
 	seen = names{}
 	for i := range d.Teams {
-		at := fmt.Sprintf("teams[%d]", i)
-		c.name(at, d.Teams[i].Name, seen)
-		c.require(d.Teams[i].Quota.Valid(), at+".quota", "must not be negative")
+		path := fmt.Sprintf("teams[%d]", i)
+		c.name(path, d.Teams[i].Name, seen)
+		c.require(d.Teams[i].Quota.Valid(), path+".quota", "must not be negative")
 	}
 }
 
+// names is a set of names or keys that were used already.
 type names map[string]bool
 
 type checker struct {
+	// err joins the errors of all failed checks.
 	err error
 	// lineOf returns the line of a field, or 0 if unknown; it is nil if no line is known.
 	lineOf func(field string) int
 }
 
+// require adds an error for the field, with the rule that it breaks, unless ok is set.
 func (c *checker) require(ok bool, field, rule string) {
 	if ok {
 		return
@@ -116,10 +119,12 @@
 	c.err = errors.Join(c.err, errors.Mark(errors.Newf("%s: %s", place, rule), ErrInvalid))
 }
 
-func (c *checker) name(at, name string, seen names) {
-	c.require(len(name) <= maxNameLength && namePattern.MatchString(name), at+".name",
+// name checks the name of the item at a path, which must not be among those seen, and
+// adds the name to them.
+func (c *checker) name(path, name string, seen names) {
+	c.require(len(name) <= maxNameLength && namePattern.MatchString(name), path+".name",
 		"must be 1 to 63 lower-case letters, digits and hyphens")
-	c.require(!seen[name], at+".name", fmt.Sprintf("%q is used twice", name))
+	c.require(!seen[name], path+".name", fmt.Sprintf("%q is used twice", name))
 	seen[name] = true
 }
 
@@ -129,42 +134,42 @@
 	seen := names{}
 	keys := names{}
 	for i, k := range o.Keys {
-		at := fmt.Sprintf("operators.keys[%d]", i)
-		c.name(at, k.Name, seen)
+		path := fmt.Sprintf("operators.keys[%d]", i)
+		c.name(path, k.Name, seen)
 		raw, err := base64.StdEncoding.DecodeString(k.PublicKey)
-		c.require(err == nil && len(raw) == ed25519.PublicKeySize, at+".public-key",
+		c.require(err == nil && len(raw) == ed25519.PublicKeySize, path+".public-key",
 			"must be an ed25519 public key in base64")
-		c.require(!keys[k.PublicKey], at+".public-key", "is used twice")
+		c.require(!keys[k.PublicKey], path+".public-key", "is used twice")
 		keys[k.PublicKey] = true
 	}
 }
 
-func (c *checker) service(at string, s *Service) {
-	c.require(len(s.Classes) > 0, at+".classes", "must name at least one class")
-	c.require(s.Slots > 0, at+".slots", "must be at least 1")
-	c.require(s.MaxConnections >= s.Slots, at+".connections", "must be at least slots")
-	c.require(s.MaxBodyBytes > 0, at+".body-limit", "must be at least 1 byte")
-	c.require(s.LatencyObjective > 0, at+".objective", "must be longer than 0")
+func (c *checker) service(path string, s *Service) {
+	c.require(len(s.Classes) > 0, path+".classes", "must name at least one class")
+	c.require(s.Slots > 0, path+".slots", "must be at least 1")
+	c.require(s.MaxConnections >= s.Slots, path+".connections", "must be at least slots")
+	c.require(s.MaxBodyBytes > 0, path+".body-limit", "must be at least 1 byte")
+	c.require(s.LatencyObjective > 0, path+".objective", "must be longer than 0")
 	seen := names{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		in := fmt.Sprintf("%s.classes[%d]", at, i)
-		c.name(in, class.Name, seen)
-		c.priority(in, class.Priority)
-		c.require(class.Deadline > 0, in+".deadline", "must be longer than 0")
-		c.require(class.ExpectedServiceTime > 0, in+".expected", "must be longer than 0")
+		classPath := fmt.Sprintf("%s.classes[%d]", path, i)
+		c.name(classPath, class.Name, seen)
+		c.priority(classPath, class.Priority)
+		c.require(class.Deadline > 0, classPath+".deadline", "must be longer than 0")
+		c.require(class.ExpectedServiceTime > 0, classPath+".expected", "must be longer than 0")
 	}
 }
 
-func (c *checker) batchClass(at string, b *BatchClass) {
-	c.priority(at, b.Priority)
-	c.require(b.TakeoverAfter > 0, at+".takeover-after", "must be longer than 0")
-	c.require(b.MaxFailures > 0, at+".max-attempts", "must be at least 1")
-	c.require(b.Size.Valid(), at+".size", "must not be negative")
+func (c *checker) batchClass(path string, b *BatchClass) {
+	c.priority(path, b.Priority)
+	c.require(b.TakeoverAfter > 0, path+".takeover-after", "must be longer than 0")
+	c.require(b.MaxFailures > 0, path+".max-attempts", "must be at least 1")
+	c.require(b.Size.Valid(), path+".size", "must not be negative")
 }
 
-func (c *checker) priority(at string, p int) {
-	c.require(p >= 0 && p <= maxPriority, at+".priority", "must be from 0 to 9")
+func (c *checker) priority(path string, priority int) {
+	c.require(priority >= 0 && priority <= maxPriority, path+".priority", "must be from 0 to 9")
 }
 
 // ParseTemplate parses a document without operators, sets its operators and checks
--- a/pkg/bundle/proof.go
+++ b/pkg/bundle/proof.go
@@ -9,9 +9,9 @@
 const maxOperatorChanges = 256
 
 // Proof is a bundle in force together with the bundles that changed the operators
-// before it. Each of those is signed by the operators that the one before it names,
-// so that a process that knows only the root operators can verify the bundle
-// although its parents are no longer kept.
+// before it. Each of these changes is signed by the operators that the change before it
+// names, the first one by the root operators. So a process that knows only the root
+// operators can verify the bundle although the bundle's parents are no longer kept.
 type Proof struct {
 	signed          *Signed
 	operatorChanges []*Signed
@@ -58,8 +58,8 @@
 	return p, nil
 }
 
-// isLastOperatorChange reports whether the proof's bundle is itself the last one of
-// its changes of operators.
+// isLastOperatorChange reports whether the proof's bundle is itself the last one of the
+// proof's changes of operators.
 func (p *Proof) isLastOperatorChange() bool {
 	n := len(p.operatorChanges)
 	return n > 0 && Digest(p.operatorChanges[n-1].content) == Digest(p.signed.content)
@@ -73,6 +73,7 @@
 	Operators Operators `yaml:"operators"`
 }
 
+// parseOperatorChange parses and checks the part of a document that operatorChange holds.
 func parseOperatorChange(content []byte) (*operatorChange, error) {
 	var s operatorChange
 	if err := yaml.Unmarshal(content, &s); err != nil {
@@ -83,7 +84,7 @@
 	return &s, c.err
 }
 
-// equal reports whether both have the same keys, in the same order, and the same
+// equal reports whether o and other have the same keys, in the same order, and the same
 // threshold.
 func (o *Operators) equal(other *Operators) bool {
 	if o.Threshold != other.Threshold || len(o.Keys) != len(other.Keys) {
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -26,9 +26,11 @@
 
 // Signature is the ed25519 signature of one operator.
 type Signature struct {
-	_    struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Name is the operator's name.
 	Name string
-	Sum  []byte
+	// Sum is the signature of the document's bytes.
+	Sum []byte
 }
 
 type wireSigned struct {
