--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -26,20 +26,21 @@
 )
 
 const (
-	// maxReadAge is the maximum age of the latest read of the store for concluding that a
-	// job does not exist.
+	// maxReadAge is the maximum age of the latest read of the store from which an entry may
+	// conclude that a job does not exist.
 	maxReadAge = 2200 * time.Millisecond
-	// queryTimeout bounds a query to the dispatcher; without an answer the job table is used.
+	// queryTimeout bounds a query to the dispatcher. Without an answer the entry answers from its
+	// own job table.
 	queryTimeout = 500 * time.Millisecond
-	// appendRetry is the delay between two attempts to store a caller's record.
-	appendRetry = 60 * time.Millisecond
+	// intakeRetryDelay is the delay between two attempts to store a caller's record.
+	intakeRetryDelay = 60 * time.Millisecond
 )
 
 // Ready reports whether this entry accepts calls, for readiness checks.
 func (c *Coordinator) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.leaving && c.config != nil
+	return !c.draining && c.config != nil
 }
 
 // Config returns the configuration in force, or nil.
@@ -49,7 +50,7 @@
 	return c.config
 }
 
-// Submit stores a job with the newest term that this entry knows. The error is
+// Submit stores a job, with the newest term that this entry knows. The error is marked as
 // ErrRefused only if it is certain that the job never runs.
 func (c *Coordinator) Submit(ctx context.Context, sub *workflow.Submission) error {
 	began := clock.Steady()
@@ -66,6 +67,7 @@
 	return err
 }
 
+// submit is Submit without the metrics. It stores nothing if the job table has the job already.
 func (c *Coordinator) submit(ctx context.Context, sub *workflow.Submission) error {
 	c.mu.Lock()
 	e, ok := c.jobs.Job(sub.ID)
@@ -104,8 +106,9 @@
 	return nil
 }
 
-// storeRecord stores a record, through another entry if the store does not answer
-// this one. It retries until ctx ends, unless each attempt has certainly failed.
+// storeRecord stores a record, through another entry if this one cannot store it. It retries
+// while an attempt may have succeeded, until ctx ends. Once all attempts have certainly failed it
+// returns ErrRefused, at the end of ctx ErrOutcomeUnknown.
 func (c *Coordinator) storeRecord(ctx context.Context, r store.Record) error {
 	maybeStored := false
 	for {
@@ -123,13 +126,14 @@
 			c.log.Warn().Err(err).Str("key", r.Key).Msg("store refused a record")
 			return errors.Mark(err, ErrRefused)
 		}
-		if !clock.WaitForWake(ctx, nil, appendRetry) {
+		if !clock.WaitForWake(ctx, nil, intakeRetryDelay) {
 			return errors.Mark(err, ErrOutcomeUnknown)
 		}
 	}
 }
 
-// storeDirectly stores a record unless the store is unavailable.
+// storeDirectly stores a record without the help of another entry. It returns store.ErrRefused at
+// once while the store is unavailable.
 func (c *Coordinator) storeDirectly(ctx context.Context, r store.Record) error {
 	c.mu.Lock()
 	unavailable := c.storeUnavailable(clock.Steady())
@@ -142,9 +146,9 @@
 
 func isRefused(err error) bool { return errors.Is(err, store.ErrRefused) }
 
-// storeThroughPeer has another entry store a record: the dispatcher, or at the
-// dispatcher the possible successor. If it is not stored, certain says that it will
-// not be either.
+// storeThroughPeer has another entry store a record: the dispatcher, or if this entry is the
+// dispatcher, the entry that would be its successor. stored is set if the record is stored. If it
+// is not, certain is set if the record certainly never will be.
 func (c *Coordinator) storeThroughPeer(ctx context.Context, r store.Record) (stored, certain bool) {
 	cc := c.storingPeer()
 	if cc == nil {
@@ -161,7 +165,7 @@
 	return m.RelayResult.Stored, m.RelayResult.Refused
 }
 
-// storingPeer returns the entry through which to store a record, or nil.
+// storingPeer returns the connection to the entry through which to store a record, or nil.
 func (c *Coordinator) storingPeer() *callConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,33 +174,33 @@
 	}
 	name := c.chooseSuccessor(clock.Steady())
 	for _, l := range c.links {
-		if l.name == name && l.storeAge < relayMaxStoreAge {
+		if l.name == name && l.storeContactAge < relayMaxStoreContactAge {
 			return l.calls
 		}
 	}
 	return nil
 }
 
-// notifyDispatcher tells the dispatcher of a stored record, which it otherwise
-// reads from the store up to a second later: it calls own if that is this entry,
-// and else sends m.
-func (c *Coordinator) notifyDispatcher(m *peer.Message, own func(now time.Time)) {
+// notifyDispatcher tells the dispatcher of a stored record, which the dispatcher otherwise
+// reads from the store up to a second later. It calls applyHere if this entry is the dispatcher,
+// and else sends m to the dispatcher.
+func (c *Coordinator) notifyDispatcher(m *peer.Message, applyHere func(now time.Time)) {
 	c.mu.Lock()
 	cc, t := c.dispatcherConn, c.term
 	c.mu.Unlock()
 	switch {
 	case t != nil:
-		own(clock.Steady())
+		applyHere(clock.Steady())
 	case cc != nil:
 		cc.conn.Send(m)
 	}
 }
 
 // admitStored passes a stored submission to the scheduler if this entry is the dispatcher.
-func (c *Coordinator) admitStored(now time.Time, a *peer.SubmissionStored) {
+func (c *Coordinator) admitStored(now time.Time, s *peer.SubmissionStored) {
 	c.mu.Lock()
 	if c.term != nil {
-		c.term.scheduler.Admit(now, clock.WallMS(), &a.Submission, nil, false)
+		c.term.scheduler.Admit(now, clock.WallMS(), &s.Submission, nil, false)
 	}
 	c.mu.Unlock()
 	notify(c.wakeLead)
@@ -221,7 +225,7 @@
 	if known {
 		phase = e.Phase()
 	}
-	fresh := clock.Steady().Sub(c.jobsCaughtUp()) < maxReadAge && !c.jobsCaughtUp().IsZero()
+	fresh := clock.Steady().Sub(c.jobsCaughtUpAt()) < maxReadAge && !c.jobsCaughtUpAt().IsZero()
 	cc, t := c.dispatcherConn, c.term
 	c.mu.Unlock()
 	if known && phase.Ended() {
@@ -248,8 +252,9 @@
 	return 0, ErrNotCaughtUp
 }
 
-// localPhase returns the phase of a job without asking another entry. It reports
-// false unless this entry is the dispatcher or knows that the job has ended.
+// localPhase returns the phase of a job without asking another entry. It reports false
+// unless the job table shows that the job has ended, or this entry is the dispatcher and its
+// scheduler has the job.
 func (c *Coordinator) localPhase(id string) (workflow.Phase, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,12 +266,13 @@
 	}
 	p, ok := c.term.scheduler.Phase(id)
 	if ok && p.Ended() {
-		p = workflow.PhaseRunning // it counts as ended only once that is stored
+		p = workflow.PhaseRunning // the job counts as ended only once its end is stored
 	}
 	return p, ok
 }
 
-// Pending returns the number of jobs in a queue of which no task has started.
+// Pending returns the number of jobs in a queue of which no task has started, as far as this
+// entry knows.
 func (c *Coordinator) Pending(queue string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/changes.go
+++ b/internal/coordinator/changes.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// flushEvery is how long changes are collected that no caller waits for, since each
-	// append costs a call to the store.
+	// flushEvery is how long changes that no caller waits for are collected before they are
+	// stored, since each append costs a call to the store.
 	flushEvery = 150 * time.Millisecond
-	// changeRetry is the delay before a failed append is retried.
-	changeRetry = 100 * time.Millisecond
+	// progressRetryDelay is the delay before a failed append of job progress is retried.
+	progressRetryDelay = 100 * time.Millisecond
 )
 
 // writeChanges stores the changes of the scheduler, and then acknowledges run ends to their workers.
@@ -34,8 +34,8 @@
 	}
 }
 
-// registerWorkers stores the names of workers before they get their first task, so
-// that a later dispatcher waits for their report or the end of their leases.
+// registerWorkers stores the names of new workers before they get their first task, so
+// that a later dispatcher waits for their reports or the end of their leases.
 func (c *Coordinator) registerWorkers(ctx context.Context, t *term) {
 	c.mu.Lock()
 	var records []store.Record
@@ -82,16 +82,16 @@
 	change := t.scheduler.TakeChange()
 	t.lastFlush, t.renewalDue = now, false
 	expiredJobs := t.scheduler.DropExpired(clock.WallMS() - c.settings.JobRetention.Milliseconds())
-	learned := c.learnedRecord(now, t)
+	interference := c.interferenceRecord(now, t)
 	c.mu.Unlock()
-	records := append(c.encodeProgress(change), learned...)
+	records := append(c.encodeProgress(change), interference...)
 	if c.appendProgress(ctx, t, records, idle) {
 		c.changeStored(t, change, records)
 	}
 	c.deleteJobs(ctx, expiredJobs)
 }
 
-// deleteJobs deletes jobs from the store whose retention has expired. If that
+// deleteJobs deletes jobs whose retention has expired from the store. If the deletion
 // fails, a later dispatcher deletes them.
 func (c *Coordinator) deleteJobs(ctx context.Context, ids []string) {
 	var progress, intake []store.Record
@@ -111,6 +111,7 @@
 	}
 }
 
+// encodeProgress returns the records of the changed jobs. It leaves out jobs that cannot be encoded.
 func (c *Coordinator) encodeProgress(change *dispatch.Change) []store.Record {
 	var records []store.Record
 	for id, p := range change.Jobs() {
@@ -126,8 +127,8 @@
 
 // appendProgress appends records under the term and reports whether they are
 // stored. It retries until the append succeeds, a later term has written or this
-// term has ended. With renew set it makes the call without records too, since each
-// successful append renews the leadership lease.
+// term has ended. Without records it makes a call only if renew is set, since each
+// successful append, also an empty one, renews the leadership lease.
 func (c *Coordinator) appendProgress(ctx context.Context, t *term, records []store.Record, renew bool) bool {
 	if len(records) == 0 && !renew {
 		return true
@@ -159,7 +160,7 @@
 		c.mu.Lock()
 		current := c.term == t
 		c.mu.Unlock()
-		if !current || !clock.WaitForWake(ctx, nil, changeRetry) {
+		if !current || !clock.WaitForWake(ctx, nil, progressRetryDelay) {
 			return false
 		}
 	}
@@ -171,7 +172,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range records {
-		if r.Key == learnedKey {
+		if r.Key == interferenceKey {
 			continue
 		}
 		if _, err := c.jobs.Apply(r); err != nil {
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -15,7 +15,8 @@
 	Host, Prefix string
 	// Timeout bounds the time for answering a request unless it is 0.
 	Timeout time.Duration
-	Queue   dispatch.Queue
+	// Queue describes how the scheduler treats the jobs of the queue.
+	Queue dispatch.Queue
 }
 
 // Limits bounds the size and the duration of requests.
@@ -43,6 +44,7 @@
 	return best, best != nil
 }
 
+// queues returns the queues of all routes by name.
 func (c *Config) queues() map[string]dispatch.Queue {
 	out := make(map[string]dispatch.Queue, len(c.Routes))
 	for i := range c.Routes {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -23,18 +23,18 @@
 
 // Intervals and timeouts of an entry.
 const (
-	// pingEvery is how often other entries ping the dispatcher; leadership.ElectionTimeout allows
-	// four missed pings.
+	// pingEvery is how often each other entry pings the dispatcher; leadership.ElectionTimeout
+	// allows four missed pings.
 	pingEvery = 300 * time.Millisecond
-	// tickEvery is how often an entry checks its peers, the workers and the term for timeouts.
+	// tickEvery is how often an entry checks its peers, the workers and its term for timeouts.
 	tickEvery = 100 * time.Millisecond
 	// tailEvery is how often job records are read from the store; a job must be visible at
 	// all entries within three seconds.
 	tailEvery = time.Second
 	// storeTimeout bounds one call to the store; slow calls take up to 0.4 s.
 	storeTimeout = 1200 * time.Millisecond
-	// silentAfter is how long after its last message an agent gets no more orders, and an
-	// entry cannot become the successor.
+	// silentAfter is the time without a message after which an agent gets no more orders, and
+	// an entry is not chosen as the successor.
 	silentAfter = 900 * time.Millisecond
 	// leaderLeaseRenewEvery is how often an idle dispatcher writes to the store to renew
 	// its leadership lease, well within leadership.LeaderLeaseDuration.
@@ -62,51 +62,66 @@
 
 // Coordinator is one running entry.
 type Coordinator struct {
-	settings   Settings
-	store      store.Client
-	log        *log.Logger
-	registry   gometrics.Registry
-	listener   net.Listener
-	group      sync.WaitGroup
+	settings Settings
+	store    store.Client
+	log      *log.Logger
+	registry gometrics.Registry
+	listener net.Listener
+	group    sync.WaitGroup
+	// wakeLead wakes lead, wakeWriter wakes writeChanges.
 	wakeLead   chan struct{}
 	wakeWriter chan struct{}
-	intake     chan *intakeItem
+	// intake holds callers' records that wait to be stored.
+	intake chan *intakeItem
 
 	// mu guards everything below. It is never held during I/O.
-	mu        sync.Mutex
+	mu sync.Mutex
+	// config is the configuration in force, nil before the first one; rawConfig is its encoding.
 	config    *Config
 	rawConfig []byte
 	jobs      workflow.JobTable
-	// learned is the newest record of the interference that dispatchers measured between images.
-	learned []byte
+	// storedInterference is the value of the newest record of the interference that dispatchers
+	// have measured between images.
+	storedInterference []byte
 	// tails holds the read positions in jobTopics.
-	tails            [len(jobTopics)]tail
+	tails [len(jobTopics)]tail
+	// lastStoreSuccess is when the newest call that the store carried out or rejected ended.
 	lastStoreSuccess time.Time
-	// storeFailures counts consecutive calls that the store refused or did not answer.
+	// storeFailures counts the consecutive calls up to now that the store refused or did not
+	// answer.
 	storeFailures int
 	// firstStoreFailure is when the first of these calls began.
 	firstStoreFailure time.Time
-	candidate         leadership.Candidate
-	// entries maps the peer addresses of other entries to their names, empty where not known yet.
+	// candidate decides when this entry claims leadership, and holds the newest claim that it knows.
+	candidate leadership.Candidate
+	// entries maps the peer addresses of other entries to their names; a name is empty while it
+	// is not known.
 	entries map[string]string
 	// links holds the connections that other entries opened to this one, by their peer address.
-	links          map[string]*entryLink
-	leaving        bool
+	links map[string]*entryLink
+	// draining is set once this entry shuts down.
+	draining bool
+	// dispatcherConn is the connection to the dispatcher; nil if there is none, or if this entry
+	// is the dispatcher.
 	dispatcherConn *callConn
-	term           *term
+	// term is this entry's term; nil unless this entry is the dispatcher.
+	term *term
+	// pendingByQueue is the dispatcher's latest number of jobs without a started task, by queue.
 	pendingByQueue map[string]int
-	successorUntil time.Time
+	// claimNotBefore is until when this entry does not claim leadership after a dispatcher has
+	// resigned, so that the successor can.
+	claimNotBefore time.Time
 }
 
 // New returns an entry that listens for its peers but does not serve them yet.
-func New(s Settings, port store.Client, logger *log.Logger, registry gometrics.Registry) (*Coordinator, error) {
+func New(s Settings, storeClient store.Client, logger *log.Logger, registry gometrics.Registry) (*Coordinator, error) {
 	ln, err := new(net.ListenConfig).Listen(context.Background(), "tcp", s.Listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
 	c := &Coordinator{
-		settings: s, store: port, log: logger, registry: registry, listener: ln,
-		wakeLead: make(chan struct{}, 1), wakeWriter: make(chan struct{}, 1), intake: make(chan *intakeItem, intakeQueue), entries: make(map[string]string), links: make(map[string]*entryLink),
+		settings: s, store: storeClient, log: logger, registry: registry, listener: ln,
+		wakeLead: make(chan struct{}, 1), wakeWriter: make(chan struct{}, 1), intake: make(chan *intakeItem, intakeQueueLength), entries: make(map[string]string), links: make(map[string]*entryLink),
 	}
 	for _, a := range s.Entries {
 		if a != s.Listen {
@@ -116,8 +131,8 @@
 	return c, nil
 }
 
-// Run starts the goroutines of the entry. It returns when ctx ends; it tells them to
-// stop and does not wait for them.
+// Run starts the goroutines of the entry. When ctx ends, it tells them to stop and returns
+// without waiting for them.
 func (c *Coordinator) Run(ctx context.Context) {
 	live, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -138,7 +153,7 @@
 // entry can take over. Until then it keeps dispatching, and it keeps answering callers.
 func (c *Coordinator) Leave() {
 	c.mu.Lock()
-	c.leaving = true
+	c.draining = true
 	t := c.term
 	c.mu.Unlock()
 	c.log.Info().Bool("dispatching", t != nil).Msg("coordinator is leaving")
@@ -169,8 +184,8 @@
 	}
 }
 
-// callStore runs one call to the store with a timeout of storeTimeout plus extra,
-// and records its outcome.
+// callStore runs fn, one call to the store, with a timeout of storeTimeout plus extra,
+// and records the outcome of the call.
 func callStore[T any](ctx context.Context, c *Coordinator, extra time.Duration, fn func(ctx context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+extra)
 	defer cancel()
@@ -181,7 +196,9 @@
 	return v, err
 }
 
-// recordStoreResult updates the availability of the store after a call that started at began.
+// recordStoreResult updates the availability of the store after a call that began at began
+// and returned err. An error other than store.ErrRefused and store.ErrOutcomeUnknown is an answer
+// of the store, and counts as a success here.
 func (c *Coordinator) recordStoreResult(began time.Time, err error) {
 	c.mu.Lock()
 	now := clock.Steady()
@@ -214,15 +231,16 @@
 
 // Thresholds from which the store counts as unavailable.
 const (
-	// unavailableFailures consecutive failures are an outage; fewer may be single lost
-	// answers, as up to a third of them are lost.
+	// unavailableFailures is the number of consecutive failed calls from which there may be an
+	// outage. Fewer may be single lost answers, as up to a third of all answers are lost.
 	unavailableFailures = 3
-	// unavailableAfter is how long no call succeeds before the store counts as unavailable.
+	// unavailableAfter is the time without a successful call after which the store counts as
+	// unavailable.
 	unavailableAfter = 400 * time.Millisecond
 )
 
-// countStoreCall counts a call to the store by its outcome. The latency histogram
-// leaves out calls with extra time, since they wait for new records
+// countStoreCall counts a call to the store that began at began by its outcome err. The
+// latency histogram leaves out calls with an extra timeout, since they wait for new records
 // or read several pages.
 func (c *Coordinator) countStoreCall(began time.Time, extra time.Duration, err error) {
 	switch {
@@ -240,13 +258,18 @@
 	}
 }
 
-// Status is the present state of an entry as far as it knows, for operators.
+// Status is what an entry knows of the present state, for operators.
 type Status struct {
+	// ConfigVersion is the version of the configuration in force; 0 if there is none.
 	ConfigVersion uint64
-	Term          uint64
-	Dispatcher    string
-	Dispatching   bool
-	Jobs          int
+	// Term is the newest leadership term that the entry knows, Dispatcher the name of the entry
+	// that claimed it.
+	Term       uint64
+	Dispatcher string
+	// Dispatching is set if the entry is the dispatcher.
+	Dispatching bool
+	// Jobs is the number of jobs in the job table.
+	Jobs int
 }
 
 // Status returns the state of this entry.
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -86,8 +86,9 @@
 	for _, tc := range []struct {
 		name  string
 		fault error
-		done  bool
-		want  error
+		// takesEffect is set if the store carries out the append that fails with fault.
+		takesEffect bool
+		want        error
 	}{
 		{"stored", nil, false, nil},
 		{"a job that the store refused never runs", store.ErrRefused, false, ErrRefused},
@@ -95,7 +96,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &standin.Store{}
-			s.SetFault(tc.fault, tc.done)
+			s.SetFault(tc.fault, tc.takesEffect)
 			c := newTestEntry(t, "entry-a", s)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -104,7 +105,7 @@
 				defer close(writing)
 				for i := range c.intake {
 					_, err := c.store.Append(ctx, store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{i.record}})
-					if tc.done {
+					if tc.takesEffect {
 						cancel() // no time is left for another attempt
 					}
 					i.done <- err
@@ -133,9 +134,9 @@
 	}
 }
 
-// After another entry has claimed leadership the store rejects the writes of the
-// earlier dispatcher, which then ends its term. An entry that meets a claim that it
-// did not know only records it.
+// After another entry has claimed leadership, the store rejects the writes of the
+// earlier dispatcher, which then ends its term. An entry that reads a claim that it
+// did not know only records the claim.
 func TestClaim(t *testing.T) {
 	s := &standin.Store{}
 	a, b := newTestEntry(t, "entry-a", s), newTestEntry(t, "entry-b", s)
@@ -168,7 +169,7 @@
 }
 
 // While the store is unavailable, submissions are refused at once and no append is
-// sent, since it could still take effect later.
+// sent, since the append could still take effect later.
 func TestSubmitWhileStoreIsUnavailable(t *testing.T) {
 	s := &standin.Store{}
 	s.SetFault(store.ErrOutcomeUnknown, true)
@@ -223,7 +224,7 @@
 	})
 	c.handleHello(conn, hello)
 	c.mu.Lock()
-	c.links["b"].storeAge = 0
+	c.links["b"].storeContactAge = 0
 	c.lastStoreSuccess = clock.Steady().Add(-2 * unavailableAfter)
 	c.mu.Unlock()
 	s.SetFault(store.ErrRefused, false)
@@ -265,8 +266,8 @@
 }
 
 // A worker can be declared lost while its agent stays connected, for example in an
-// outage of the store that outlasts the leadership lease. Its connection must be
-// closed, so that the agent sends a new report: without one its worker lease would
+// outage of the store that outlasts the leadership lease. The agent's connection must be
+// closed, so that the agent sends a new report: without a report the worker lease would
 // never be renewed again.
 func TestLostWorkerMustReportAgain(t *testing.T) {
 	c := newTestEntry(t, "entry-a", &standin.Store{})
@@ -277,13 +278,13 @@
 	group.Go(func() { _ = conn.Run(&group, func(*peer.Message) {}) })
 	defer group.Wait()
 	now := clock.Steady()
-	held := &term{number: 1, agents: make(map[string]*agentLink)}
-	held.scheduler.BeginTerm(1, nil)
-	held.leaderLease.Renew(now)
+	current := &term{number: 1, agents: make(map[string]*agentLink)}
+	current.scheduler.BeginTerm(1, nil)
+	current.leaderLease.Renew(now)
 	link := &agentLink{name: "w1", conn: conn, lastContact: now, leaseExpired: true}
-	held.agents["w1"] = link
+	current.agents["w1"] = link
 	c.mu.Lock()
-	c.handleAgentPing(now, held, link, &peer.Ping{Seq: 1})
+	c.handleAgentPing(now, current, link, &peer.Ping{Seq: 1})
 	c.mu.Unlock()
 	select {
 	case <-conn.Done():
@@ -292,20 +293,20 @@
 	}
 }
 
-// The dispatcher resigns when the store fails only this entry, and not in an outage
-// for all entries, when no other one could take over.
+// The dispatcher resigns when the store fails only its own entry, and not in an outage
+// for all entries, when no other entry could take over.
 func TestOnlyStoreAccessLost(t *testing.T) {
 	now := clock.Steady()
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	for _, tc := range []struct {
 		name     string
 		failures int
-		// failedMS is how long ago the first failed call began, heardMS how long ago the other
-		// entry pinged.
-		failedMS, heardMS int64
-		// ageMS is how long before this ping the store had answered the other entry.
-		ageMS int64
-		want  bool
+		// failedAgoMS is how long ago the first failed call began, pingedAgoMS how long ago the
+		// other entry pinged.
+		failedAgoMS, pingedAgoMS int64
+		// storeContactAgeMS is how long before this ping the store had answered the other entry.
+		storeContactAgeMS int64
+		want              bool
 	}{
 		{"the other entry was served after the first failure", 5, 1000, 100, 200, true},
 		{"an outage for all", 5, 1000, 100, 950, false},
@@ -316,8 +317,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestEntry(t, "entry-a", &standin.Store{})
-			c.storeFailures, c.firstStoreFailure, c.lastStoreSuccess = tc.failures, ago(tc.failedMS), ago(tc.failedMS+50)
-			c.links["b"] = &entryLink{name: "entry-b", lastContact: ago(tc.heardMS), storeAge: time.Duration(tc.ageMS) * time.Millisecond}
+			c.storeFailures, c.firstStoreFailure, c.lastStoreSuccess = tc.failures, ago(tc.failedAgoMS), ago(tc.failedAgoMS+50)
+			c.links["b"] = &entryLink{name: "entry-b", lastContact: ago(tc.pingedAgoMS), storeContactAge: time.Duration(tc.storeContactAgeMS) * time.Millisecond}
 			if got := c.onlyStoreAccessLost(now); got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -21,9 +21,11 @@
 type callConn struct {
 	conn *peer.Conn
 
-	// mu guards the calls that wait for an answer, by their number.
-	mu      sync.Mutex
-	seq     uint64
+	// mu guards the fields below.
+	mu sync.Mutex
+	// seq is the number of the last call.
+	seq uint64
+	// waiting holds the calls that wait for an answer, by their number.
 	waiting map[uint64]chan *peer.Message
 }
 
@@ -31,8 +33,8 @@
 	return &callConn{conn: conn, waiting: make(map[uint64]chan *peer.Message)}
 }
 
-// call sends the message that build returns for a call number and waits for the
-// answer. It reports false if ctx or the connection ends before.
+// call sends the message that build returns for a new call number and waits for the
+// answer. It reports false if ctx or the connection ends before the answer arrives.
 func (cc *callConn) call(ctx context.Context, build func(seq uint64) *peer.Message) (*peer.Message, bool) {
 	cc.mu.Lock()
 	cc.seq++
@@ -57,7 +59,8 @@
 	return nil, false
 }
 
-func (cc *callConn) answer(seq uint64, m *peer.Message) {
+// deliver passes the answer m to the call with number seq, if that call still waits.
+func (cc *callConn) deliver(seq uint64, m *peer.Message) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if ch := cc.waiting[seq]; ch != nil {
@@ -66,18 +69,18 @@
 	}
 }
 
-// hello returns the first message on a connection to another entry; stays says
-// that the connection is kept and not opened for one probe.
-func (c *Coordinator) hello(stays bool) *peer.Message {
+// hello returns the first message on a connection to another entry. If persistent is set,
+// the connection is kept open; that of a probe is not.
+func (c *Coordinator) hello(persistent bool) *peer.Message {
 	c.mu.Lock()
 	term := c.candidate.Claim().Term
 	c.mu.Unlock()
 	return &peer.Message{Hello: &peer.Hello{
-		Term: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen, Zone: c.settings.Zone, Persistent: stays,
+		Term: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen, Zone: c.settings.Zone, Persistent: persistent,
 	}}
 }
 
-// follow keeps a connection to the dispatcher while that is another entry.
+// follow keeps a connection to the dispatcher open while another entry is the dispatcher.
 func (c *Coordinator) follow(ctx context.Context) {
 	for clock.WaitForWake(ctx, nil, tickEvery) {
 		c.mu.Lock()
@@ -98,7 +101,7 @@
 			c.mu.Lock()
 			c.candidate.NoteResigned(claim.Term) // nothing listens there, so the process has ended
 			c.mu.Unlock()
-			c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("the process of the dispatcher has ended")
+			c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("the dispatcher's address refuses connections; its process has ended")
 			notify(c.wakeLead)
 		}
 		return
@@ -123,13 +126,14 @@
 	notify(c.wakeLead)
 }
 
-// pingDispatcher pings the dispatcher until its connection or term ends.
+// pingDispatcher pings the dispatcher of a term until the connection cc ends, a later term is
+// known, or this entry becomes the dispatcher.
 func (c *Coordinator) pingDispatcher(ctx context.Context, cc *callConn, term uint64) {
 	defer cc.conn.Close()
 	for seq := uint64(1); ; seq++ {
 		c.mu.Lock()
 		now := clock.Steady()
-		p := &peer.Ping{Seq: seq, Term: c.candidate.Claim().Term, StoreContactAgeMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Draining: c.leaving}
+		p := &peer.Ping{Seq: seq, Term: c.candidate.Claim().Term, StoreContactAgeMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Draining: c.draining}
 		if c.config != nil {
 			p.ConfigVersion = c.config.Version
 		}
@@ -162,11 +166,11 @@
 		}
 		c.mu.Unlock()
 	case m.PhaseAnswer != nil:
-		cc.answer(m.PhaseAnswer.Seq, m)
+		cc.deliver(m.PhaseAnswer.Seq, m)
 	case m.RelayAppend != nil:
 		c.group.Go(func() { c.storeForPeer(ctx, cc.conn, m.RelayAppend) })
 	case m.RelayResult != nil:
-		cc.answer(m.RelayResult.Seq, m)
+		cc.deliver(m.RelayResult.Seq, m)
 	case m.Config != nil:
 		c.applyConfig(m.Config.Data, "peer "+claim.Entry)
 	case m.Resigned != nil:
@@ -174,8 +178,8 @@
 	}
 }
 
-// handleWelcome handles the first message from an entry that should be the
-// dispatcher, and closes the connection if it is not.
+// handleWelcome handles the first message from the entry that made a claim, and closes the
+// connection if that entry is not the dispatcher of the claim's term.
 func (c *Coordinator) handleWelcome(now time.Time, cc *callConn, claim leadership.Claim, w *peer.Welcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +198,7 @@
 		c.candidate.NoteResigned(claim.Term) // the process that claimed has ended, and another one runs at its address
 		cc.conn.Close()
 	default:
-		cc.conn.Close() // its term has not begun yet, or it has resigned
+		cc.conn.Close() // the entry's term has not begun yet, or the entry has resigned
 	}
 }
 
@@ -214,13 +218,13 @@
 	}
 }
 
-// handleResigned records that a dispatcher has resigned. The successor that it
-// named claims at once; other entries wait for leadership.ElectionTimeout.
+// handleResigned records that a dispatcher has resigned. The successor that the dispatcher
+// named claims leadership at once; other entries wait for leadership.ElectionTimeout.
 func (c *Coordinator) handleResigned(r *peer.Resigned) {
 	c.mu.Lock()
 	c.candidate.NoteResigned(r.Term)
 	if r.Successor != "" && r.Successor != c.settings.Name {
-		c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
+		c.claimNotBefore = clock.Steady().Add(leadership.ElectionTimeout)
 	}
 	c.mu.Unlock()
 	c.log.Info().Uint64("term", r.Term).Str("heir", r.Successor).Msg("dispatcher resigned")
@@ -249,9 +253,9 @@
 	return w, nil
 }
 
-// entriesHearing counts the other entries that have heard from the dispatcher
-// lately or know a newer claim, which it records.
-func (c *Coordinator) entriesHearing(ctx context.Context, claim leadership.Claim) int {
+// probeForDispatcher probes all other entries and counts those that had contact with the
+// dispatcher lately, or know a claim newer than claim. It records newer claims.
+func (c *Coordinator) probeForDispatcher(ctx context.Context, claim leadership.Claim) int {
 	c.mu.Lock()
 	var addresses []string
 	for a := range c.entries {
@@ -262,12 +266,12 @@
 	c.mu.Unlock()
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	hearing := 0
+	withContact := 0
 	for _, a := range addresses {
 		group.Go(func() {
 			w, err := c.probe(ctx, a)
 			if err != nil {
-				return // an entry that does not answer does not hear the dispatcher either
+				return // an entry that does not answer cannot confirm contact with the dispatcher
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -277,18 +281,18 @@
 				c.mu.Lock()
 				c.candidate.ObserveClaim(clock.Steady(), newer)
 				c.mu.Unlock()
-				hearing++
+				withContact++
 			} else if w.Term == claim.Term && w.Term != 0 && !w.NoDispatcher && w.DispatcherContactAgeMS < leadership.ElectionTimeout.Milliseconds() {
-				hearing++
+				withContact++
 			}
 		})
 	}
 	group.Wait()
-	return hearing
+	return withContact
 }
 
-// hasStopped probes the process of a claim and reports whether it is certain that
-// the process no longer acts as the dispatcher, and why.
+// hasStopped probes the process that made a claim. It reports whether that process certainly
+// no longer acts as the dispatcher, and the reason for this certainty.
 func (c *Coordinator) hasStopped(ctx context.Context, claim leadership.Claim) (bool, string) {
 	w, err := c.probe(ctx, claim.Address)
 	var refusedBy *net.OpError
--- a/internal/coordinator/intake.go
+++ b/internal/coordinator/intake.go
@@ -10,22 +10,23 @@
 
 const (
 	// intakeWriters is the number of concurrent appends of callers' records, so that
-	// one whose answer is lost does not delay the others.
+	// an append whose answer is lost does not delay the others.
 	intakeWriters = 3
-	// intakeQueue bounds the number of records that wait for a writer.
-	intakeQueue = 1024
-	// intakeBatch bounds the number of records in one append; the record of a job takes up to 20 KB.
-	intakeBatch = 64
+	// intakeQueueLength bounds the number of records that wait for a writer.
+	intakeQueueLength = 1024
+	// maxIntakeBatch bounds the number of records in one append; the record of a job takes up to 20 KB.
+	maxIntakeBatch = 64
 )
 
-// intakeItem is a record that waits to be stored; done receives the result.
+// intakeItem is a record that waits to be stored. done receives the error of the append that
+// contains it, or nil.
 type intakeItem struct {
 	record store.Record
 	done   chan error
 }
 
 // storeIntake stores a record, in one append with others that wait, and returns
-// when the result is known. After an error that is not store.ErrRefused the record
+// when the result is known or ctx ends. After an error that is not store.ErrRefused the record
 // may have been stored.
 func (c *Coordinator) storeIntake(ctx context.Context, r store.Record) error {
 	item := &intakeItem{record: r, done: make(chan error, 1)}
@@ -42,7 +43,7 @@
 	}
 }
 
-// writeIntake stores callers' records, up to intakeBatch waiting ones in each append.
+// writeIntake stores callers' records that wait, up to maxIntakeBatch in each append.
 func (c *Coordinator) writeIntake(ctx context.Context) {
 	for {
 		var items []*intakeItem
@@ -66,11 +67,11 @@
 	}
 }
 
-// waitingIntake returns the records that wait at present, as many as fit in an append
-// after the first one.
+// waitingIntake returns the records that wait at present, at most maxIntakeBatch-1, since
+// the append already has its first record.
 func (c *Coordinator) waitingIntake() []*intakeItem {
 	var items []*intakeItem
-	for len(items) < intakeBatch-1 {
+	for len(items) < maxIntakeBatch-1 {
 		select {
 		case item := <-c.intake:
 			items = append(items, item)
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -13,25 +13,25 @@
 	"savoryhoist.example/savoryhoist/pkg/leadership"
 )
 
-// resignAfter is how long the store has failed the dispatcher before it resigns in
-// favour of an entry that reaches the store: until then callers do not see that
-// jobs have ended, since that is not stored. A call with a single lost answer is
-// repeated within 0.2 s.
+// resignAfter is how long the store must have failed the dispatcher before the dispatcher
+// resigns in favour of an entry that reaches the store. While the store fails, callers do not
+// see that jobs have ended, since the ends cannot be stored. A call with a single lost answer
+// is repeated within 0.2 s.
 const resignAfter = 700 * time.Millisecond
 
-// servedAfter is how much later than the dispatcher's first failed call the store
-// must have answered another entry, to distinguish a fault of this entry's access
-// from an outage for all entries.
-const servedAfter = 300 * time.Millisecond
+// minServedAfterFailure is the minimum time from the dispatcher's first failed call to the last
+// answer of the store to another entry from which the dispatcher concludes that only its own
+// access to the store has failed, rather than the store for all entries.
+const minServedAfterFailure = 300 * time.Millisecond
 
-// relayMaxStoreAge is the maximum age of an entry's last answer from the store for
-// the dispatcher to store records through it; each entry reads the store every
+// relayMaxStoreContactAge is the maximum age of an entry's last answer from the store for
+// the dispatcher to store records through that entry. Each entry reads the store every
 // second.
-const relayMaxStoreAge = 2 * time.Second
+const relayMaxStoreContactAge = 2 * time.Second
 
-// decideGap is the minimum time between two scheduling decisions, so that messages
-// that arrive together are decided on at once.
-const decideGap = 4 * time.Millisecond
+// minDecisionInterval is the minimum time between two scheduling decisions, so that one
+// decision takes into account all messages that arrive together.
+const minDecisionInterval = 4 * time.Millisecond
 
 // lead claims leadership when no entry holds it, and makes scheduling decisions while
 // this entry is the dispatcher.
@@ -50,7 +50,7 @@
 			continue
 		}
 		c.considerResigning(now, t)
-		clock.WaitForWake(ctx, nil, decideGap)
+		clock.WaitForWake(ctx, nil, minDecisionInterval)
 	}
 }
 
@@ -66,7 +66,7 @@
 	}
 	orders := t.scheduler.Decide(now, clock.WallMS())
 	out := make(map[string]*peer.Orders)
-	of := func(worker string) *peer.Orders {
+	ordersTo := func(worker string) *peer.Orders {
 		if out[worker] == nil {
 			out[worker] = &peer.Orders{Term: t.number}
 		}
@@ -77,17 +77,17 @@
 	c.count("questions-asked", len(orders.Questions()))
 	for _, s := range orders.Starts() {
 		c.log.Info().Str("task", s.Task.String()).Uint64("run", s.Run).Str("worker", s.Worker).Str("reason", s.Reason).Msg("start ordered")
-		o := of(s.Worker)
+		o := ordersTo(s.Worker)
 		o.Starts = append(o.Starts, s)
 	}
 	for _, s := range orders.Stops() {
 		c.log.Info().Str("task", s.Task.String()).Uint64("run", s.Run).Str("worker", s.Worker).Str("reason", s.Reason).Msg("stop ordered")
-		o := of(s.Worker)
+		o := ordersTo(s.Worker)
 		o.Stops = append(o.Stops, s)
 	}
 	for _, q := range orders.Questions() {
 		c.log.Info().Str("step", q.Step.String()).Uint64("question", q.Seq).Str("asker", q.Asker).Int("workers", len(q.Instances)).Msg("placement policy question sent")
-		o := of(q.Asker)
+		o := ordersTo(q.Asker)
 		o.Questions = append(o.Questions, q)
 	}
 	for w, o := range out {
@@ -100,15 +100,15 @@
 	}
 }
 
-// considerClaim claims leadership if neither this entry nor any other one has heard
-// from a dispatcher lately. An entry that shuts down or has no configuration does not claim.
+// considerClaim claims leadership if neither this entry nor any other one has had contact
+// with a dispatcher lately. An entry that shuts down or has no configuration does not claim.
 func (c *Coordinator) considerClaim(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	claim, reason := c.candidate.ShouldClaim(now, c.rank(), 0)
-	if c.leaving || c.config == nil {
+	if c.draining || c.config == nil {
 		claim = false
 	}
-	if claim && now.Before(c.successorUntil) && c.candidate.Claim().Term != 0 {
+	if claim && now.Before(c.claimNotBefore) && c.candidate.Claim().Term != 0 {
 		claim = false // the successor that was named claims first
 	}
 	known := c.candidate.Claim()
@@ -116,7 +116,7 @@
 	if !claim {
 		return
 	}
-	if others := c.entriesHearing(ctx, known); others > 0 {
+	if others := c.probeForDispatcher(ctx, known); others > 0 {
 		return
 	}
 	if err := c.claim(ctx, reason); err != nil {
@@ -125,8 +125,8 @@
 	}
 }
 
-// rank returns the position of this entry among all entries by address; those with
-// a lower rank claim earlier. The caller holds mu.
+// rank returns the position of this entry among all entries, sorted by address. Entries with
+// a lower rank claim leadership earlier. The caller holds mu.
 func (c *Coordinator) rank() int {
 	n := 0
 	for a := range c.entries {
@@ -138,8 +138,8 @@
 }
 
 // claim claims leadership by appending a record to the store, on the condition that
-// no claim was appended since the newest one was read. If that one was not known
-// yet, it is only recorded.
+// no claim has been appended since the newest one was read. If this entry did not know the
+// newest claim yet, it only records that claim and does not append its own. reason is logged.
 func (c *Coordinator) claim(ctx context.Context, reason string) error {
 	found, end, err := c.newestClaim(ctx)
 	if err != nil {
@@ -162,7 +162,7 @@
 		return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicLeadership, ExpectedEnd: end, CheckEnd: true, Records: []store.Record{record}})
 	})
 	if err != nil {
-		return errors.Wrap(err, "append the claim") // if it was stored all the same, the next attempt reads it
+		return errors.Wrap(err, "append the claim") // if the claim was stored all the same, the next attempt reads it
 	}
 	own.Term = end + 1
 	return c.beginTerm(ctx, own, found, reason)
@@ -184,8 +184,9 @@
 	return got.claim, got.end, err
 }
 
-// beginTerm makes this entry the dispatcher: it has the store reject writes of
-// earlier terms, and reads the workers and jobs.
+// beginTerm makes this entry the dispatcher after its claim own was stored: it has the store
+// reject writes of earlier terms, and reads the workers and jobs. previous is the claim before
+// own, with term 0 if there was none.
 func (c *Coordinator) beginTerm(ctx context.Context, own, previous leadership.Claim, reason string) error {
 	t := &term{number: own.Term, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
 	sent := clock.Steady()
@@ -195,7 +196,7 @@
 	if _, err := callStore(ctx, c, 0, func(ctx context.Context) (uint64, error) {
 		return c.store.Append(ctx, store.AppendRequest{Topic: store.TopicProgress, Term: t.number})
 	}); err != nil {
-		c.abandon(own.Term)
+		c.abandonClaim(own.Term)
 		return errors.Wrap(err, "fence earlier terms")
 	}
 	t.leaderLease.Renew(sent)
@@ -204,18 +205,18 @@
 		err = c.catchUp(ctx)
 	}
 	if err != nil {
-		c.abandon(own.Term)
+		c.abandonClaim(own.Term)
 		return errors.Wrap(err, "read the state")
 	}
 	now := clock.Steady()
 	if previous.Term != 0 {
 		t.predecessor.TermBegan(now)
 		if previous.Entry == c.settings.Name {
-			t.predecessor.NoteDead(now) // it was an earlier process of this entry, or an earlier term of this process
+			t.predecessor.NoteDead(now) // the predecessor was an earlier process of this entry, or an earlier term of this process
 		}
 	}
 	c.mu.Lock()
-	if c.candidate.Claim().Term != own.Term || c.leaving {
+	if c.candidate.Claim().Term != own.Term || c.draining {
 		c.candidate.NoteResigned(own.Term)
 		c.mu.Unlock()
 		return nil
@@ -233,15 +234,15 @@
 	return nil
 }
 
-// abandon marks this entry's claim as resigned after its term could not begin.
-func (c *Coordinator) abandon(term uint64) {
+// abandonClaim marks this entry's claim of a term as resigned, since the term could not begin.
+func (c *Coordinator) abandonClaim(term uint64) {
 	c.mu.Lock()
 	c.candidate.NoteResigned(term)
 	c.mu.Unlock()
 }
 
-// storedWorkers returns the names of all workers that are registered in the store;
-// they may run tasks of earlier terms.
+// storedWorkers returns the names of all workers that are registered in the store. These
+// workers may run tasks of earlier terms.
 func (c *Coordinator) storedWorkers(ctx context.Context) ([]string, error) {
 	records, err := callStore(ctx, c, 0, func(ctx context.Context) ([]store.StoredRecord, error) {
 		records, _, err := c.store.AllNewest(ctx, store.TopicWorkers)
@@ -258,8 +259,8 @@
 	return out, nil
 }
 
-// watchPredecessor probes the earlier dispatcher until it is known to have stopped,
-// or until none of its runs can be left.
+// watchPredecessor probes the dispatcher that made the claim previous until that dispatcher is
+// known to have stopped, t is over, or no run of an earlier term can be left.
 func (c *Coordinator) watchPredecessor(ctx context.Context, t *term, previous leadership.Claim) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -280,7 +281,7 @@
 	}
 }
 
-// resign ends the term and tells all peers, naming the successor if there is one.
+// resign ends the term t and tells all peers the name of the successor if there is one.
 func (c *Coordinator) resign(t *term, reason string) {
 	c.mu.Lock()
 	if c.term != t {
@@ -289,7 +290,7 @@
 	}
 	c.term = nil
 	c.candidate.NoteResigned(t.number)
-	c.successorUntil = clock.Steady().Add(leadership.ElectionTimeout)
+	c.claimNotBefore = clock.Steady().Add(leadership.ElectionTimeout)
 	successor := c.chooseSuccessor(clock.Steady())
 	m := &peer.Message{Resigned: &peer.Resigned{Term: t.number, Successor: successor}}
 	for _, a := range t.agents {
@@ -305,15 +306,15 @@
 	c.log.Warn().Uint64("term", t.number).Str("reason", reason).Str("heir", successor).Msg("term resigned")
 }
 
-// chooseSuccessor returns the name of the entry with the most recent answer from
-// the store, or "" if no entry is suitable. The caller holds mu.
+// chooseSuccessor returns the name of the connected entry whose last answer from the store
+// is the most recent, or "" if no entry is suitable. The caller holds mu.
 func (c *Coordinator) chooseSuccessor(now time.Time) string {
 	var best *entryLink
 	for _, l := range c.links {
-		if l.leaving || l.name == "" || now.Sub(l.lastContact) > silentAfter {
+		if l.draining || l.name == "" || now.Sub(l.lastContact) > silentAfter {
 			continue
 		}
-		if best == nil || l.storeAge < best.storeAge || l.storeAge == best.storeAge && l.name < best.name {
+		if best == nil || l.storeContactAge < best.storeContactAge || l.storeContactAge == best.storeContactAge && l.name < best.name {
 			best = l
 		}
 	}
@@ -323,14 +324,14 @@
 	return best.name
 }
 
-// onlyStoreAccessLost reports whether the store fails this entry while it serves
-// another one. The caller holds mu.
+// onlyStoreAccessLost reports whether the store fails this entry while it serves another
+// entry. The caller holds mu.
 func (c *Coordinator) onlyStoreAccessLost(now time.Time) bool {
 	if !c.storeUnavailable(now) || now.Sub(c.firstStoreFailure) < resignAfter {
 		return false
 	}
 	for _, l := range c.links {
-		if now.Sub(l.lastContact) < silentAfter && l.lastContact.Add(-l.storeAge).Sub(c.firstStoreFailure) > servedAfter {
+		if now.Sub(l.lastContact) < silentAfter && l.lastContact.Add(-l.storeContactAge).Sub(c.firstStoreFailure) > minServedAfterFailure {
 			return true
 		}
 	}
@@ -341,16 +342,16 @@
 // down and has a successor, or if only this entry cannot reach the store.
 func (c *Coordinator) considerResigning(now time.Time, t *term) {
 	c.mu.Lock()
-	unreachable := c.onlyStoreAccessLost(now)
+	accessLost := c.onlyStoreAccessLost(now)
 	newer := c.candidate.Claim().Term > t.number
-	leaving := c.leaving && c.chooseSuccessor(now) != ""
+	shutdownReady := c.draining && c.chooseSuccessor(now) != ""
 	c.mu.Unlock()
 	switch {
 	case newer:
 		c.resign(t, "a later term has begun")
-	case leaving:
+	case shutdownReady:
 		c.resign(t, "the entry is shutting down")
-	case unreachable:
+	case accessLost:
 		c.resign(t, "another entry reaches the store and this one does not")
 	}
 }
--- a/internal/coordinator/learned.go
+++ b/internal/coordinator/learned.go
@@ -11,33 +11,36 @@
 )
 
 const (
-	// learnedKey is the key of the measured interference between images, in store.TopicProgress.
-	learnedKey = "learned"
-	// learnedEvery is how often it is stored; the fifty pairs of images of a site take about 1 KB.
-	learnedEvery = 3 * time.Second
+	// interferenceKey is the key of the record in store.TopicProgress that holds the measured
+	// interference between images: the share of a worker's processors that a best-effort image
+	// may use before a serving image misses its latency target.
+	interferenceKey = "learned"
+	// interferenceStoreEvery is how often that record is stored; it takes about 1 KB for the
+	// fifty pairs of images of a site.
+	interferenceStoreEvery = 3 * time.Second
 )
 
-// learnedRecord returns the interference that the scheduler has measured, as a
+// interferenceRecord returns the interference that the scheduler has measured, as a
 // record, if it is due to be stored. The caller holds mu.
-func (c *Coordinator) learnedRecord(now time.Time, t *term) []store.Record {
-	if now.Sub(t.lastLearnedRecord) < learnedEvery {
+func (c *Coordinator) interferenceRecord(now time.Time, t *term) []store.Record {
+	if now.Sub(t.lastInterferenceRecord) < interferenceStoreEvery {
 		return nil
 	}
-	t.lastLearnedRecord = now
-	learned := t.scheduler.InterferenceLimits()
-	if len(learned) == 0 {
+	t.lastInterferenceRecord = now
+	limits := t.scheduler.InterferenceLimits()
+	if len(limits) == 0 {
 		return nil
 	}
-	value, err := cbor.Marshal(learned)
+	value, err := cbor.Marshal(limits)
 	if err != nil {
 		c.log.Error().Err(err).Msg("encoding interference measurements failed")
 		return nil
 	}
-	return []store.Record{{Key: learnedKey, Value: value}}
+	return []store.Record{{Key: interferenceKey, Value: value}}
 }
 
-// decodeLearned decodes the value of a record that learnedRecord returned.
-func decodeLearned(value []byte) ([]dispatch.InterferenceLimit, error) {
-	var learned []dispatch.InterferenceLimit
-	return learned, errors.Wrap(cbor.Unmarshal(value, &learned), "decode interference measurements")
+// decodeInterference decodes the value of a record that interferenceRecord returned.
+func decodeInterference(value []byte) ([]dispatch.InterferenceLimit, error) {
+	var limits []dispatch.InterferenceLimit
+	return limits, errors.Wrap(cbor.Unmarshal(value, &limits), "decode interference measurements")
 }
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -13,10 +13,12 @@
 	conn        *peer.Conn
 	name        string
 	lastContact time.Time
-	leaving     bool
-	// storeAge is how long before its last ping the store answered the entry.
-	storeAge time.Duration
-	// calls sends this entry's calls to the other one.
+	// draining is set if the entry said in its last ping that it shuts down.
+	draining bool
+	// storeContactAge is how old the entry's last answer from the store was when it sent its
+	// last ping; an hour before its first ping.
+	storeContactAge time.Duration
+	// calls sends this entry's calls to the other entry.
 	calls *callConn
 }
 
@@ -72,7 +74,7 @@
 	if h.Role == peer.RoleEntry && h.Address != "" {
 		c.entries[h.Address] = h.Name
 		if h.Persistent {
-			c.links[h.Address] = &entryLink{conn: conn, name: h.Name, lastContact: now, storeAge: time.Hour, calls: newCallConn(conn)}
+			c.links[h.Address] = &entryLink{conn: conn, name: h.Name, lastContact: now, storeContactAge: time.Hour, calls: newCallConn(conn)}
 		}
 	}
 	c.endTermIfLater(h.Term, h.Name)
@@ -96,7 +98,7 @@
 	return out
 }
 
-// handleDisconnect records that the connection of a peer has ended.
+// handleDisconnect records that the connection on which h was received has ended with err.
 func (c *Coordinator) handleDisconnect(conn *peer.Conn, h *peer.Hello, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +119,8 @@
 	}
 }
 
-// handleAgentMessage handles a message from an agent. The first one on a connection
-// must be a report; an agent of a new worker gets orders once its name is stored.
+// handleAgentMessage handles a message from an agent. The first message after the Hello must
+// be a report. The agent of a new worker gets orders only once the worker's name is stored.
 func (c *Coordinator) handleAgentMessage(conn *peer.Conn, h *peer.Hello, m *peer.Message) {
 	now := clock.Steady()
 	c.mu.Lock()
@@ -162,13 +164,14 @@
 		}
 		t.scheduler.OrderRefused(now, clock.WallMS(), h.Name, m.OrderRefused.Life, m.OrderRefused.Task, m.OrderRefused.Run)
 	case m.PolicyAnswer != nil:
-		c.handleAnswer(now, t, h.Name, m.PolicyAnswer)
+		c.handlePolicyAnswer(now, t, h.Name, m.PolicyAnswer)
 	}
 	notify(c.wakeLead)
 }
 
-// handleAnswer handles the answer to a placement policy question. The caller holds mu.
-func (c *Coordinator) handleAnswer(now time.Time, t *term, asker string, a *peer.PolicyAnswer) {
+// handlePolicyAnswer handles the answer to a placement policy question, which the agent of the worker asker
+// has put to the policy service. The caller holds mu.
+func (c *Coordinator) handlePolicyAnswer(now time.Time, t *term, asker string, a *peer.PolicyAnswer) {
 	if a.Failed {
 		c.count("questions-failed", 1)
 		step, open := t.scheduler.PolicyUnanswered(now, a.Seq)
@@ -184,8 +187,8 @@
 // the leadership lease is valid. The caller holds mu.
 func (c *Coordinator) handleAgentPing(now time.Time, t *term, a *agentLink, p *peer.Ping) {
 	if a.leaseExpired {
-		// The scheduler has ended the runs of this worker. The agent sends a new report when
-		// it has reconnected.
+		// The scheduler counts the runs of this worker as ended. The agent sends a new report
+		// when it has reconnected.
 		c.log.Info().Str("worker", a.name).Msg("agent of a lost worker pings again; closing its connection so that it sends a new report")
 		a.conn.Close()
 		return
@@ -223,20 +226,20 @@
 		l := c.links[h.Address]
 		c.mu.Unlock()
 		if l != nil {
-			l.calls.answer(m.RelayResult.Seq, m)
+			l.calls.deliver(m.RelayResult.Seq, m)
 		}
 	case m.Resigned != nil:
 		c.handleResigned(m.Resigned)
 	}
 }
 
-// handleEntryPing answers the ping of another entry and sends it the configuration if
-// it has an older one.
+// handleEntryPing answers the ping of another entry, and sends that entry the configuration
+// if it has an older one.
 func (c *Coordinator) handleEntryPing(now time.Time, conn *peer.Conn, h *peer.Hello, p *peer.Ping) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l := c.links[h.Address]; l != nil {
-		l.lastContact, l.leaving, l.storeAge = now, p.Draining, time.Duration(p.StoreContactAgeMS)*time.Millisecond
+		l.lastContact, l.draining, l.storeContactAge = now, p.Draining, time.Duration(p.StoreContactAgeMS)*time.Millisecond
 	}
 	pong := &peer.Pong{Seq: p.Seq, Entries: c.entryAddresses()}
 	if c.config != nil {
@@ -253,11 +256,11 @@
 	c.endTermIfLater(p.Term, h.Name)
 }
 
-// endTermIfLater ends this entry's term if source, a peer or a record, names a later
-// one. The caller holds mu.
-func (c *Coordinator) endTermIfLater(other uint64, source string) {
-	if c.term != nil && other > c.term.number {
-		c.log.Warn().Uint64("term", c.term.number).Uint64("later", other).Str("peer", source).Msg("term ended: a later one has begun")
+// endTermIfLater ends this entry's term if knownTerm is later. namedBy is the peer or the record
+// that named knownTerm, for the log. The caller holds mu.
+func (c *Coordinator) endTermIfLater(knownTerm uint64, namedBy string) {
+	if c.term != nil && knownTerm > c.term.number {
+		c.log.Warn().Uint64("term", c.term.number).Uint64("later", knownTerm).Str("peer", namedBy).Msg("term ended: a later one has begun")
 		c.candidate.NoteResigned(c.term.number)
 		c.term = nil
 	}
--- a/internal/coordinator/superseded_test.go
+++ b/internal/coordinator/superseded_test.go
@@ -18,20 +18,21 @@
 // ownTerm is the term that a test's entry holds.
 const ownTerm = 5
 
-// newDispatcher returns an entry that is the dispatcher, with one worker that has not
-// reported in its term.
+// newDispatcher returns an entry that is the dispatcher, and its term, in which one worker
+// has not reported yet.
 func newDispatcher(t *testing.T, s *standin.Store) (*Coordinator, *term) {
 	t.Helper()
 	c := newTestEntry(t, "entry-a", s)
-	held := &term{number: ownTerm, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
-	held.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", Attempts: 2}})
-	held.scheduler.BeginTerm(ownTerm, []string{"unheard"})
-	held.leaderLease.Renew(clock.Steady())
+	current := &term{number: ownTerm, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
+	current.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", Attempts: 2}})
+	current.scheduler.BeginTerm(ownTerm, []string{"unheard"})
+	current.leaderLease.Renew(clock.Steady())
 	c.candidate.ObserveClaim(clock.Steady(), leadership.Claim{Term: ownTerm, Entry: "entry-a"})
-	c.term = held
-	return c, held
+	c.term = current
+	return c, current
 }
 
+// reportOf returns a report of a worker with a name, in life 1 of its runner.
 func reportOf(name string, ends ...dispatch.RunEnd) *peer.Report {
 	return &peer.Report{Worker: dispatch.Worker{Name: name, Life: 1, Service: "bench", Capacity: worker.Resources{MilliCPU: 1000}}, RunEnds: ends}
 }
@@ -56,7 +57,7 @@
 
 // A job that was submitted under an earlier term is not started before the workers
 // have reported, since an earlier dispatcher may have started it. A job that was
-// submitted under a later term ends this one.
+// submitted under a later term ends the dispatcher's term.
 func TestJobsOfOtherTerms(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -65,10 +66,10 @@
 		dispatches bool
 	}{{"of this term", 5, 1, true}, {"of an earlier term", 4, 0, true}, {"of a later term", 6, 0, false}} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, held := newDispatcher(t, &standin.Store{})
+			c, current := newDispatcher(t, &standin.Store{})
 			now := clock.Steady()
 			c.mu.Lock()
-			held.applyReport(now, c, reportOf("w1"))
+			current.applyReport(now, c, reportOf("w1"))
 			c.mu.Unlock()
 			sub := submission("a")
 			sub.Term = tc.term
@@ -77,7 +78,7 @@
 				t.Fatal(err)
 			}
 			c.applyRecords([]store.StoredRecord{{Record: r}})
-			if got := len(held.scheduler.Decide(now, clock.WallMS()).Starts()); got != tc.starts {
+			if got := len(current.scheduler.Decide(now, clock.WallMS()).Starts()); got != tc.starts {
 				t.Errorf("starts: got %d, want %d", got, tc.starts)
 			}
 			if got := c.term != nil; got != tc.dispatches {
@@ -88,7 +89,7 @@
 }
 
 // A worker gets no tasks unless its name was stored before a later term has written:
-// otherwise the later dispatcher may have read the names without it.
+// otherwise the later dispatcher may have read the names without this one.
 func TestWorkerIsRegisteredUnderTheTerm(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -97,11 +98,11 @@
 	}{{"the term is the newest", 0, true}, {"a later term has written", 6, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &standin.Store{}
-			c, held := newDispatcher(t, s)
+			c, current := newDispatcher(t, s)
 			mustAppend(t, s, store.AppendRequest{Topic: store.TopicProgress, Term: max(ownTerm, tc.later)})
-			held.unregistered["w1"] = reportOf("w1")
-			c.registerWorkers(context.Background(), held)
-			if got := held.registered["w1"]; got != tc.want {
+			current.unregistered["w1"] = reportOf("w1")
+			c.registerWorkers(context.Background(), current)
+			if got := current.registered["w1"]; got != tc.want {
 				t.Errorf("registered: got %v, want %v", got, tc.want)
 			}
 		})
@@ -111,15 +112,15 @@
 // The end of a run of an unknown job is acknowledged once every job that was stored
 // before the report has been read.
 func TestRunEndsOfUnknownJobsAreAcknowledgedOnceCaughtUp(t *testing.T) {
-	c, held := newDispatcher(t, &standin.Store{})
+	c, current := newDispatcher(t, &standin.Store{})
 	c.mu.Lock()
-	held.applyReport(clock.Steady().Add(-time.Second), c, reportOf("w1", dispatch.RunEnd{Number: 1, Task: workflow.TaskID{Job: "x"}, Run: 1, How: dispatch.OutcomeDone}))
-	before := held.scheduler.HasChange()
+	current.applyReport(clock.Steady().Add(-time.Second), c, reportOf("w1", dispatch.RunEnd{Number: 1, Task: workflow.TaskID{Job: "x"}, Run: 1, How: dispatch.OutcomeDone}))
+	before := current.scheduler.HasChange()
 	c.mu.Unlock()
 	if err := c.catchUp(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if after := held.scheduler.HasChange(); before || !after {
+	if after := current.scheduler.HasChange(); before || !after {
 		t.Errorf("acknowledged: got %v before and %v after the read, want false and true", before, after)
 	}
 }
--- a/internal/coordinator/tail.go
+++ b/internal/coordinator/tail.go
@@ -12,11 +12,12 @@
 
 // Parameters of reading the configuration.
 const (
-	// configWait is how long the store may hold one read until there is a new version; a
-	// lost connection is detected soon after.
-	configWait = 1500 * time.Millisecond
-	// configRetry is the delay after a failed read; a new version must be in force within two seconds.
-	configRetry = 300 * time.Millisecond
+	// maxConfigReadWait is how long the store may delay its answer to one read until there is a
+	// new version. It is short so that a lost connection is detected soon.
+	maxConfigReadWait = 1500 * time.Millisecond
+	// configRetryDelay is the delay after a failed read of the configuration; a new version must
+	// be in force within two seconds.
+	configRetryDelay = 300 * time.Millisecond
 	// configKey is the key of the record that holds the configuration.
 	configKey = "config"
 )
@@ -26,24 +27,24 @@
 
 // tail is the read position in a topic.
 type tail struct {
-	// next is the offset from which to read on.
-	next uint64
-	// caughtUp is when the latest read that reached the end of the topic began.
-	caughtUp time.Time
+	// nextOffset is the offset of the next record to read.
+	nextOffset uint64
+	// caughtUpAt is when the latest read that reached the end of the topic began.
+	caughtUpAt time.Time
 }
 
 // tailJobs keeps the job table up to date.
 func (c *Coordinator) tailJobs(ctx context.Context) {
-	for clock.WaitForWake(ctx, nil, c.tailPause()) {
+	for clock.WaitForWake(ctx, nil, c.tailDelay()) {
 		if err := c.catchUp(ctx); err != nil {
 			c.log.Warn().Err(err).Msg("reading jobs from the store failed")
 		}
 	}
 }
 
-// tailPause returns the delay before the next read. After a failed call reads are
-// more frequent, to find out when the store answers again.
-func (c *Coordinator) tailPause() time.Duration {
+// tailDelay returns the delay before the next read of job records. After a failed call to
+// the store, reads are more frequent, to find out when the store answers again.
+func (c *Coordinator) tailDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.storeFailures > 0 {
@@ -65,27 +66,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.term != nil {
-		c.term.scheduler.AllJobsKnown(clock.Steady(), c.jobsCaughtUp())
+		c.term.scheduler.AllJobsKnown(clock.Steady(), c.jobsCaughtUpAt())
 	}
 	return nil
 }
 
-// jobsCaughtUp returns the time up to which all records stored are in the job
-// table: the earliest caughtUp of all topics. The caller holds mu.
-func (c *Coordinator) jobsCaughtUp() time.Time {
-	oldest := c.tails[0].caughtUp
+// jobsCaughtUpAt returns the time before which every stored job record is in the job
+// table: the earliest caughtUpAt of all topics. The caller holds mu.
+func (c *Coordinator) jobsCaughtUpAt() time.Time {
+	oldest := c.tails[0].caughtUpAt
 	for i := range c.tails {
-		if c.tails[i].caughtUp.Before(oldest) {
-			oldest = c.tails[i].caughtUp
+		if c.tails[i].caughtUpAt.Before(oldest) {
+			oldest = c.tails[i].caughtUpAt
 		}
 	}
 	return oldest
 }
 
+// catchUpTopic applies the records of a topic up to its end, and moves the read position t there.
 func (c *Coordinator) catchUpTopic(ctx context.Context, topic store.Topic, t *tail) error {
 	for {
 		c.mu.Lock()
-		from, known := t.next, !t.caughtUp.IsZero()
+		from, known := t.nextOffset, !t.caughtUpAt.IsZero()
 		c.mu.Unlock()
 		if !known {
 			return c.reread(ctx, topic, t)
@@ -103,11 +105,11 @@
 		c.applyRecords(page.Records)
 		c.mu.Lock()
 		for i := range page.Records {
-			t.next = max(t.next, page.Records[i].Offset+1)
+			t.nextOffset = max(t.nextOffset, page.Records[i].Offset+1)
 		}
-		done := t.next >= page.End || len(page.Records) == 0
+		done := t.nextOffset >= page.End || len(page.Records) == 0
 		if done {
-			t.caughtUp = began
+			t.caughtUpAt = began
 		}
 		c.mu.Unlock()
 		if done {
@@ -116,7 +118,8 @@
 	}
 }
 
-// reread reads the newest record of each key, when the read position is unknown or no longer kept.
+// reread applies the newest record of each key of a topic. It replaces reading on from t when
+// that position is not known, or the store no longer has the records from it on.
 func (c *Coordinator) reread(ctx context.Context, topic store.Topic, t *tail) error {
 	began := clock.Steady()
 	type all struct {
@@ -132,14 +135,15 @@
 	}
 	c.applyRecords(got.records)
 	c.mu.Lock()
-	t.next = max(t.next, got.end) // got.end is that of the first page: later pages may hold newer records and still miss some written meanwhile
-	t.caughtUp = began
+	t.nextOffset = max(t.nextOffset, got.end) // got.end is the end at the first page: later pages may hold newer records, and still miss some written meanwhile
+	t.caughtUpAt = began
 	c.mu.Unlock()
 	c.log.Info().Str("topic", string(topic)).Int("records", len(got.records)).Uint64("end", got.end).Msg("jobs read from the store")
 	return nil
 }
 
-// applyRecords applies records to the job table and passes changes to the scheduler.
+// applyRecords applies records to the job table, and passes changed jobs to the scheduler if
+// this entry is the dispatcher.
 func (c *Coordinator) applyRecords(records []store.StoredRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,8 +151,8 @@
 	changed := false
 	for i := range records {
 		r := &records[i]
-		if r.Key == learnedKey {
-			c.learned = r.Value
+		if r.Key == interferenceKey {
+			c.storedInterference = r.Value
 			continue
 		}
 		id, err := c.jobs.Apply(r.Record)
@@ -167,24 +171,27 @@
 
 // tailConfig keeps the configuration up to date.
 func (c *Coordinator) tailConfig(ctx context.Context) {
-	next, known := uint64(0), false
+	nextOffset, offsetKnown := uint64(0), false
 	for ctx.Err() == nil {
-		end, err := c.readConfig(ctx, next, known)
+		end, err := c.readConfig(ctx, nextOffset, offsetKnown)
 		if errors.Is(err, store.ErrTrimmed) {
-			known = false
+			offsetKnown = false
 			continue
 		}
 		if err != nil {
 			c.log.Warn().Err(err).Msg("reading the configuration failed")
-			clock.WaitForWake(ctx, nil, configRetry)
+			clock.WaitForWake(ctx, nil, configRetryDelay)
 			continue
 		}
-		next, known = end, true
+		nextOffset, offsetKnown = end, true
 	}
 }
 
-func (c *Coordinator) readConfig(ctx context.Context, next uint64, known bool) (uint64, error) {
-	if !known {
+// readConfig reads and applies the configuration, and returns the offset from which to read on.
+// If offsetKnown is set, readConfig reads new records from nextOffset on, and else the newest
+// record of each key.
+func (c *Coordinator) readConfig(ctx context.Context, nextOffset uint64, offsetKnown bool) (uint64, error) {
+	if !offsetKnown {
 		records, end, err := c.readAllConfig(ctx)
 		if err != nil {
 			return 0, err
@@ -192,19 +199,21 @@
 		c.applyConfigRecords(records)
 		return end, nil
 	}
-	page, err := callStore(ctx, c, configWait, func(ctx context.Context) (*store.Page, error) {
-		return c.store.Read(ctx, store.TopicConfig, next, configWait)
+	page, err := callStore(ctx, c, maxConfigReadWait, func(ctx context.Context) (*store.Page, error) {
+		return c.store.Read(ctx, store.TopicConfig, nextOffset, maxConfigReadWait)
 	})
 	if err != nil {
 		return 0, err
 	}
 	c.applyConfigRecords(page.Records)
 	for i := range page.Records {
-		next = max(next, page.Records[i].Offset+1)
+		nextOffset = max(nextOffset, page.Records[i].Offset+1)
 	}
-	return next, nil
+	return nextOffset, nil
 }
 
+// readAllConfig returns the newest record of each key of store.TopicConfig, and the offset from
+// which to read on.
 func (c *Coordinator) readAllConfig(ctx context.Context) ([]store.StoredRecord, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -219,7 +228,8 @@
 	}
 }
 
-// applyConfig puts a configuration in force unless that version or a newer one already is.
+// applyConfig puts a configuration in force unless its version or a newer one already is.
+// source is where data came from, for the log.
 func (c *Coordinator) applyConfig(data []byte, source string) {
 	config, err := c.settings.DecodeConfig(data)
 	if err != nil {
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -12,27 +12,31 @@
 
 // term is the state that an entry holds only while it is the dispatcher.
 type term struct {
+	// number is the term as a number, from this entry's claim.
 	number      uint64
 	scheduler   dispatch.Scheduler
 	leaderLease leadership.LeaderLease
 	predecessor leadership.Predecessor
-	agents      map[string]*agentLink
+	// agents holds the agents that have connected in this term, by the names of their workers.
+	agents map[string]*agentLink
 	// registered holds the workers whose names are stored, so that a later dispatcher waits for them.
 	registered map[string]bool
 	// unregistered holds the first reports of workers whose names are not stored yet.
 	unregistered map[string]*peer.Report
-	appendSeq    uint64
+	// appendSeq is the sequence number of the last append under the term that the store accepted.
+	appendSeq uint64
 	// lastFlush is when changes were last taken from the scheduler to be stored.
 	lastFlush time.Time
-	// lastLearnedRecord is when the measured interference was last taken to be stored.
-	lastLearnedRecord time.Time
-	// renewalDue is set while a decision that leases have expired waits for a write under the term.
+	// lastInterferenceRecord is when the measured interference was last taken to be stored.
+	lastInterferenceRecord time.Time
+	// renewalDue is set if the store has to accept a write under the term before leases can be
+	// regarded as expired; see leasesExpired.
 	renewalDue bool
 	// earlierRunsOver is set once nothing that an earlier term started can run any more.
 	earlierRunsOver bool
 }
 
-// agentLink is the dispatcher's connection to one agent.
+// agentLink is the dispatcher's connection to one agent; conn is nil while there is none.
 type agentLink struct {
 	name        string
 	conn        *peer.Conn
@@ -41,9 +45,9 @@
 	leaseExpired bool
 }
 
-// syncJob passes a job of the job table to the scheduler and reports whether it
-// changed anything there. A job that was submitted under a later term ends this one.
-// The caller holds mu.
+// syncJob passes a job of the job table to the scheduler, and reports whether the scheduler's
+// state has changed. A job that was submitted under a later term ends this term. The caller
+// holds mu.
 func (t *term) syncJob(now time.Time, c *Coordinator, id string) bool {
 	e, ok := c.jobs.Job(id)
 	if !ok || e.Submission() == nil {
@@ -68,7 +72,9 @@
 	return changed
 }
 
-// loadScheduler fills the scheduler from the job table. The caller holds mu.
+// loadScheduler fills the scheduler at the beginning of the term: with the configuration,
+// the names of workers that may run tasks of earlier terms, the interference, and the jobs of the
+// job table. The caller holds mu.
 func (t *term) loadScheduler(now time.Time, c *Coordinator, workers []string) {
 	t.scheduler.BeginTerm(t.number, workers)
 	t.scheduler.SetRemoteRackSlowdown(c.settings.RemoteRackSlowdown)
@@ -78,9 +84,9 @@
 	for _, w := range workers {
 		t.registered[w] = true
 	}
-	if learned, err := decodeLearned(c.learned); err == nil {
-		t.scheduler.MergeInterferenceLimits(learned)
-	} else if len(c.learned) > 0 {
+	if limits, err := decodeInterference(c.storedInterference); err == nil {
+		t.scheduler.MergeInterferenceLimits(limits)
+	} else if len(c.storedInterference) > 0 {
 		c.log.Warn().Err(err).Msg("stored interference measurements cannot be decoded; starting without them")
 	}
 	wall := clock.WallMS()
@@ -95,8 +101,9 @@
 	})
 }
 
-// applyReport applies a report of a worker's whole state. A report without a life
-// means that the worker has no runner. The caller holds mu.
+// applyReport applies a report of a worker's whole state. The life in a report identifies
+// the time between two restarts of the worker's runner; 0 means that the worker has no runner.
+// The caller holds mu.
 func (t *term) applyReport(now time.Time, c *Coordinator, r *peer.Report) {
 	if r.Worker.Life == 0 {
 		n := t.scheduler.RunnerGone(now, r.Worker.Name)
@@ -111,8 +118,8 @@
 		Uint64("term", t.number).Msg("worker reported")
 }
 
-// checkWorkers marks workers that are silent, and ends the runs of those whose
-// leases have expired. The caller holds mu.
+// checkWorkers marks workers that are silent, and has the scheduler count the runs of workers
+// whose leases have expired as ended. The caller holds mu.
 func (t *term) checkWorkers(now time.Time, c *Coordinator) {
 	for _, a := range t.agents {
 		if a.leaseExpired {
@@ -122,7 +129,7 @@
 		if silence > silentAfter {
 			t.scheduler.MarkSilent(a.name)
 		}
-		if t.expired(now, c, leadership.WorkerLeaseEndsBy(a.lastContact)) {
+		if t.leasesExpired(now, c, leadership.WorkerLeaseEndsBy(a.lastContact)) {
 			a.leaseExpired = true
 			c.count("workers-lost", 1)
 			n := t.scheduler.WorkerLeaseExpired(now, a.name)
@@ -132,18 +139,18 @@
 	if !t.earlierRunsOver && t.scheduler.UnreportedWorkers() == 0 {
 		t.earlierRunsOver = true
 	}
-	if !t.earlierRunsOver && t.expired(now, c, t.predecessor.LeasesEndBy()) {
+	if !t.earlierRunsOver && t.leasesExpired(now, c, t.predecessor.LeasesEndBy()) {
 		t.earlierRunsOver = true
 		c.log.Warn().Int("workers", t.scheduler.UnreportedWorkers()).Msg("workers did not report in this term; the leases of their runs from earlier terms have expired")
 		t.scheduler.ExpireEarlierTerms()
 	}
 }
 
-// expired reports whether leases that end at deadline have certainly expired. A
-// later dispatcher may have renewed them unless the store has accepted a write under
-// this term since deadline; if only that is missing, such a write is requested. The
+// leasesExpired reports whether leases that end by deadline have certainly expired. A later
+// dispatcher may have renewed the leases unless the store has accepted a write under this term
+// that was sent since deadline. If only such a write is missing, leasesExpired requests it. The
 // caller holds mu.
-func (t *term) expired(now time.Time, c *Coordinator, deadline time.Time) bool {
+func (t *term) leasesExpired(now time.Time, c *Coordinator, deadline time.Time) bool {
 	expired, needsWrite := t.leaderLease.ConfirmsEnd(now, deadline)
 	if needsWrite && !t.renewalDue {
 		t.renewalDue = true
