--- a/internal/runneragent/agent.go
+++ b/internal/runneragent/agent.go
@@ -3,8 +3,10 @@
 // It renews the leases of runs at the runner, up to the end of the worker lease,
 // which the dispatcher renews by answering the agent's pings.
 //
-// A life of a runner is the time between two restarts. It is identified by its start
-// time, since another life may have the same instance name.
+// A life of a runner is the time between two restarts. A life is identified by the time at
+// which the runner started, since another life may have the same instance ID.
+//
+// The pace of a run is the speed to which the runner limits it, in percent of full speed.
 package runneragent
 
 import (
@@ -34,17 +36,17 @@
 	// callTimeout bounds a call to the runner, which runs on the same machine.
 	callTimeout = time.Second
 	// sameLifeFor is how long after a listing the runner is assumed not to have
-	// restarted: calls to a runner that ends fail, and a restart takes longer.
+	// restarted: calls to a runner that ends fail, and a restart takes longer than this.
 	sameLifeFor = 250 * time.Millisecond
-	// minPollInterval is the minimum time between the beginnings of two polls; it delays
-	// reports of run ends.
+	// minPollInterval is the minimum time between the beginnings of two polls. Reports of run
+	// ends are delayed by up to this time.
 	minPollInterval = 25 * time.Millisecond
-	// retryAfter is the delay after a failed call to the runner.
-	retryAfter = 200 * time.Millisecond
-	// maxStartDelay is how long a start without an answer may still take effect: a
-	// runner may carry it out up to 12 seconds late.
+	// retryDelay is the delay after a failed call to the runner.
+	retryDelay = 200 * time.Millisecond
+	// maxStartDelay is how long after its call a start without an answer may still take effect:
+	// a runner may carry out a start up to 12 seconds late.
 	maxStartDelay = 13 * time.Second
-	// minLeaseLeft is how much of the worker lease must be left for a start.
+	// minLeaseLeft is how much of the worker lease must be left for a run to be started.
 	minLeaseLeft = 500 * time.Millisecond
 	// clockDriftDivisor bounds the relative error of the runner's clock rate: one part in 50.
 	clockDriftDivisor = 50
@@ -81,37 +83,46 @@
 
 	// mu guards everything below. It is never held during I/O.
 	mu sync.Mutex
-	// heartbeat is the newest heartbeat of the runner.
+	// heartbeat is the newest heartbeat of the runner; its Instance is empty before the first.
 	heartbeat Heartbeat
-	pingSeq   uint64
+	// pingSeq is the number of the last ping.
+	pingSeq uint64
 	// life is the start time of the runner, in Unix milliseconds; 0 before the first listing.
 	life uint64
-	// runnerClockMS is the latest reading of the runner's clock, runnerClockReadAt when it arrived.
+	// runnerClockMS is the latest reading of the runner's clock; runnerClockReadAt is when it
+	// arrived, on the agent's clock, and zero before the first listing of the present life.
 	runnerClockMS     int64
 	runnerClockReadAt time.Time
 	workerLease       leadership.WorkerLease
-	// lastRunLeaseEnd is the latest end of any run lease that was asked of the runner.
+	// lastRunLeaseEnd is the latest end, on the agent's clock, of all run leases that the runner
+	// was asked for.
 	lastRunLeaseEnd time.Time
-	// reportedEmpty is set once the dispatcher was told that the worker runs nothing.
+	// reportedEmpty is set once the dispatcher was told that the worker runs nothing, until the
+	// runner answers again.
 	reportedEmpty bool
-	term          uint64
-	conn          *peer.Conn
-	// runs and runEnds are from the latest listing; runEnds leaves out acknowledged ones.
+	// term is the leadership term of the dispatcher that the agent serves or served last; 0
+	// before the first.
+	term uint64
+	// conn is the connection to the dispatcher; nil until the agent has reported on it.
+	conn *peer.Conn
+	// runs and runEnds are from the latest listing; runEnds leaves out acknowledged run ends.
 	runs    []dispatch.RunStatus
 	runEnds []dispatch.RunEnd
-	// reportedEnd is the number of the last run end sent to the dispatcher, ackedEnd of
-	// the last one that it has stored.
-	reportedEnd uint64
-	ackedEnd    uint64
-	// sameLifeUntil is until when the runner is assumed not to have restarted since its last listing.
+	// lastReportedEnd is the number of the last run end sent to the dispatcher, lastAckedEnd the
+	// number of the last run end that the dispatcher has stored.
+	lastReportedEnd uint64
+	lastAckedEnd    uint64
+	// sameLifeUntil is until when the runner is assumed not to have restarted since its last
+	// listing; zero after a failed poll.
 	sameLifeUntil time.Time
 	// unlistedStarts are start orders that have not appeared in a listing yet.
 	unlistedStarts map[runKey]*dispatch.Start
-	// unansweredStarts are starts that the runner did not answer, with the time until
-	// which they may take effect.
+	// unansweredStarts are starts that the runner did not answer, with the time on the agent's
+	// clock until which they may take effect.
 	unansweredStarts map[runKey]time.Time
-	entries          map[string]bool
-	// pingSentAt holds when the pings without an answer were sent, by number.
+	// entries holds the peer addresses of the known entries.
+	entries map[string]bool
+	// pingSentAt holds when each ping without an answer was sent, by the ping's number.
 	pingSentAt map[uint64]time.Time
 	guard      guard
 	// colocated is set while the worker runs both serving and best-effort tasks.
@@ -119,9 +130,9 @@
 }
 
 // New returns an agent.
-func New(s Settings, runner Runner, port store.Client, logger *log.Logger, registry gometrics.Registry) *Agent {
+func New(s Settings, runner Runner, storeClient store.Client, logger *log.Logger, registry gometrics.Registry) *Agent {
 	a := &Agent{
-		settings: s, runner: runner, store: port, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
+		settings: s, runner: runner, store: storeClient, log: logger, registry: registry, wakePoll: make(chan struct{}, 1),
 		lastRunLeaseEnd: clock.Steady().Add(leadership.WorkerLeaseDuration), // an earlier agent process may have renewed run leases up to then
 		unlistedStarts:  make(map[runKey]*dispatch.Start), unansweredStarts: make(map[runKey]time.Time), entries: make(map[string]bool), pingSentAt: make(map[uint64]time.Time),
 	}
@@ -131,8 +142,8 @@
 	return a
 }
 
-// Run polls the runner and serves the dispatcher until ctx ends. Runs continue at
-// the runner after that: the next agent process takes them over.
+// Run polls the runner and serves the dispatcher until ctx ends. The runs at the runner
+// continue after that, and the next agent process takes them over.
 func (a *Agent) Run(ctx context.Context) {
 	a.log.Info().Str("worker", a.settings.Name).Uint64("incarnation", a.settings.Incarnation).Msg("runner agent started")
 	a.group.Go(func() { a.pollLoop(ctx) })
@@ -141,32 +152,33 @@
 	a.log.Info().Msg("runner agent stopped")
 }
 
-// count adds to a counter.
+// count adds 1 to a counter.
 func (a *Agent) count(name string) {
 	gometrics.GetOrRegisterCounter(name, a.registry).Inc(1)
 }
 
 // HandleHeartbeat applies a heartbeat of the runner. It ignores heartbeats of an earlier
 // life and those that are not newer than the last one of the same life.
-func (a *Agent) HandleHeartbeat(b *Heartbeat) {
+func (a *Agent) HandleHeartbeat(h *Heartbeat) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if b.StartedAtMS < a.heartbeat.StartedAtMS || b.StartedAtMS == a.heartbeat.StartedAtMS && b.Seq <= a.heartbeat.Seq && a.heartbeat.Instance != "" {
-		a.log.Info().Str("instance", b.Instance).Uint64("seq", b.Seq).Msg("skipped an outdated heartbeat")
+	if h.StartedAtMS < a.heartbeat.StartedAtMS || h.StartedAtMS == a.heartbeat.StartedAtMS && h.Seq <= a.heartbeat.Seq && a.heartbeat.Instance != "" {
+		a.log.Info().Str("instance", h.Instance).Uint64("seq", h.Seq).Msg("skipped an outdated heartbeat")
 		return
 	}
-	changed := b.Draining != a.heartbeat.Draining || b.StartedAtMS != a.heartbeat.StartedAtMS
+	changed := h.Draining != a.heartbeat.Draining || h.StartedAtMS != a.heartbeat.StartedAtMS
 	first := a.heartbeat.Instance == ""
-	a.heartbeat = *b
+	a.heartbeat = *h
 	if changed {
-		a.log.Info().Str("instance", b.Instance).Uint64("born", b.StartedAtMS).Bool("draining", b.Draining).Msg("runner started or changed its draining state")
+		a.log.Info().Str("instance", h.Instance).Uint64("born", h.StartedAtMS).Bool("draining", h.Draining).Msg("runner started or changed its draining state")
 	}
 	if changed && !first && a.conn != nil {
 		a.ping(clock.Steady())
 	}
 }
 
-// HandleDeregistration marks the worker as draining after the runner has deregistered, since its present life ends.
+// HandleDeregistration marks the worker as draining after the runner has deregistered, since
+// the present life of the runner is about to end.
 func (a *Agent) HandleDeregistration(instance string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -180,16 +192,17 @@
 	}
 }
 
-// beginLife resets the state that belongs to the earlier life of the runner. The caller holds mu.
-func (a *Agent) beginLife(born uint64) {
+// beginLife makes the life that started at startedAtMS the present one, and resets the state that
+// belongs to the earlier life of the runner. The caller holds mu.
+func (a *Agent) beginLife(startedAtMS uint64) {
 	if a.life != 0 {
-		a.log.Warn().Uint64("from", a.life).Uint64("to", born).Int("runs", len(a.runs)).Msg("runner restarted")
+		a.log.Warn().Uint64("from", a.life).Uint64("to", startedAtMS).Int("runs", len(a.runs)).Msg("runner restarted")
 	}
-	a.life = born
+	a.life = startedAtMS
 	a.reportedEmpty = false
 	a.runnerClockMS, a.runnerClockReadAt = 0, time.Time{}
 	a.runs, a.runEnds = nil, nil
-	a.reportedEnd, a.ackedEnd = 0, 0
+	a.lastReportedEnd, a.lastAckedEnd = 0, 0
 	a.guard = guard{}
 }
 
@@ -203,8 +216,8 @@
 }
 
 // runLeaseEndMS returns the latest allowed end of run leases, in milliseconds on the
-// runner's clock, or 0 if there is none. It is early enough that the leases end no
-// later than the worker lease even if the runner's clock is slow. The caller holds mu.
+// runner's clock, or 0 if no run lease is allowed. That end is early enough that run leases end
+// no later than the worker lease even if the runner's clock is slow. The caller holds mu.
 func (a *Agent) runLeaseEndMS(now time.Time) int64 {
 	left := a.workerLease.Remaining(now)
 	if left <= 0 || a.runnerClockReadAt.IsZero() {
@@ -229,7 +242,7 @@
 		}
 		a.mu.Unlock()
 		if !known {
-			clock.WaitForWake(ctx, a.wakePoll, retryAfter)
+			clock.WaitForWake(ctx, a.wakePoll, retryDelay)
 			continue
 		}
 		began := clock.Steady()
@@ -239,9 +252,9 @@
 			a.log.Warn().Err(err).Bool("failing", failing).Msg("polling the runner began or ceased to fail")
 		}
 		if err != nil {
-			clock.WaitForWake(ctx, nil, retryAfter)
+			clock.WaitForWake(ctx, nil, retryDelay)
 		} else if gap := minPollInterval - clock.Steady().Sub(began); gap > 0 {
-			clock.WaitForWake(ctx, nil, gap) // a poll returns at once while the runner keeps run ends that are not acknowledged
+			clock.WaitForWake(ctx, nil, gap) // a poll returns at once while the runner has run ends that are not acknowledged
 		}
 	}
 }
@@ -253,19 +266,19 @@
 	defer cancel()
 	a.mu.Lock()
 	now := clock.Steady()
-	h := RenewRequest{Call: a.newCall()}
+	request := RenewRequest{Call: a.newCall()}
 	if now.Before(a.sameLifeUntil) {
-		// A restarted runner, perhaps with the same instance name, numbers its run ends
-		// and counts its clock from the beginning: given the values of an earlier life, it
-		// would forget run ends that were never reported, and its leases would exceed the
-		// worker lease.
-		h.AckedEnd, h.LeaseEndMS, h.MaxWait = a.ackedEnd, a.runLeaseEndMS(now), wait
+		// A restarted runner, perhaps with the same instance ID, numbers its run ends
+		// and counts its clock from the beginning. Given the values of an earlier life, the
+		// runner would forget run ends that were never reported, and the run leases would
+		// exceed the worker lease.
+		request.AckedEnd, request.LeaseEndMS, request.MaxWait = a.lastAckedEnd, a.runLeaseEndMS(now), wait
 	}
-	if h.LeaseEndMS > 0 {
-		a.noteRunLeases(now)
+	if request.LeaseEndMS > 0 {
+		a.extendLastRunLeaseEnd(now)
 	}
 	a.mu.Unlock()
-	l, err := a.runner.Renew(callCtx, h)
+	l, err := a.runner.Renew(callCtx, request)
 	if err != nil {
 		a.handlePollFailure(err)
 		return err
@@ -274,16 +287,16 @@
 	return nil
 }
 
-// noteRunLeases records that a call asks the runner for leases up to the end of the
+// extendLastRunLeaseEnd records that a call asks the runner for run leases up to the end of the
 // worker lease. The caller holds mu.
-func (a *Agent) noteRunLeases(now time.Time) {
-	if until := now.Add(a.workerLease.Remaining(now)); until.After(a.lastRunLeaseEnd) {
-		a.lastRunLeaseEnd = until
+func (a *Agent) extendLastRunLeaseEnd(now time.Time) {
+	if end := now.Add(a.workerLease.Remaining(now)); end.After(a.lastRunLeaseEnd) {
+		a.lastRunLeaseEnd = end
 	}
 }
 
-// handlePollFailure reports an empty worker to the dispatcher once it is certain
-// that nothing runs any more.
+// handlePollFailure handles the error of a failed poll. It reports an empty worker to the
+// dispatcher once it is certain that nothing runs any more.
 func (a *Agent) handlePollFailure(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -297,8 +310,8 @@
 	a.conn.Send(&peer.Message{Report: a.emptyReport()})
 }
 
-// allRunsEnded reports whether it is certain after a failed poll that nothing runs:
-// no runner listens, or the last run lease has expired. The caller holds mu.
+// allRunsEnded reports whether it is certain, after a poll that failed with err, that nothing
+// runs: no runner listens, or the last run lease has expired. The caller holds mu.
 func (a *Agent) allRunsEnded(err error) bool {
 	return errors.Is(err, ErrNotListening) || clock.Steady().After(a.lastRunLeaseEnd.Add(leaseSlack))
 }
@@ -308,11 +321,12 @@
 	return &peer.Report{Worker: dispatch.Worker{Name: a.settings.Name}}
 }
 
-// leaseSlack covers the time that a call takes to reach the runner.
+// leaseSlack is added to the end of the last run lease before the lease counts as expired. It
+// covers the time that a call takes to reach the runner.
 const leaseSlack = 300 * time.Millisecond
 
-// handleListing applies a listing and reports changes to the dispatcher. A new life
-// is reported only once no start sent to an earlier one can take effect in it.
+// handleListing applies a listing and reports changes to the dispatcher. It reports a new
+// life only once no start that was sent to an earlier life can take effect in the new one.
 func (a *Agent) handleListing(ctx context.Context, l *Listing) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -322,7 +336,7 @@
 			return
 		}
 		a.beginLife(l.StartedAtMS)
-		unresolved := a.unresolvedStarts(now)
+		unresolved := a.takeUnresolvedStarts(now)
 		a.applyListing(now, l)
 		if len(unresolved) > 0 {
 			a.group.Go(func() { a.fenceAndReport(ctx, l.StartedAtMS, unresolved) })
@@ -344,7 +358,7 @@
 	a.setPaces(ctx, now)
 }
 
-// applyListing replaces the state of the runner by a listing. The caller holds mu.
+// applyListing replaces the known state of the runner by a listing. The caller holds mu.
 func (a *Agent) applyListing(now time.Time, l *Listing) {
 	a.runnerClockMS, a.runnerClockReadAt = l.ClockMS, now
 	a.sameLifeUntil = now.Add(sameLifeFor)
@@ -352,7 +366,7 @@
 	a.runEnds = a.runEnds[:0]
 	for _, e := range l.RunEnds {
 		delete(a.unlistedStarts, runKey{e.Task, e.Run})
-		if e.Number > a.ackedEnd {
+		if e.Number > a.lastAckedEnd {
 			a.runEnds = append(a.runEnds, e)
 		}
 	}
@@ -364,9 +378,10 @@
 	}
 }
 
-// lastEndNumber returns the number of the last run end that the runner has listed. The caller holds mu.
+// lastEndNumber returns the number of the last run end that the runner has listed in its
+// present life. The caller holds mu.
 func (a *Agent) lastEndNumber() uint64 {
-	last := a.ackedEnd
+	last := a.lastAckedEnd
 	for _, e := range a.runEnds {
 		last = max(last, e.Number)
 	}
@@ -376,7 +391,7 @@
 // sendReport sends a report of the worker's whole state to the dispatcher, if
 // connected. The caller holds mu.
 func (a *Agent) sendReport() {
-	a.reportedEnd = a.lastEndNumber()
+	a.lastReportedEnd = a.lastEndNumber()
 	if a.conn != nil {
 		a.conn.Send(&peer.Message{Report: a.newReport()})
 	}
@@ -389,12 +404,12 @@
 	}
 	var unsent []dispatch.RunEnd
 	for _, e := range a.runEnds {
-		if e.Number > a.reportedEnd {
+		if e.Number > a.lastReportedEnd {
 			unsent = append(unsent, e)
 		}
 	}
 	if len(unsent) > 0 && a.conn.Send(&peer.Message{RunEnds: &peer.RunEnds{Life: a.life, Ends: unsent}}) {
-		a.reportedEnd = a.lastEndNumber()
+		a.lastReportedEnd = a.lastEndNumber()
 	}
 }
 
--- a/internal/runneragent/agent_test.go
+++ b/internal/runneragent/agent_test.go
@@ -32,10 +32,12 @@
 	fenced   []runKey
 	renewals []RenewRequest
 	percents map[runKey]int
-	gone     bool
+	// gone is set while the runner does not listen.
+	gone bool
 }
 
-func (f *fakeRunner) port() Runner {
+// functions returns the functions that call f.
+func (f *fakeRunner) functions() Runner {
 	return Runner{Start: f.start, Stop: f.stop, Renew: f.renew, SetPace: f.pace}
 }
 
@@ -92,11 +94,13 @@
 	received chan *peer.Message
 }
 
+// newFixture returns an agent that is connected to the dispatcher of term 3, has a worker lease,
+// and has polled life 7 of its runner.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s := &fixture{runner: &fakeRunner{listing: Listing{ClockMS: 1000, StartedAtMS: 7}}, received: make(chan *peer.Message, 64)}
 	logger := &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}
-	s.agent = New(Settings{Name: "w1"}, s.runner.port(), store.Client{}, logger, gometrics.NewRegistry())
+	s.agent = New(Settings{Name: "w1"}, s.runner.functions(), store.Client{}, logger, gometrics.NewRegistry())
 	here, there := net.Pipe()
 	conn, dispatcher := peer.NewConn(here), peer.NewConn(there)
 	var group sync.WaitGroup
@@ -136,12 +140,14 @@
 
 var task = workflow.TaskID{Job: "5c", Step: 1}
 
+// startOrders returns orders of a term that start run 2 of task in life 7 of the runner, as
+// newFixture sets it up.
 func startOrders(term uint64) *peer.Orders {
 	return &peer.Orders{Term: term, Starts: []dispatch.Start{{Worker: "w1", Life: 7, Task: task, Run: 2}}}
 }
 
 // A start without an answer that the runner does not list is fenced at the runner
-// before it is reported to the dispatcher as refused.
+// before the agent tells the dispatcher that the order is refused.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	s := newFixture(t)
 	s.runner.startErr = ErrNoAnswer
@@ -205,7 +211,7 @@
 }
 
 // An agent without a runner must report to a new dispatcher all the same: the
-// dispatcher waits for all workers before it starts tasks of earlier terms again.
+// dispatcher waits for the reports of all workers before it starts tasks of earlier terms again.
 func TestJoinWithoutRunner(t *testing.T) {
 	s := newFixture(t)
 	s.runner.mu.Lock()
@@ -241,7 +247,8 @@
 	}
 }
 
-// A life whose heartbeat arrives before the first poll of it is reported as ready.
+// A life of the runner whose heartbeat arrives before the first poll in that life is
+// reported as not draining.
 func TestLifeWithEarlyHeartbeatIsReported(t *testing.T) {
 	s := newFixture(t)
 	s.runner.mu.Lock()
@@ -272,8 +279,8 @@
 	a.workerLease.Renew(now)
 	a.runnerClockMS, a.runnerClockReadAt = 50_000, now.Add(-time.Second)
 	left := a.workerLease.Remaining(now)
-	until := a.runLeaseEndMS(now)
-	slowest := time.Duration(until-a.runnerClockMS) * time.Millisecond * 102 / 100
+	leaseEndMS := a.runLeaseEndMS(now)
+	slowest := time.Duration(leaseEndMS-a.runnerClockMS) * time.Millisecond * 102 / 100
 	if end := a.runnerClockReadAt.Add(slowest); end.After(now.Add(left)) {
 		t.Errorf("the run lease ends %v after the worker lease, want no later", end.Sub(now.Add(left)))
 	}
@@ -282,7 +289,8 @@
 	}
 }
 
-// Once no runner listens, an empty worker is reported, and its life again once it listens.
+// Once no runner listens, an empty worker is reported. Once the runner listens again, its
+// life is reported again.
 func TestGoneRunnerIsReported(t *testing.T) {
 	s := newFixture(t)
 	s.runner.gone = true
@@ -362,7 +370,7 @@
 	if len(last) != 1 || last[0].percent != 0 {
 		t.Fatalf("changes: got %v, want the best-effort run paced to 0", last)
 	}
-	g.percents[runKey{fill, 1}] = 0
+	g.pacePercents[runKey{fill, 1}] = 0
 	rows[1].Run = 2
 	changes, _ := g.decide(now.Add(3300*time.Millisecond), rows)
 	if len(changes) != 1 || changes[0].key.run != 2 || changes[0].percent != 0 {
--- a/internal/runneragent/ask.go
+++ b/internal/runneragent/ask.go
@@ -8,7 +8,7 @@
 )
 
 // answerQuestion forwards a question of the dispatcher to the placement policy
-// service and sends the answer back.
+// service, and sends the service's answer, or that there is none, to the dispatcher.
 func (a *Agent) answerQuestion(ctx context.Context, q *dispatch.Question) {
 	answer := &peer.PolicyAnswer{Seq: q.Seq}
 	advice, err := a.askPolicy(ctx, q)
@@ -27,6 +27,8 @@
 	}
 }
 
+// askPolicy asks the placement policy service which runners may run a step, and waits up to the
+// question's timeout.
 func (a *Agent) askPolicy(ctx context.Context, q *dispatch.Question) (*PolicyAnswer, error) {
 	if a.settings.AskPolicy == nil {
 		return nil, errNoPolicyService
--- a/internal/runneragent/guard.go
+++ b/internal/runneragent/guard.go
@@ -9,30 +9,32 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// colocatedPollWait replaces pollWait while the worker runs serving and best-effort
-// tasks: latency readings cover half a second.
+// colocatedPollWait replaces pollWait while the worker runs both serving and best-effort
+// tasks. It is shorter than the half a second that each latency reading covers.
 const colocatedPollWait = 300 * time.Millisecond
 
 // guard keeps the tail latency of serving tasks below their targets by limiting the
-// pace of the best-effort tasks on the same worker.
+// pace of the best-effort tasks on the same worker. The pace of a run is the speed to which the
+// runner limits it, in percent of full speed.
 type guard struct {
 	pacer worker.Pacer
 	// targetMS are the targets for the tail latency of serving tasks, in milliseconds.
 	targetMS map[workflow.TaskID]float64
-	// percents are the paces last set for best-effort runs. A run without one is new or
-	// works at full speed.
-	percents map[runKey]int
+	// pacePercents are the paces last set for best-effort runs, in percent. A run without an
+	// element is new or works at full speed.
+	pacePercents map[runKey]int
 	// interference is how much each best-effort task is expected to slow down the serving
 	// tasks of the worker, from 0 to 1.
 	interference map[workflow.TaskID]float64
 }
 
-// addTasks records the targets and the expected interference of tasks.
+// addTasks records the latency targets of serving tasks and the expected interference of
+// best-effort tasks.
 func (g *guard) addTasks(tasks []dispatch.GuardedTask) {
 	if g.targetMS == nil {
 		g.targetMS = make(map[workflow.TaskID]float64)
 		g.interference = make(map[workflow.TaskID]float64)
-		g.percents = make(map[runKey]int)
+		g.pacePercents = make(map[runKey]int)
 	}
 	for _, t := range tasks {
 		if t.TargetMS > 0 {
@@ -48,8 +50,9 @@
 // slowed down before others.
 const selectiveThreshold = 0.35
 
-// selectiveFor is how long a target may be missed while only the tasks from
-// selectiveThreshold on are slowed down; no target may be missed for four seconds.
+// selectiveFor is how long a target may be missed while only the tasks with at least
+// selectiveThreshold are slowed down. After that all best-effort tasks are, since no target may
+// be missed for four seconds.
 const selectiveFor = 2700 * time.Millisecond
 
 // paceChange is a pace to set for a best-effort run, in percent of full speed.
@@ -58,8 +61,8 @@
 	percent int
 }
 
-// decide returns which runs need another pace, given all runs of the worker, and
-// whether these include both serving and best-effort tasks.
+// decide returns which of the worker's runs need another pace. colocated is set if the runs
+// include both serving and best-effort tasks.
 func (g *guard) decide(now time.Time, runs []dispatch.RunStatus) (changes []paceChange, colocated bool) {
 	pressure, serving := 0.0, 0
 	var bestEffort []runKey
@@ -73,38 +76,40 @@
 			bestEffort = append(bestEffort, runKey{r.Task, r.Run})
 		}
 	}
-	percent := 100
+	commonPercent := 100
 	if serving > 0 && len(bestEffort) > 0 {
-		percent = g.pacer.Decide(now, pressure)
+		commonPercent = g.pacer.Decide(now, pressure)
 	} else if serving == 0 {
 		g.pacer = worker.Pacer{}
 	}
-	// Tasks with high expected interference are slowed down first, and all tasks if that does not help.
+	// Tasks with high expected interference are slowed down first, and all best-effort tasks
+	// if that does not help.
 	selective := false
-	for _, k := range bestEffort {
-		selective = selective || g.interference[k.task] >= selectiveThreshold
+	for _, key := range bestEffort {
+		selective = selective || g.interference[key.task] >= selectiveThreshold
 	}
 	selective = selective && g.pacer.TargetMissedFor(now) < selectiveFor
 	kept := make(map[runKey]int, len(bestEffort))
-	for _, k := range bestEffort {
-		current, known := g.percents[k]
-		percent := percent
-		if selective && g.interference[k.task] < selectiveThreshold {
+	for _, key := range bestEffort {
+		current, known := g.pacePercents[key]
+		percent := commonPercent
+		if selective && g.interference[key.task] < selectiveThreshold {
 			percent = 100
 		}
 		if known {
-			kept[k] = current
+			kept[key] = current
 		}
 		if known && current != percent || !known && percent != 100 {
-			changes = append(changes, paceChange{k, percent})
+			changes = append(changes, paceChange{key, percent})
 		}
 	}
-	g.percents = kept
+	g.pacePercents = kept
 	g.forgetEnded(runs)
 	return changes, serving > 0 && len(bestEffort) > 0
 }
 
-// forgetEnded removes tasks that no longer run once the recorded ones reach a limit.
+// forgetEnded removes the tasks that no longer run, once the number of recorded tasks reaches
+// maxTasks.
 func (g *guard) forgetEnded(runs []dispatch.RunStatus) {
 	const maxTasks = 256
 	if len(g.targetMS)+len(g.interference) < maxTasks {
@@ -132,7 +137,7 @@
 	a.colocated = colocated
 	c := a.newCall()
 	for _, ch := range changes {
-		a.guard.percents[ch.key] = ch.percent
+		a.guard.pacePercents[ch.key] = ch.percent
 		a.count("paces")
 		a.log.Info().Str("task", ch.key.task.String()).Uint64("run", ch.key.run).Int("percent", ch.percent).Msg("filling task paced")
 		a.group.Go(func() {
@@ -141,8 +146,8 @@
 			if err := a.runner.SetPace(callCtx, c, ch.key.task, ch.key.run, ch.percent); err != nil {
 				a.log.Warn().Err(err).Str("task", ch.key.task.String()).Msg("setting the pace of a best-effort task failed")
 				a.mu.Lock()
-				if a.guard.percents[ch.key] == ch.percent {
-					a.guard.percents[ch.key] = unknownPercent
+				if a.guard.pacePercents[ch.key] == ch.percent {
+					a.guard.pacePercents[ch.key] = unknownPercent
 				}
 				a.mu.Unlock()
 			}
@@ -150,6 +155,6 @@
 	}
 }
 
-// unknownPercent is the pace of a run after a failed call, which may have taken
-// effect. It differs from every wanted pace, so that the pace is set again.
+// unknownPercent stands for the pace of a run after a failed call to set it, since the call
+// may have taken effect. It differs from every wanted pace, so that the pace is set again.
 const unknownPercent = -1
--- a/internal/runneragent/link.go
+++ b/internal/runneragent/link.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// reconnectAfter is the delay before entries are tried again.
-	reconnectAfter = 100 * time.Millisecond
-	// askStoreAfter is how long known entries are tried before the newest leadership claim
-	// is read from the store.
+	// reconnectDelay is the delay before entries are tried again.
+	reconnectDelay = 100 * time.Millisecond
+	// askStoreAfter is how long the agent tries the known entries before it reads the newest
+	// leadership claim from the store.
 	askStoreAfter = 800 * time.Millisecond
 	// storeTimeout bounds a call to the store.
 	storeTimeout = 1200 * time.Millisecond
 )
 
-// connect keeps a connection to the dispatcher, which it searches among the known
+// connect keeps a connection to the dispatcher. It looks for the dispatcher among the known
 // entries and in the store.
 func (a *Agent) connect(ctx context.Context) {
 	next := ""
@@ -44,11 +44,12 @@
 			next = a.dispatcherFromStore(ctx)
 			searchBegan = clock.Steady()
 		}
-		clock.WaitForWake(ctx, nil, reconnectAfter)
+		clock.WaitForWake(ctx, nil, reconnectDelay)
 	}
 }
 
-// candidates returns the addresses of entries to try: first, if it is not empty, and then all others.
+// candidates returns the addresses of entries to try: first if that is not empty, and then
+// all known entries.
 func (a *Agent) candidates(first string) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,9 +78,9 @@
 	return claim.Address
 }
 
-// tryEntry connects to an entry and stays connected while that is the dispatcher,
-// which stayed reports. If it is not, hint is the address of the dispatcher that it
-// named.
+// tryEntry connects to an entry, and stays connected while that entry is the dispatcher.
+// stayed is set if the entry was the dispatcher. If not, hint is the address of the dispatcher
+// that the entry named, if any.
 func (a *Agent) tryEntry(ctx context.Context, address string) (hint string, stayed bool) {
 	conn, err := peer.Dial(ctx, address)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return hint, stayed
 }
 
-// joinTerm begins to serve the dispatcher of a term over conn. It reports false if
-// the agent knows a later term.
+// joinTerm begins to serve the dispatcher of a term over conn. It returns false, and does
+// nothing, if the agent knows a later term.
 func (a *Agent) joinTerm(ctx context.Context, conn *peer.Conn, term uint64) bool {
 	a.mu.Lock()
 	if term < a.term {
@@ -146,8 +147,9 @@
 	return true
 }
 
-// firstPoll polls the runner until it answers, or until it is certain that nothing
-// runs, which it reports as empty. ok is false if the connection or ctx ends before.
+// firstPoll polls the runner until the runner answers, or until it is certain that nothing
+// runs at the worker; empty is set in the second case. ok is false if the connection or ctx
+// ends before.
 func (a *Agent) firstPoll(ctx context.Context, conn *peer.Conn) (empty, ok bool) {
 	for {
 		err := a.poll(ctx, 0)
@@ -161,7 +163,7 @@
 			a.log.Warn().Err(err).Msg("no runner; reporting a worker without runs")
 			return true, true
 		}
-		if !clock.WaitForWake(ctx, conn.Done(), retryAfter) {
+		if !clock.WaitForWake(ctx, conn.Done(), retryDelay) {
 			return false, false
 		}
 		select {
@@ -172,7 +174,8 @@
 	}
 }
 
-// serveTerm sends the dispatcher a report from a new poll of the runner, and then pings it.
+// serveTerm sends the dispatcher a report from a new poll of the runner, and then pings the
+// dispatcher until the connection ends.
 func (a *Agent) serveTerm(ctx context.Context, conn *peer.Conn) {
 	empty, ok := a.firstPoll(ctx, conn)
 	if !ok {
@@ -181,7 +184,7 @@
 	a.mu.Lock()
 	a.conn = conn
 	a.reportedEmpty = empty
-	a.reportedEnd = a.lastEndNumber()
+	a.lastReportedEnd = a.lastEndNumber()
 	clear(a.pingSentAt)
 	if empty {
 		conn.Send(&peer.Message{Report: a.emptyReport()})
@@ -231,12 +234,13 @@
 	delete(a.pingSentAt, p.Seq)
 }
 
-// handleAck handles the dispatcher's message up to which number it has stored run ends.
-func (a *Agent) handleAck(n *peer.RunEndsAck) {
+// handleAck handles an acknowledgement: the number of the last run end that the dispatcher has
+// stored. It ignores one for another life, the time between two restarts of the runner.
+func (a *Agent) handleAck(ack *peer.RunEndsAck) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if n.Life == a.life {
-		a.ackedEnd = max(a.ackedEnd, n.LastAckedEnd)
+	if ack.Life == a.life {
+		a.lastAckedEnd = max(a.lastAckedEnd, ack.LastAckedEnd)
 	}
 }
 
--- a/internal/runneragent/lives_test.go
+++ b/internal/runneragent/lives_test.go
@@ -12,8 +12,8 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// A start that was sent to an earlier life of the runner is fenced in the next one
-// before that is reported.
+// A start that was sent to an earlier life of the runner is fenced in the next life
+// before the next life is reported. A life is the time between two restarts.
 func TestNewLifeFencesUnresolvedStarts(t *testing.T) {
 	s := newFixture(t)
 	s.agent.mu.Lock()
@@ -35,7 +35,8 @@
 	}
 }
 
-// A start comes with a lease too: the worker must not be reported as empty before that has expired.
+// A start, too, asks the runner for a run lease: the worker must not be reported as empty
+// before that lease has expired.
 func TestStartExtendsTheLease(t *testing.T) {
 	s := newFixture(t)
 	s.agent.mu.Lock()
@@ -50,11 +51,11 @@
 }
 
 // A poll that may reach another life of the runner, perhaps with the same instance
-// name, renews no lease and acknowledges no run end.
+// ID, renews no lease and acknowledges no run end.
 func TestPollOfUncertainLifeRenewsNothing(t *testing.T) {
 	s := newFixture(t)
 	s.agent.mu.Lock()
-	s.agent.sameLifeUntil, s.agent.ackedEnd = time.Time{}, 4
+	s.agent.sameLifeUntil, s.agent.lastAckedEnd = time.Time{}, 4
 	s.agent.mu.Unlock()
 	for i, want := range []bool{false, true} {
 		if err := s.agent.poll(context.Background(), 0); err != nil {
@@ -73,7 +74,7 @@
 }
 
 // A start without an answer may take effect in another life of the runner with the
-// same instance name. That life is reported only once the start is fenced in it.
+// same instance ID. The agent reports the other life only once the start is fenced in it.
 func TestUnansweredStartIsFencedInTheNextLife(t *testing.T) {
 	s := newFixture(t)
 	k := runKey{workflow.TaskID{Job: "a"}, 1}
--- a/internal/runneragent/orders.go
+++ b/internal/runneragent/orders.go
@@ -12,38 +12,39 @@
 	"savoryhoist.example/savoryhoist/pkg/dispatch"
 )
 
-// handleOrders carries out the dispatcher's orders.
-func (a *Agent) handleOrders(ctx context.Context, o *peer.Orders) {
+// handleOrders carries out the dispatcher's orders. It drops orders of another term, and refuses
+// orders for another life, the time between two restarts of the runner.
+func (a *Agent) handleOrders(ctx context.Context, orders *peer.Orders) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if o.Term != a.term {
-		a.log.Warn().Uint64("term", o.Term).Uint64("newest", a.term).Msg("dropped orders of another term")
+	if orders.Term != a.term {
+		a.log.Warn().Uint64("term", orders.Term).Uint64("newest", a.term).Msg("dropped orders of another term")
 		return
 	}
 	now := clock.Steady()
-	a.guard.addTasks(o.GuardedTasks)
-	for i := range o.Starts {
-		s := o.Starts[i]
-		k := runKey{s.Task, s.Run}
+	a.guard.addTasks(orders.GuardedTasks)
+	for i := range orders.Starts {
+		s := orders.Starts[i]
+		key := runKey{s.Task, s.Run}
 		if s.Life != a.life {
-			a.refuse(s.Life, k, errOtherLife)
+			a.refuse(s.Life, key, errOtherLife)
 			continue
 		}
-		until := a.runLeaseEndMS(now)
-		if until == 0 || a.workerLease.Remaining(now) < minLeaseLeft {
-			a.refuse(s.Life, k, errLeaseTooShort)
+		leaseEndMS := a.runLeaseEndMS(now)
+		if leaseEndMS == 0 || a.workerLease.Remaining(now) < minLeaseLeft {
+			a.refuse(s.Life, key, errLeaseTooShort)
 			continue
 		}
-		a.noteRunLeases(now)
-		a.unlistedStarts[k] = &s
+		a.extendLastRunLeaseEnd(now)
+		a.unlistedStarts[key] = &s
 		c := a.newCall()
-		a.group.Go(func() { a.startRun(ctx, c, &s, until) })
+		a.group.Go(func() { a.startRun(ctx, c, &s, leaseEndMS) })
 	}
-	for _, q := range o.Questions {
+	for _, q := range orders.Questions {
 		a.group.Go(func() { a.answerQuestion(ctx, &q) })
 	}
-	for i := range o.Stops {
-		s := o.Stops[i]
+	for i := range orders.Stops {
+		s := orders.Stops[i]
 		if s.Life != a.life {
 			a.refuse(s.Life, runKey{s.Task, s.Run}, errOtherLife)
 			continue
@@ -52,131 +53,135 @@
 	}
 }
 
-// refuse tells the dispatcher that an order is not carried out and never will be.
-// The caller holds mu.
-func (a *Agent) refuse(life uint64, k runKey, reason error) {
-	delete(a.unlistedStarts, k)
+// refuse tells the dispatcher that an order for a run is not carried out and never will be.
+// The dispatcher then counts the run as one that never ran. The caller holds mu.
+func (a *Agent) refuse(life uint64, key runKey, reason error) {
+	delete(a.unlistedStarts, key)
 	a.count("orders-refused")
-	a.log.Info().Str("task", k.task.String()).Uint64("run", k.run).Str("reason", reason.Error()).Msg("order refused")
+	a.log.Info().Str("task", key.task.String()).Uint64("run", key.run).Str("reason", reason.Error()).Msg("order refused")
 	if a.conn != nil {
-		a.conn.Send(&peer.Message{OrderRefused: &peer.OrderRefused{Life: life, Task: k.task, Run: k.run, Reason: reason.Error(), TicketRejected: errors.Is(reason, ErrTicket)}})
+		a.conn.Send(&peer.Message{OrderRefused: &peer.OrderRefused{Life: life, Task: key.task, Run: key.run, Reason: reason.Error(), TicketRejected: errors.Is(reason, ErrTicket)}})
 	}
 }
 
-// startRun has the runner start a run, and makes sure that it never starts later if
-// there is no answer and the next listing does not show it.
-func (a *Agent) startRun(ctx context.Context, c Call, s *dispatch.Start, until int64) {
-	k := runKey{s.Task, s.Run}
+// startRun has the runner start the run of a start order, with a lease that ends at leaseEndMS
+// on the runner's clock. If the runner does not answer and the next listing does not show the
+// run, startRun makes sure that the run never starts later.
+func (a *Agent) startRun(ctx context.Context, c Call, s *dispatch.Start, leaseEndMS int64) {
+	key := runKey{s.Task, s.Run}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := a.runner.Start(callCtx, c, s, until)
+	err := a.runner.Start(callCtx, c, s, leaseEndMS)
 	switch {
 	case err == nil:
 		a.count("starts")
 	case errors.Is(err, ErrNotRun):
 		a.mu.Lock()
-		a.refuse(s.Life, k, err)
+		a.refuse(s.Life, key, err)
 		a.mu.Unlock()
 	default:
 		a.count("starts-unanswered")
-		a.log.Warn().Err(err).Str("task", k.task.String()).Uint64("run", k.run).Msg("start not answered")
+		a.log.Warn().Err(err).Str("task", key.task.String()).Uint64("run", key.run).Msg("start not answered")
 		a.mu.Lock()
-		a.addUnanswered(clock.Steady(), k)
+		a.addUnanswered(clock.Steady(), key)
 		a.mu.Unlock()
-		if a.pollForRun(ctx, k) {
+		if a.pollForRun(ctx, key) {
 			return
 		}
-		a.fence(ctx, s.Life, k, "the runner did not answer the start")
+		a.fence(ctx, s.Life, key, "the runner did not answer the start")
 	}
 }
 
-// pollForRun polls the runner once and reports whether it lists a run as running or ended.
-func (a *Agent) pollForRun(ctx context.Context, k runKey) bool {
+// pollForRun polls the runner once, and reports whether the start of a run no longer waits to
+// be listed: the runner has listed the run as running or ended, or has restarted.
+func (a *Agent) pollForRun(ctx context.Context, key runKey) bool {
 	if err := a.poll(ctx, 0); err != nil {
 		return false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.unlistedStarts[k] == nil
+	return a.unlistedStarts[key] == nil
 }
 
-// fence stops a run, or makes sure that it never starts. If the runner does not list
-// the run, there will be no run end, and the order is reported as refused.
-func (a *Agent) fence(ctx context.Context, life uint64, k runKey, reason string) {
+// fence stops a run in a life of the runner, or makes sure that the run never starts. If the
+// runner does not list the run afterwards, there will be no run end. The dispatcher is then told
+// that the order for the run, the start or the stop order, was refused, for the given reason.
+func (a *Agent) fence(ctx context.Context, life uint64, key runKey, reason string) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		c, current := a.newCall(), a.life == life
 		a.mu.Unlock()
 		if !current {
-			return // the report of the new life says what runs
+			return // the report of the new life tells the dispatcher what runs
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := a.runner.Stop(callCtx, c, k.task, k.run)
+		err := a.runner.Stop(callCtx, c, key.task, key.run)
 		cancel()
 		if err == nil && a.poll(ctx, 0) == nil {
 			break
 		}
-		clock.WaitForWake(ctx, nil, retryAfter)
+		clock.WaitForWake(ctx, nil, retryDelay)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.life != life || a.isListed(k) {
-		return // its run end is reported once it is listed
+	if a.life != life || a.isListed(key) {
+		return // the run end is reported once it is listed
 	}
-	a.refuse(life, k, errors.New(reason))
+	a.refuse(life, key, errors.New(reason))
 }
 
-// isListed reports whether the latest listing shows run k as running, or as ended and
+// isListed reports whether the latest listing shows run key as running, or as ended and
 // not acknowledged. The caller holds mu.
-func (a *Agent) isListed(k runKey) bool {
+func (a *Agent) isListed(key runKey) bool {
 	for _, r := range a.runs {
-		if r.Task == k.task && r.Run == k.run {
+		if r.Task == key.task && r.Run == key.run {
 			return true
 		}
 	}
 	for _, e := range a.runEnds {
-		if e.Task == k.task && e.Run == k.run {
+		if e.Task == key.task && e.Run == key.run {
 			return true
 		}
 	}
 	return false
 }
 
-// unresolvedStarts returns the starts that have not appeared in a listing and may
-// take effect in the present life of the runner, which may have the same instance
-// name as the one they were sent to. This includes starts that were answered, since
-// either life may have answered them. The caller holds mu.
-func (a *Agent) unresolvedStarts(now time.Time) []runKey {
+// takeUnresolvedStarts returns the starts that have not appeared in a listing and may take
+// effect in the present life of the runner, which may have the same instance ID as the life
+// that they were sent to. Starts that the runner answered are among them, since either life may
+// have answered. It removes all starts from unlistedStarts; unansweredStarts keeps those it has.
+// The caller holds mu.
+func (a *Agent) takeUnresolvedStarts(now time.Time) []runKey {
 	var out []runKey
-	for k := range a.unlistedStarts {
-		delete(a.unlistedStarts, k)
-		out = append(out, k)
+	for key := range a.unlistedStarts {
+		delete(a.unlistedStarts, key)
+		out = append(out, key)
 	}
-	for k, until := range a.unansweredStarts {
-		if now.Before(until) {
-			out = append(out, k)
+	for key, mayStartUntil := range a.unansweredStarts {
+		if now.Before(mayStartUntil) {
+			out = append(out, key)
 		}
 	}
 	return out
 }
 
-// addUnanswered records a start without an answer, and removes those that are too
+// addUnanswered records a start without an answer, and removes recorded starts that are too
 // old to take effect. The caller holds mu.
-func (a *Agent) addUnanswered(now time.Time, k runKey) {
-	maps.DeleteFunc(a.unansweredStarts, func(_ runKey, until time.Time) bool { return !now.Before(until) })
-	a.unansweredStarts[k] = now.Add(maxStartDelay)
+func (a *Agent) addUnanswered(now time.Time, key runKey) {
+	maps.DeleteFunc(a.unansweredStarts, func(_ runKey, mayStartUntil time.Time) bool { return !now.Before(mayStartUntil) })
+	a.unansweredStarts[key] = now.Add(maxStartDelay)
 }
 
-// fenceAndReport makes sure that starts never take effect in a life of the runner,
-// and reports this life to the dispatcher only then.
+// fenceAndReport makes sure that starts of an earlier life never take effect in life, the
+// present life of the runner, and only then reports this life to the dispatcher.
 func (a *Agent) fenceAndReport(ctx context.Context, life uint64, starts []runKey) {
-	for _, k := range starts {
-		if !a.fenceStart(ctx, life, k) {
+	for _, key := range starts {
+		if !a.fenceStart(ctx, life, key) {
 			return // the runner has restarted again
 		}
 	}
 	for a.poll(ctx, 0) != nil {
-		if !clock.WaitForWake(ctx, nil, retryAfter) {
+		if !clock.WaitForWake(ctx, nil, retryDelay) {
 			return
 		}
 	}
@@ -188,9 +193,9 @@
 	}
 }
 
-// fenceStart makes sure that a run never starts in a life of the runner. It reports
-// false if that life is over or ctx has ended.
-func (a *Agent) fenceStart(ctx context.Context, life uint64, k runKey) bool {
+// fenceStart makes sure that a run never starts in a life of the runner. It returns false
+// if that life is over or ctx has ended.
+func (a *Agent) fenceStart(ctx context.Context, life uint64, key runKey) bool {
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		c, current := a.newCall(), a.life == life
@@ -199,12 +204,12 @@
 			return false
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := a.runner.Stop(callCtx, c, k.task, k.run)
+		err := a.runner.Stop(callCtx, c, key.task, key.run)
 		cancel()
 		if err == nil {
 			return true
 		}
-		clock.WaitForWake(ctx, nil, retryAfter)
+		clock.WaitForWake(ctx, nil, retryDelay)
 	}
 	return false
 }
