--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -21,10 +21,12 @@
 	// writeTimeout bounds one write, since a peer that does not read blocks it.
 	writeTimeout = 2 * time.Second
 	// ReceiveTimeout is how long a connection may go without received data before it is
-	// closed: three ping intervals of half a second each, since every ping is answered.
+	// closed. Every ping is answered, and this is more than three times the longest ping interval
+	// of entries and agents, 400 ms.
 	ReceiveTimeout = 1500 * time.Millisecond
 	// queueLength bounds the number of messages that wait to be written to one peer.
-	queueLength      = 4096
+	queueLength = 4096
+	// writeBufferBytes is the size of the write buffer of a connection.
 	writeBufferBytes = 8 << 10
 )
 
@@ -55,7 +57,7 @@
 // RemoteAddress returns the IP address and port of the peer.
 func (c *Conn) RemoteAddress() string { return c.conn.RemoteAddr().String() }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
 // Close ends the connection.
@@ -66,9 +68,8 @@
 	})
 }
 
-// Send queues a message and never blocks. If the send queue is full because the
-// peer reads too slowly, it closes the connection. It reports whether the message
-// was queued.
+// Send queues a message and reports whether it was queued. It never blocks: if the send
+// queue is full because the peer reads too slowly, Send closes the connection.
 func (c *Conn) Send(m *Message) bool {
 	select {
 	case <-c.done:
@@ -85,8 +86,8 @@
 }
 
 // Run writes queued messages and passes each received one to handle, until the
-// connection ends; the error is then marked as ErrClosed. A connection on which
-// nothing arrives for too long is closed.
+// connection ends, and returns an error marked as ErrClosed. It closes a connection on
+// which nothing arrives within ReceiveTimeout. group waits for the goroutine that writes.
 func (c *Conn) Run(group *sync.WaitGroup, handle func(*Message)) error {
 	group.Go(c.writeLoop)
 	defer c.Close()
@@ -100,7 +101,7 @@
 	}
 }
 
-// deadlineReader fails a read if no data arrives in time.
+// deadlineReader fails a read if no data arrives within ReceiveTimeout.
 type deadlineReader struct{ conn net.Conn }
 
 func (r *deadlineReader) Read(p []byte) (int, error) {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -3,7 +3,8 @@
 // connection may send at any time.
 //
 // One entry at a time is the dispatcher: it holds the newest leadership term and
-// assigns tasks to workers. An agent runs beside the runner of each worker.
+// assigns tasks to workers. An agent runs beside the runner of each worker. A life of a
+// runner is the time between two restarts, identified by the time at which the runner started.
 package peer
 
 import (
@@ -47,12 +48,13 @@
 type Hello struct {
 	Role Role   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint"`
-	// Incarnation tells a process from earlier ones of the same name.
+	// Incarnation distinguishes the process from earlier processes of the same name.
 	Incarnation uint64 `cbor:"3,keyasint"`
 	// Address is the address at which peers reach the sender; agents have none.
 	Address string `cbor:"4,keyasint,omitempty"`
 	Zone    string `cbor:"5,keyasint,omitempty"`
-	// Persistent is set if the connection stays open, rather than being closed after the Welcome.
+	// Persistent is set if the sender keeps the connection open after the Welcome; a probe
+	// closes it.
 	Persistent bool `cbor:"6,keyasint,omitempty"`
 	// Term is the newest leadership term that the sender knows.
 	Term uint64 `cbor:"7,keyasint,omitempty"`
@@ -62,36 +64,38 @@
 type Welcome struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Term is the term of Claim, which does not encode it.
+	// Term is the term of Claim, since the encoding of a claim leaves its term out.
 	Term uint64 `cbor:"3,keyasint,omitempty"`
-	// Claim is the newest leadership claim that the entry knows.
+	// Claim is the newest leadership claim that the sender knows.
 	Claim leadership.Claim `cbor:"4,keyasint,omitempty"`
-	// IsDispatcher is set if the entry is the dispatcher and accepts reports.
+	// IsDispatcher is set if the sender is the dispatcher and accepts reports.
 	IsDispatcher bool `cbor:"5,keyasint,omitempty"`
-	// Entries are the peer addresses of all entries that the sender knows, with its own.
+	// Entries are the peer addresses of all entries that the sender knows, including its own.
 	Entries []string `cbor:"6,keyasint,omitempty"`
-	// DispatcherContactAgeMS is the time since the entry's last contact with the dispatcher, in
-	// milliseconds.
+	// DispatcherContactAgeMS is the time since the sender's last contact with the dispatcher, in
+	// milliseconds; 0 if the sender is the dispatcher or knows no claim.
 	DispatcherContactAgeMS int64 `cbor:"7,keyasint,omitempty"`
-	// NoDispatcher is set if the entry knows that the dispatcher has resigned, or knows of none.
+	// NoDispatcher is set if the sender knows that the process that made Claim has resigned or
+	// ended.
 	NoDispatcher bool `cbor:"8,keyasint,omitempty"`
 }
 
 // Ping is sent by agents and entries to the dispatcher.
 type Ping struct {
+	// Seq identifies the ping in its answer.
 	Seq uint64 `cbor:"1,keyasint"`
-	// Worker describes the worker of an agent; entries leave it out.
+	// Worker describes the worker of an agent; pings of entries leave it out.
 	Worker *dispatch.Worker `cbor:"2,keyasint,omitempty"`
-	// Runs are the runs at that worker.
+	// Runs are the runs at that worker, as of the runner's latest listing.
 	Runs []dispatch.RunStatus `cbor:"3,keyasint,omitempty"`
-	// Term is the newest leadership term that an entry knows.
+	// Term is the newest leadership term that an entry knows; pings of agents leave out this
+	// field and those below.
 	Term uint64 `cbor:"4,keyasint,omitempty"`
-	// StoreContactAgeMS is the time since an entry's last successful call to the store, in
-	// milliseconds.
+	// StoreContactAgeMS is the time since the store last answered the entry, in milliseconds.
 	StoreContactAgeMS int64 `cbor:"5,keyasint,omitempty"`
-	// ConfigVersion is the version of the configuration that is in force at an entry.
+	// ConfigVersion is the version of the configuration that is in force at the entry.
 	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
-	// Draining is set while an entry is draining.
+	// Draining is set once the entry shuts down.
 	Draining bool `cbor:"7,keyasint,omitempty"`
 }
 
@@ -100,11 +104,12 @@
 	Seq uint64 `cbor:"1,keyasint"`
 	// Term is the leadership term of the sender; 0 if it is not the dispatcher.
 	Term uint64 `cbor:"2,keyasint,omitempty"`
-	// Entries are the peer addresses of all entries that the sender knows, with its own.
+	// Entries are the peer addresses of all entries that the sender knows, including its own.
 	Entries []string `cbor:"3,keyasint,omitempty"`
 	// ConfigVersion is the version of the configuration that is in force at the sender.
 	ConfigVersion uint64 `cbor:"4,keyasint,omitempty"`
-	// PendingByQueue is the number of jobs without a started task, by queue; sent to entries only.
+	// PendingByQueue is the number of jobs without a started task, by queue; only the dispatcher
+	// sends it, and only to entries.
 	PendingByQueue map[string]int `cbor:"5,keyasint,omitempty"`
 	// WorkerLeaseRenewed is set if the ping renews the worker lease of the agent.
 	WorkerLeaseRenewed bool `cbor:"6,keyasint,omitempty"`
@@ -118,40 +123,44 @@
 	RunEnds []dispatch.RunEnd    `cbor:"3,keyasint,omitempty"`
 }
 
-// RunEnds reports runs at a worker that have ended since the last report.
+// RunEnds lists the ends of runs at a worker that the agent has not sent yet.
 type RunEnds struct {
-	// Life identifies the life of the worker's runner, from its start to its end.
+	// Life identifies the life of the worker's runner that listed the ends.
 	Life uint64            `cbor:"1,keyasint"`
 	Ends []dispatch.RunEnd `cbor:"2,keyasint"`
 }
 
-// OrderRefused says that an agent has not carried out an order and never will.
+// OrderRefused says that an agent has not carried out an order for a run and never will. The
+// dispatcher then counts the run as one that never ran.
 type OrderRefused struct {
 	// Life identifies the life of the worker's runner that the order was for.
-	Life   uint64          `cbor:"1,keyasint"`
-	Task   workflow.TaskID `cbor:"2,keyasint"`
-	Run    uint64          `cbor:"3,keyasint"`
-	Reason string          `cbor:"4,keyasint"`
+	Life uint64          `cbor:"1,keyasint"`
+	Task workflow.TaskID `cbor:"2,keyasint"`
+	Run  uint64          `cbor:"3,keyasint"`
+	// Reason is the reason for the refusal, as text for the log.
+	Reason string `cbor:"4,keyasint"`
 	// TicketRejected is set if the runner did not accept the placement policy's ticket.
 	TicketRejected bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Orders are orders and questions of the dispatcher to one agent.
 type Orders struct {
+	// Term is the term of the dispatcher that sends the orders.
 	Term   uint64           `cbor:"1,keyasint"`
 	Starts []dispatch.Start `cbor:"2,keyasint,omitempty"`
 	Stops  []dispatch.Stop  `cbor:"3,keyasint,omitempty"`
-	// GuardedTasks is what the agent's latency guard has to know of tasks that run already.
+	// GuardedTasks tells the agent's latency guard the latency targets and the interference of
+	// tasks that run already.
 	GuardedTasks []dispatch.GuardedTask `cbor:"4,keyasint,omitempty"`
-	// Questions are to be put to the placement policy service.
+	// Questions are the questions that the agent forwards to the placement policy service.
 	Questions []dispatch.Question `cbor:"5,keyasint,omitempty"`
 }
 
 // PolicyAnswer is the answer of the placement policy service to the question with the same Seq.
 type PolicyAnswer struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Tickets maps the instance IDs of the runners that may run the step to their tickets;
-	// nil if there was no answer.
+	// Tickets maps the instance IDs of the runners that may run the step to the tickets that
+	// starts at these runners must carry; nil if there was no answer.
 	Tickets map[string]string `cbor:"2,keyasint,omitempty"`
 	// ValidMS is how long the tickets are valid, in milliseconds.
 	ValidMS int64 `cbor:"3,keyasint,omitempty"`
@@ -159,12 +168,13 @@
 	Failed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// RunEndsAck acknowledges run ends: the dispatcher has stored them, so the worker may
+// RunEndsAck acknowledges run ends: the dispatcher has stored them, so the agent may
 // drop them from its reports.
 type RunEndsAck struct {
 	// Life identifies the life of the worker's runner that listed the ends.
 	Life uint64 `cbor:"1,keyasint"`
-	// LastAckedEnd is the number of the last acknowledged end.
+	// LastAckedEnd is the number of the last acknowledged run end; it acknowledges all earlier
+	// ones too.
 	LastAckedEnd uint64 `cbor:"2,keyasint"`
 }
 
@@ -189,6 +199,7 @@
 
 // PhaseQuery asks the dispatcher for the phase of a job.
 type PhaseQuery struct {
+	// Seq identifies the query in its answer.
 	Seq uint64 `cbor:"1,keyasint"`
 	// ID is the ID of the job.
 	ID string `cbor:"2,keyasint"`
@@ -197,7 +208,7 @@
 // PhaseAnswer answers the query with the same Seq.
 type PhaseAnswer struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Known is set if the answering entry knows the phase of the job.
+	// Known is set if Phase is the phase of the job, as the sender knows it.
 	Known bool           `cbor:"2,keyasint,omitempty"`
 	Phase workflow.Phase `cbor:"3,keyasint,omitempty"`
 }
@@ -212,6 +223,7 @@
 // RelayAppend asks an entry to append a record to the store on behalf of the sender, which
 // cannot reach the store.
 type RelayAppend struct {
+	// Seq identifies the append in its result.
 	Seq    uint64          `cbor:"1,keyasint"`
 	Record workflow.Record `cbor:"2,keyasint"`
 }
--- a/internal/peer/tcptimeout.go
+++ b/internal/peer/tcptimeout.go
@@ -8,7 +8,7 @@
 )
 
 // SetTCPUserTimeout sets the TCP user timeout: the connection ends if sent data is not
-// acknowledged for 1500 ms, the limit that also applies to received data.
+// acknowledged for ReceiveTimeout, 1500 ms, which also limits the wait for received data.
 // It does nothing if c is not a TCP connection.
 func SetTCPUserTimeout(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
@@ -17,7 +17,7 @@
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
-		return // the read deadline still ends a connection that receives nothing
+		return // ReceiveTimeout still ends a connection that receives nothing
 	}
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ReceiveTimeout/time.Millisecond))
