--- a/internal/store/claim.go
+++ b/internal/store/claim.go
@@ -18,11 +18,12 @@
 	return Record{Key: leadershipClaimKey, Value: value}, errors.Wrap(err, "encode leadership claim")
 }
 
-// NewestClaim returns the newest leadership claim, and the offset after the last record
-// of its topic. The term of a claim is one more than the offset of its record. skipped is
-// the number of records in the topic that are not claims.
-func (p *Client) NewestClaim(ctx context.Context) (newest leadership.Claim, end uint64, skipped int, err error) {
-	records, end, err := p.AllNewest(ctx, TopicLeadership)
+// NewestClaim returns the newest leadership claim, with term 0 if there is none. The term of a
+// claim is one more than the offset of the claim's record. end is the offset after the last record
+// of the topic when the read began; skipped is the number of records in the topic that are not
+// claims.
+func (c *Client) NewestClaim(ctx context.Context) (newest leadership.Claim, end uint64, skipped int, err error) {
+	records, end, err := c.AllNewest(ctx, TopicLeadership)
 	if err != nil {
 		return leadership.Claim{}, 0, 0, errors.Wrap(err, "read leadership claims")
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,15 +14,15 @@
 
 // Errors returned by calls to the store.
 var (
-	// ErrRefused means that the call has not been and will not be carried out.
+	// ErrRefused means that the store has not carried out the call and never will.
 	ErrRefused = errors.New("the store did not carry out the call")
-	// ErrOutcomeUnknown means that the call may have been carried out, or may still be.
+	// ErrOutcomeUnknown means that the store may have carried out the call, or may still do so.
 	ErrOutcomeUnknown = errors.New("outcome of the call to the store unknown")
 	// ErrFenced means that a writer of a later leadership term has written to the topic.
 	ErrFenced = errors.New("a later term has written to the store")
 	// ErrEndMismatch means that the topic does not end at the offset that the append requires.
 	ErrEndMismatch = errors.New("the topic does not end at the expected offset")
-	// ErrTrimmed means that the store has deleted records from the requested offset on.
+	// ErrTrimmed means that the store has deleted the record at the requested offset.
 	ErrTrimmed = errors.New("the store no longer has the requested records")
 )
 
@@ -33,8 +33,8 @@
 const (
 	// TopicIntake holds the submissions and cancellations of pkg/workflow.
 	TopicIntake Topic = "intake"
-	// TopicProgress holds the progress of jobs. It is a topic of its own so that appends to
-	// it do not wait for appends of submissions.
+	// TopicProgress holds the progress of jobs. It is separate from TopicIntake so that appends of
+	// progress do not wait for appends of submissions.
 	TopicProgress Topic = "progress"
 	// TopicLeadership holds the leadership claims.
 	TopicLeadership Topic = "dispatch"
@@ -51,12 +51,13 @@
 type AppendRequest struct {
 	Topic   Topic
 	Records []Record
-	// ExpectedEnd is the offset at which the topic must end before the append.
+	// ExpectedEnd is the offset at which the topic must end before the append, if CheckEnd is
+	// set.
 	ExpectedEnd uint64
-	// CheckEnd is set if the end of the topic is to be checked.
+	// CheckEnd makes the append fail with ErrEndMismatch unless the topic ends at ExpectedEnd.
 	CheckEnd bool
 	// Term is the leadership term of the writer, a fencing token: the store refuses appends
-	// of earlier terms. 0 is an append without a term.
+	// with an earlier term. 0 means that the append has no term and is not fenced.
 	Term uint64
 	// Seq is the sequence number of the append in its term, by which the store recognises a
 	// repeated append and carries it out only once.
@@ -69,12 +70,12 @@
 	Offset uint64
 }
 
-// Page is the result of a read.
+// Page is the result of one call of Read or ReadNewest.
 type Page struct {
 	Records []StoredRecord
 	// End is the offset after the last record of the topic.
 	End uint64
-	// More is set if more pages of newest records follow.
+	// More is set if more pages of newest records follow; Read does not set it.
 	More bool
 }
 
@@ -82,21 +83,21 @@
 type Client struct {
 	// Append appends records and returns the offset after the last one.
 	Append func(ctx context.Context, a AppendRequest) (uint64, error)
-	// Read returns records from an offset on. If there are none yet, it waits for up to wait.
-	Read func(ctx context.Context, topic Topic, from uint64, wait time.Duration) (*Page, error)
-	// ReadNewest returns a page with the newest record of each key, from the first key after
-	// the key named after; an empty one begins with the first page.
-	ReadNewest func(ctx context.Context, topic Topic, after string) (*Page, error)
+	// Read returns records from fromOffset on. If there are none yet, it waits for up to maxWait.
+	Read func(ctx context.Context, topic Topic, fromOffset uint64, maxWait time.Duration) (*Page, error)
+	// ReadNewest returns one page of the newest records of all keys, sorted by key. The page begins
+	// with the first key after afterKey, or with the first key of all if afterKey is empty.
+	ReadNewest func(ctx context.Context, topic Topic, afterKey string) (*Page, error)
 }
 
-// AllNewest returns the newest record of every key, and an offset from which to read on. It
-// misses no record before that offset; some records may have later offsets, since the
-// topic may grow while the pages are read.
-func (p *Client) AllNewest(ctx context.Context, topic Topic) ([]StoredRecord, uint64, error) {
+// AllNewest returns the newest record of every key, and the offset from which to read on to get
+// later records. No record before that offset is missed. Some returned records may have later
+// offsets, since the topic may grow while its pages are read.
+func (c *Client) AllNewest(ctx context.Context, topic Topic) ([]StoredRecord, uint64, error) {
 	var out []StoredRecord
-	end, after := uint64(0), ""
+	end, afterKey := uint64(0), ""
 	for first := true; ; first = false {
-		page, err := p.ReadNewest(ctx, topic, after)
+		page, err := c.ReadNewest(ctx, topic, afterKey)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -107,11 +108,11 @@
 		if !page.More || len(page.Records) == 0 {
 			return out, end, nil
 		}
-		after = page.Records[len(page.Records)-1].Key
+		afterKey = page.Records[len(page.Records)-1].Key
 	}
 }
 
-// SequenceError is returned by an append with an unexpected sequence number. Want is the
+// SequenceError is the error of an append with an unexpected sequence number. Want is the
 // number that the store expects of the next append in the term.
 type SequenceError struct{ Want uint64 }
 
