--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -19,13 +19,14 @@
 
 // Line is one log line about a job.
 type Line struct {
-	at      time.Time
-	process string
-	message string
-	task    string
-	run     uint64
-	text    string
-	// rank orders lines with the same time.
+	// sortTime is the time at which the process wrote the line, until SortByCause adjusts it.
+	sortTime time.Time
+	process  string
+	message  string
+	task     string
+	run      uint64
+	text     string
+	// rank orders lines with the same sortTime.
 	rank int
 }
 
@@ -46,7 +47,7 @@
 	Run     uint64    `json:"run"`
 }
 
-// Messages by which lines are sorted. They must match the texts that entries log.
+// Messages that SortByCause looks for. They must match the texts that entries log.
 const (
 	messageSubmitted    = "job handed in"
 	messageStartOrdered = "start ordered"
@@ -54,15 +55,15 @@
 	messageJobEnded     = "job ended"
 )
 
-// Read returns the lines of r about a job. It ignores text before the JSON of a line, such
-// as a name that a log collector has added, and skips lines that are not JSON.
-func Read(r io.Reader, job string) ([]Line, error) {
+// Read returns the lines of r about a job, given its ID. It ignores text before the JSON of a
+// line, such as a name that a log collector has added, and skips lines that are not JSON.
+func Read(r io.Reader, jobID string) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	var out []Line
 	for scanner.Scan() {
 		raw := scanner.Bytes()
-		if !bytes.Contains(raw, []byte(job)) {
+		if !bytes.Contains(raw, []byte(jobID)) {
 			continue
 		}
 		start := bytes.IndexByte(raw, '{')
@@ -70,66 +71,66 @@
 			continue
 		}
 		var f lineFields
-		if json.Unmarshal(raw[start:], &f) != nil || !f.isAbout(job) {
+		if json.Unmarshal(raw[start:], &f) != nil || !f.isAbout(jobID) {
 			continue
 		}
-		out = append(out, Line{at: f.Time, process: f.Process, message: f.Message, task: f.Task, run: f.Run, text: string(raw[start:])})
+		out = append(out, Line{sortTime: f.Time, process: f.Process, message: f.Message, task: f.Task, run: f.Run, text: string(raw[start:])})
 	}
 	return out, errors.Wrap(scanner.Err(), "read log lines")
 }
 
-// isAbout reports whether a line is about a job, or one of its steps or tasks.
-func (f *lineFields) isAbout(job string) bool {
-	return f.Job == job || strings.HasPrefix(f.Task, job+".") || strings.HasPrefix(f.Step, job+".")
+// isAbout reports whether a line is about a job, or one of the job's steps or tasks.
+func (f *lineFields) isAbout(jobID string) bool {
+	return f.Job == jobID || strings.HasPrefix(f.Task, jobID+".") || strings.HasPrefix(f.Step, jobID+".")
 }
 
-// SortByCause returns the lines sorted by cause first and time second, since the clocks of
-// processes differ: lines of an agent about a run are sorted after the dispatcher's line
-// that orders its start, and before the dispatcher's line that reports its end.
+// SortByCause returns the lines in causal order, and by time where that leaves the order open,
+// since the clocks of processes differ. An agent's lines about a run come after the dispatcher's
+// line that the run's start was ordered, and before the dispatcher's line that the run ended.
 func SortByCause(lines []Line) []Line {
 	type key struct {
 		task string
 		run  uint64
 	}
 	out := append([]Line(nil), lines...)
-	sort.SliceStable(out, func(i, j int) bool { return out[i].at.Before(out[j].at) })
+	sort.SliceStable(out, func(i, j int) bool { return out[i].sortTime.Before(out[j].sortTime) })
 	startOrderedAt := make(map[key]time.Time)
 	runEndedAt := make(map[key]time.Time)
 	for i := range out {
 		k := key{out[i].task, out[i].run}
 		switch out[i].message {
 		case messageStartOrdered:
-			startOrderedAt[k] = out[i].at
+			startOrderedAt[k] = out[i].sortTime
 		case messageRunEnded:
-			runEndedAt[k] = out[i].at
+			runEndedAt[k] = out[i].sortTime
 		}
 	}
 	for i := range out {
 		l := &out[i]
 		k := key{l.task, l.run}
-		start, isOrdered := startOrderedAt[k]
-		end, hasEnded := runEndedAt[k]
+		start, hasStart := startOrderedAt[k]
+		end, hasEnd := runEndedAt[k]
 		l.rank = rankOf(l.message)
-		if l.rank != rankOther || !isOrdered {
+		if l.rank != rankOther || !hasStart {
 			continue
 		}
-		if l.at.Before(start) {
-			l.at = start
+		if l.sortTime.Before(start) {
+			l.sortTime = start
 		}
-		if hasEnded && l.at.After(end) {
-			l.at = end
+		if hasEnd && l.sortTime.After(end) {
+			l.sortTime = end
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		if !out[i].at.Equal(out[j].at) {
-			return out[i].at.Before(out[j].at)
+		if !out[i].sortTime.Equal(out[j].sortTime) {
+			return out[i].sortTime.Before(out[j].sortTime)
 		}
 		return out[i].rank < out[j].rank
 	})
 	return out
 }
 
-// Ranks of lines with the same time.
+// Ranks of lines with the same sortTime, in their causal order.
 const (
 	rankSubmitted = iota
 	rankStartOrdered
