--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -19,20 +19,21 @@
 	DefaultMaxInfoLinesPerSecond = 1000
 	// maxPendingBytes bounds the buffer of lines that wait to be written.
 	maxPendingBytes = 1 << 20
-	// batchDelay is how long a line waits for others to be written with it, since each
-	// write costs a system call.
+	// batchDelay is how long a line waits so that others are written in the same batch, since
+	// each write costs a system call.
 	batchDelay = 50 * time.Millisecond
-	// levelSearchBytes is the length of the beginning of a line that contains its level.
+	// levelSearchBytes is the number of bytes from the beginning of a line in which its level is
+	// searched.
 	levelSearchBytes = 96
 )
 
 // Writer is an io.Writer that takes one whole line in each call of Write. Run writes the
-// lines to Out. The zero value drops every line.
+// lines to Out. The zero value of Writer drops every line.
 type Writer struct {
 	// Out receives the lines.
 	Out io.Writer
 	// MaxInfoLinesPerSecond is the limit of debug and info lines per second. Warnings and errors are
-	// dropped only while the buffer is full, because Out does not keep up.
+	// dropped only while the buffer is full, which happens when Out does not keep up.
 	MaxInfoLinesPerSecond int
 	// Now returns the current time.
 	Now func() time.Time
@@ -46,7 +47,7 @@
 	budgetUsed   int
 	// dropped is the number of lines dropped since the last flush.
 	dropped uint64
-	// ready wakes Run when lines wait.
+	// ready wakes Run when lines wait to be written.
 	ready chan struct{}
 }
 
@@ -71,8 +72,8 @@
 	return len(line), nil
 }
 
-// spendBudget reports whether a line is within the limit per second, and counts it if it
-// is a debug or info line. The caller holds mu.
+// spendBudget reports whether a line may be written within MaxInfoLinesPerSecond, and counts
+// the line if it is a debug or info line. The caller holds mu.
 func (w *Writer) spendBudget(line []byte) bool {
 	if w.Now == nil {
 		return false
@@ -88,7 +89,7 @@
 	return w.budgetUsed <= w.MaxInfoLinesPerSecond
 }
 
-// Run writes buffered lines until ctx ends, and then those that remain.
+// Run writes buffered lines until ctx ends, and then the lines that are still buffered.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// stalledOutput blocks writes until release is closed, and closes reached at the first one.
+// stalledOutput blocks writes until release is closed. At the first write it closes reached.
 type stalledOutput struct {
 	release chan struct{}
 	once    sync.Once
@@ -62,7 +62,7 @@
 	return len(p), nil
 }
 
-// Output that blocks must not block Write: the buffer fills up to its limit and further
+// Output that blocks must not block Writer.Write: the buffer fills up to its limit, and further
 // lines are dropped.
 func TestStalledOutputDropsLinesWithoutBlocking(t *testing.T) {
 	out := &stalledOutput{release: make(chan struct{}), reached: make(chan struct{})}
