--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,5 +1,5 @@
-// Package explore runs deterministic simulations of the decision code: each plays
-// schedules of faults that follow from seeds.
+// Package explore runs deterministic simulations of the decision code. All random
+// choices of a simulated run, such as those of its faults, follow from a seed.
 package explore
 
 import (
@@ -12,8 +12,8 @@
 	"savoryhoist.example/savoryhoist/internal/explore/term"
 )
 
-// Simulation is one simulation. Run plays the schedule of a seed and returns the first
-// violation found.
+// Simulation is one kind of simulation. Run performs the simulated run of a seed and
+// returns the first violation found.
 type Simulation struct {
 	Name string
 	Run  func(seed uint64) error
@@ -29,21 +29,21 @@
 	}
 }
 
-// Violation is the violation that the schedule of a seed led to.
+// Violation is the violation found in the simulated run of a seed.
 type Violation struct {
 	Simulation string
 	Seed       uint64
 	Err        error
 }
 
-// Run plays the schedules of count seeds from first on in every simulation, those of at
-// most parallel seeds at a time, and returns the violations and the number of
-// schedules played. It begins no further seed once ctx ends.
-func Run(ctx context.Context, simulations []Simulation, first, count uint64, parallel int) (found []Violation, explored uint64) {
+// Run performs every simulation with seedCount seeds from firstSeed on, at most
+// maxParallel seeds at a time. It returns the violations and the number of simulated
+// runs performed. It begins no further seed once ctx ends.
+func Run(ctx context.Context, simulations []Simulation, firstSeed, seedCount uint64, maxParallel int) (found []Violation, explored uint64) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	seeds := make(chan uint64)
-	for range max(parallel, 1) {
+	for range max(maxParallel, 1) {
 		group.Go(func() {
 			for seed := range seeds {
 				violations := runSeed(simulations, seed)
@@ -54,7 +54,7 @@
 			}
 		})
 	}
-	for seed := first; seed < first+count && ctx.Err() == nil; seed++ {
+	for seed := firstSeed; seed < firstSeed+seedCount && ctx.Err() == nil; seed++ {
 		seeds <- seed
 	}
 	close(seeds)
@@ -62,6 +62,7 @@
 	return found, explored
 }
 
+// runSeed performs every simulation with one seed and returns the violations found.
 func runSeed(simulations []Simulation, seed uint64) []Violation {
 	var out []Violation
 	for _, s := range simulations {
