--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -15,14 +15,14 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Intervals and time-outs of the simulated agents, the same as those of the real ones.
+// Intervals and time-outs of the simulated agents, the same as for real agents.
 const (
 	pingInterval = 400 * time.Millisecond
 	pollInterval = 60 * time.Millisecond
 	startTimeout = time.Second
 	silentAfter  = 900 * time.Millisecond
-	// sameLifeFor is how long after a listing the agent relies on the runner not having
-	// restarted.
+	// sameLifeFor is how long after the runner listed its runs the agent assumes that the
+	// runner has not restarted.
 	sameLifeFor = 250 * time.Millisecond
 	// maxStartDelay is how long a start whose call was not answered may still take effect.
 	maxStartDelay = 13 * time.Second
@@ -39,49 +39,57 @@
 	run  uint64
 }
 
-// agent simulates a runner agent, with its runner. life is the start time of the
-// runner's life that the agent knows.
+// agent simulates a runner agent, with its runner. A life of the runner lasts from one
+// restart to the next, and is identified by its start time in Unix milliseconds; life
+// is the newest one that the agent has seen.
 type agent struct {
 	process
 	name   string
 	runner *standin.TaskRunner
-	// namesReused is set if all lives of the runner have the same name, so that a call
-	// may reach a later life than the one it was meant for.
+	// namesReused is set if a restarted runner keeps its name, so that a call may reach a
+	// later life of the runner than intended.
 	namesReused bool
 	// Until startsDelayedUntil, calls that start runs are not answered and take effect
 	// later.
 	startsDelayedUntil time.Duration
 
-	term              uint64
-	conn              *conn
-	life              uint64
+	term uint64
+	conn *conn
+	life uint64
+	// runnerClockMS is what the runner's clock showed at runnerClockReadAt.
 	runnerClockMS     int64
 	runnerClockReadAt time.Time
 	workerLease       leadership.WorkerLease
-	// runs and runEnds are what the runner listed last.
+	// runs and runEnds are the runs in progress and the unacknowledged ends that the
+	// runner listed last.
 	runs    []dispatch.RunStatus
 	runEnds []dispatch.RunEnd
-	// reportedEnd and ackedEnd are the numbers of the newest ends that were sent to the
-	// dispatcher and acknowledged by it.
-	reportedEnd   uint64
-	ackedEnd      uint64
+	// reportedEnd is the number of the newest end that was sent to the dispatcher, and
+	// ackedEnd that of the newest end that the dispatcher has acknowledged.
+	reportedEnd uint64
+	ackedEnd    uint64
+	// sameLifeUntil is until when the agent assumes that the runner has not restarted.
 	sameLifeUntil time.Time
-	// unlistedStarts are runs that were ordered and that the runner has not listed.
+	// unlistedStarts are the runs that the dispatcher ordered and the runner has not
+	// listed yet.
 	unlistedStarts map[runKey]bool
-	// fenceAt is when to stop runs, or to make sure that they never start.
+	// fenceAt holds, for runs to be stopped or kept from starting, when to do so.
 	fenceAt map[runKey]time.Time
-	// unansweredStarts are starts that may still take effect, and until when.
+	// unansweredStarts holds, for starts whose calls were not answered, until when they
+	// may still take effect.
 	unansweredStarts map[runKey]time.Time
-	pingSentAt       map[uint64]time.Time
-	pingSeq          uint64
-	lastPing         time.Time
-	lastPong         time.Time
-	lastPoll         time.Time
+	// pingSentAt holds when the unanswered pings were sent, by sequence number.
+	pingSentAt map[uint64]time.Time
+	pingSeq    uint64
+	lastPing   time.Time
+	lastPong   time.Time
+	lastPoll   time.Time
 }
 
-func newAgent(w *world, i int) *agent {
-	a := &agent{process: newProcess(w), name: fmt.Sprintf("w%d", i)}
-	a.namesReused = i%2 == 0
+// newAgent returns the agent with an index and its runner.
+func newAgent(w *world, index int) *agent {
+	a := &agent{process: newProcess(w), name: fmt.Sprintf("w%d", index)}
+	a.namesReused = index%2 == 0
 	a.runner = &standin.TaskRunner{Name: a.name, TaskDuration: 700 * time.Millisecond, History: &w.history, ClockLagDivisor: 50 + w.random.IntN(200)}
 	a.runner.Restart(w.trueTime())
 	a.forget()
@@ -96,21 +104,22 @@
 	a.unlistedStarts, a.fenceAt, a.pingSentAt = make(map[runKey]bool), make(map[runKey]time.Time), make(map[uint64]time.Time)
 }
 
-func (a *agent) restart(down time.Duration) {
+// restart drops the agent's state and keeps the agent down for a while.
+func (a *agent) restart(downtime time.Duration) {
 	a.generation++
-	a.downUntil = a.w.now + down
+	a.downUntil = a.w.now + downtime
 	a.forget()
 }
 
 // runLeaseEndMS returns the end of a run's lease on the runner's clock, or 0 if there
 // is no lease.
 func (a *agent) runLeaseEndMS(now time.Time) int64 {
-	left := a.w.rules.WorkerLeaseRemaining(&a.workerLease, now)
-	if left <= 0 || a.runnerClockReadAt.IsZero() {
+	remaining := a.w.rules.WorkerLeaseRemaining(&a.workerLease, now)
+	if remaining <= 0 || a.runnerClockReadAt.IsZero() {
 		return 0
 	}
-	d := now.Add(left).Sub(a.runnerClockReadAt)
-	return a.runnerClockMS + (d - d/clockDriftDivisor).Milliseconds()
+	untilEnd := now.Add(remaining).Sub(a.runnerClockReadAt)
+	return a.runnerClockMS + (untilEnd - untilEnd/clockDriftDivisor).Milliseconds()
 }
 
 func (a *agent) tick() {
@@ -134,7 +143,7 @@
 
 // connect asks a random entry whether it is the dispatcher, and if so reports to it.
 func (a *agent) connect(now time.Time) {
-	e := a.w.entries[a.w.random.IntN(entries)]
+	e := a.w.entries[a.w.random.IntN(entryCount)]
 	if a.isCut() || e.isCut() || a.w.now < e.frozenUntil || a.w.now < e.downUntil {
 		return
 	}
@@ -159,27 +168,28 @@
 
 // sendReport sends the worker's whole state to the dispatcher.
 func (a *agent) sendReport() {
-	c, w, ends := a.conn, a.describeWorker(), append([]dispatch.RunEnd(nil), a.runEnds...)
-	rows := append([]dispatch.RunStatus(nil), a.runs...)
+	c, worker, ends := a.conn, a.describeWorker(), append([]dispatch.RunEnd(nil), a.runEnds...)
+	runs := append([]dispatch.RunStatus(nil), a.runs...)
 	for k := range a.unlistedStarts {
-		rows = append(rows, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
+		runs = append(runs, dispatch.RunStatus{Task: k.task, Run: k.run, Pending: true})
 	}
 	for _, e := range a.runEnds {
 		a.reportedEnd = max(a.reportedEnd, e.Number)
 	}
-	c.send(&c.entry.process, func() { c.entry.handleReport(c, w, rows, ends) })
+	c.send(&c.entry.process, func() { c.entry.handleReport(c, worker, runs, ends) })
 }
 
+// sendPing sends the dispatcher a ping with the runs that the runner listed last.
 func (a *agent) sendPing(now time.Time) {
 	a.lastPing = now
 	a.pingSeq++
 	a.pingSentAt[a.pingSeq] = now
-	c, w, rows, seq := a.conn, a.describeWorker(), append([]dispatch.RunStatus(nil), a.runs...), a.pingSeq
-	c.send(&c.entry.process, func() { c.entry.handlePing(c, w, rows, seq) })
+	c, worker, runs, seq := a.conn, a.describeWorker(), append([]dispatch.RunStatus(nil), a.runs...), a.pingSeq
+	c.send(&c.entry.process, func() { c.entry.handlePing(c, worker, runs, seq) })
 }
 
-// poll extends the leases of all runs and applies the runner's listing. It returns
-// false if the runner refuses the agent's term.
+// poll extends the leases of all runs at the runner and applies its listing of runs. It
+// returns false if the runner refuses the agent's term.
 func (a *agent) poll(now time.Time) bool {
 	ackedEnd, leaseEndMS := uint64(0), int64(0)
 	if now.Before(a.sameLifeUntil) || a.w.rules.IgnoreRunnerLife {
@@ -215,7 +225,7 @@
 	return true
 }
 
-// applyListing replaces what the agent knows of the runner's runs.
+// applyListing replaces what the agent knows of the runner's runs by a new listing.
 func (a *agent) applyListing(now time.Time, runs []standin.RunStatus, ends []standin.RunEnd) {
 	a.runnerClockMS, a.runnerClockReadAt, a.sameLifeUntil = a.runner.ClockMS(a.w.trueTime()), now, now.Add(sameLifeFor)
 	a.runs, a.runEnds = nil, nil
@@ -234,7 +244,7 @@
 	}
 }
 
-// sendNewEnds sends the ends that have not been reported to the dispatcher.
+// sendNewEnds sends the dispatcher the ends that the agent has not sent to it yet.
 func (a *agent) sendNewEnds() {
 	if a.conn == nil {
 		return
@@ -251,7 +261,8 @@
 	}
 }
 
-// handleOrders carries out a dispatcher's orders, or refuses them.
+// handleOrders carries out a dispatcher's orders. It refuses orders for an earlier
+// life of the runner, and starts for which too little of the worker lease remains.
 func (a *agent) handleOrders(c *conn, term uint64, starts []dispatch.Start, stops []dispatch.Stop) {
 	if a.conn != c || term != a.term {
 		return
@@ -276,14 +287,14 @@
 }
 
 // startRun calls the runner to start a run. The call may go unanswered and take effect
-// up to twelve seconds later.
+// 2 s to 12 s later.
 func (a *agent) startRun(now time.Time, k runKey, leaseEndMS int64) {
 	a.unlistedStarts[k] = true
 	term, life, generation := a.term, a.life, a.generation
 	call := func() bool {
-		// A known limit of the protocol: a start that takes effect in a later life of a
-		// runner with the same name, before the agent has seen that life or after the
-		// agent has restarted, is fenced by nobody. The simulation leaves it out.
+		// A known limit of the protocol, which the simulation leaves out: no agent fences a
+		// start that takes effect in a later life of a runner with the same name, before
+		// the agent has seen that life or after the agent has restarted.
 		fenced := a.generation == generation && a.life == a.runner.StartedAtMS()
 		reached := a.runner.StartedAtMS() == life || a.namesReused && fenced
 		return reached && a.runner.Admit(a.w.trueTime(), term, leaseEndMS) &&
@@ -320,14 +331,15 @@
 	}
 }
 
-// sortedKeys returns the runs in a fixed order, so that a seed always plays the same
-// schedule.
+// sortedKeys returns the runs in a fixed order, so that a seed always leads to the
+// same simulated run.
 func sortedKeys(runs map[runKey]time.Time) []runKey {
 	return slices.SortedFunc(maps.Keys(runs), func(x, y runKey) int {
 		return cmp.Or(strings.Compare(x.task.String(), y.task.String()), cmp.Compare(x.run, y.run))
 	})
 }
 
+// isListedAsEnded reports whether the runner's last listing has the end of a run.
 func (a *agent) isListedAsEnded(k runKey) bool {
 	for _, e := range a.runEnds {
 		if e.Task == k.task && e.Run == k.run {
@@ -337,7 +349,7 @@
 	return false
 }
 
-// sendRefusal reports to the dispatcher that a run will not start or does not run.
+// sendRefusal tells the dispatcher that a run will not start or is not in progress.
 func (a *agent) sendRefusal(life uint64, k runKey) {
 	delete(a.unlistedStarts, k)
 	if c := a.conn; c != nil {
@@ -345,8 +357,8 @@
 	}
 }
 
-// handlePong handles the response to a ping; renewed tells whether it renews the
-// worker lease.
+// handlePong handles the response to a ping. renewed tells whether the response renews
+// the worker lease.
 func (a *agent) handlePong(c *conn, term, seq uint64, renewed bool) {
 	if a.conn != c || term != a.term {
 		return
@@ -358,7 +370,7 @@
 	delete(a.pingSentAt, seq)
 }
 
-// handleAck notes that the dispatcher has stored the ends up to a number.
+// handleAck notes that the dispatcher has stored the ends with numbers up to end.
 func (a *agent) handleAck(c *conn, life, end uint64) {
 	if a.conn == c && life == a.life {
 		a.ackedEnd = max(a.ackedEnd, end)
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -12,7 +12,7 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Intervals of the simulated entries, the same as those of the real ones.
+// Intervals of the simulated entries, the same as for real entries.
 const (
 	observeInterval = 300 * time.Millisecond
 	readInterval    = 500 * time.Millisecond
@@ -20,8 +20,8 @@
 	renewInterval = 2 * time.Second
 )
 
-// entry simulates an entry, which may become the dispatcher. term is nil while it is
-// not.
+// entry simulates an entry, which may become the dispatcher. term is nil while the entry
+// is not the dispatcher.
 type entry struct {
 	process
 	index        int
@@ -35,10 +35,11 @@
 
 // dispatcherState is the state of an entry in a term in which it is the dispatcher.
 type dispatcherState struct {
-	number        uint64
-	scheduler     dispatch.Scheduler
-	leaderLease   leadership.LeaderLease
-	predecessor   leadership.Predecessor
+	number      uint64
+	scheduler   dispatch.Scheduler
+	leaderLease leadership.LeaderLease
+	predecessor leadership.Predecessor
+	// previousClaim is the claim of the dispatcher of the term before.
 	previousClaim leadership.Claim
 	agents        map[string]*agentLink
 	// storedWorkers are the workers whose names are in the store.
@@ -47,9 +48,11 @@
 	earlierRunsOver bool
 	// needsWrite is set if a write must confirm that the term is still the newest.
 	needsWrite bool
-	seq        uint64
-	lastRead   time.Time
-	// change and its records are being stored under the next sequence number, or nil.
+	// seq is the sequence number of the newest append with records under the term.
+	seq      uint64
+	lastRead time.Time
+	// change is the scheduler's change that is being stored as records under the next
+	// sequence number; nil if there is none.
 	change  *dispatch.Change
 	records []store.Record
 }
@@ -61,13 +64,15 @@
 	leaseExpired bool
 }
 
-func newEntry(w *world, i int) *entry {
-	return &entry{process: newProcess(w), index: i, name: fmt.Sprintf("e%d", i)}
+// newEntry returns the entry with an index.
+func newEntry(w *world, index int) *entry {
+	return &entry{process: newProcess(w), index: index, name: fmt.Sprintf("e%d", index)}
 }
 
-func (e *entry) restart(down time.Duration) {
+// restart drops the entry's state and keeps the entry down for a while.
+func (e *entry) restart(downtime time.Duration) {
 	e.generation++
-	e.downUntil = e.w.now + down
+	e.downUntil = e.w.now + downtime
 	e.candidate, e.term, e.lastObserved = leadership.Candidate{}, nil, time.Time{}
 }
 
@@ -86,9 +91,10 @@
 	}
 }
 
-// resignIfOutdated resigns if the term that a peer knows is later than the entry's.
-func (e *entry) resignIfOutdated(known uint64) {
-	if e.term != nil && known > e.term.number {
+// resignIfOutdated resigns if knownTerm, the newest term that a peer knows, is later than
+// the entry's own.
+func (e *entry) resignIfOutdated(knownTerm uint64) {
+	if e.term != nil && knownTerm > e.term.number {
 		e.resign()
 	}
 }
@@ -99,7 +105,7 @@
 	if e.w.now < e.isolatedUntil {
 		return &e.w.unreachable
 	}
-	return &e.w.port
+	return &e.w.storeClient
 }
 
 func (e *entry) resign() {
@@ -108,15 +114,15 @@
 }
 
 // reaches reports whether another entry would answer a call now.
-func (e *entry) reaches(o *entry) bool {
-	if e.w.now < max(e.isolatedUntil, o.isolatedUntil) {
+func (e *entry) reaches(other *entry) bool {
+	if e.w.now < max(e.isolatedUntil, other.isolatedUntil) {
 		return false
 	}
-	return !e.isCut() && !o.isCut() && e.w.now >= o.frozenUntil && e.w.now >= o.downUntil
+	return !e.isCut() && !other.isCut() && e.w.now >= other.frozenUntil && e.w.now >= other.downUntil
 }
 
-// observePeers exchanges the newest claims with all other entries, and notes contact
-// with the dispatcher, or that it has restarted.
+// observePeers exchanges the newest claims with all other entries, and notes whether the
+// dispatcher answered or has restarted.
 func (e *entry) observePeers(now time.Time) {
 	for _, o := range e.w.entries {
 		if o == e || !e.reaches(o) {
@@ -148,7 +154,7 @@
 	}
 	a := store.AppendRequest{Topic: store.TopicLeadership, ExpectedEnd: end, CheckEnd: true, Records: []store.Record{record}}
 	if e.w.random.IntN(10) == 0 { // the write takes effect late and is not answered
-		e.w.schedule(e.w.randomUpTo(4*time.Second), func() { _, _ = e.w.port.Append(context.Background(), a) })
+		e.w.schedule(e.w.randomUpTo(4*time.Second), func() { _, _ = e.w.storeClient.Append(context.Background(), a) })
 		return
 	}
 	if _, err = e.reachableStore().Append(context.Background(), a); err != nil {
@@ -158,7 +164,8 @@
 	e.beginTerm(now, own, found)
 }
 
-// beginTerm reads the state from the store and begins a term as dispatcher.
+// beginTerm writes under the new term, which fences the earlier ones, reads the state
+// from the store and begins the term as dispatcher.
 func (e *entry) beginTerm(now time.Time, own, previous leadership.Claim) {
 	e.candidate.ObserveClaim(now, own)
 	t := &dispatcherState{number: own.Term, previousClaim: previous, agents: make(map[string]*agentLink), storedWorkers: make(map[string]bool)}
@@ -179,12 +186,12 @@
 			t.predecessor.NoteDead(now)
 		}
 	}
-	var workers []string
+	var workerNames []string
 	for _, r := range stored {
-		workers = append(workers, r.Key)
+		workerNames = append(workerNames, r.Key)
 		t.storedWorkers[r.Key] = true
 	}
-	t.scheduler.BeginTerm(t.number, workers)
+	t.scheduler.BeginTerm(t.number, workerNames)
 	t.scheduler.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, TargetLatency: time.Second}})
 	jobTable.Each(func(_ string, j *workflow.Job) {
 		if j.Submission() != nil {
@@ -235,8 +242,8 @@
 	}
 }
 
-// admit passes a job to the scheduler, as new if the accepting entry knew of this term.
-// If that knew of a later term, this entry resigns.
+// admit passes a job to the scheduler: as a new one if the entry that accepted it knew of
+// this term. If the accepting entry knew of a later term, this entry resigns.
 func (e *entry) admit(now time.Time, t *dispatcherState, j *workflow.Job) {
 	knownTerm := j.Submission().Term
 	if e.w.rules.TreatAllJobsAsNew {
@@ -249,11 +256,11 @@
 	t.scheduler.Admit(now, e.wallMS(), j.Submission(), j.Progress(), knownTerm < t.number)
 }
 
-// confirmsEnd reports whether everything that must have ended by a time has ended. If
-// only a write can confirm that, it requests one.
-func (e *entry) confirmsEnd(now, by time.Time) bool {
-	ended := e.w.rules.ConfirmsEnd(&e.term.leaderLease, now, by)
-	e.term.needsWrite = e.term.needsWrite || !ended && !now.Before(by)
+// confirmsEnd reports whether a lease that expires by expiresBy at the latest has certainly
+// expired. If only a write can confirm that, it requests one by needsWrite.
+func (e *entry) confirmsEnd(now, expiresBy time.Time) bool {
+	ended := e.w.rules.ConfirmsEnd(&e.term.leaderLease, now, expiresBy)
+	e.term.needsWrite = e.term.needsWrite || !ended && !now.Before(expiresBy)
 	return ended
 }
 
@@ -281,7 +288,7 @@
 	}
 }
 
-// sendOrders decides, and sends the orders to the agents.
+// sendOrders lets the scheduler decide, and sends the resulting orders to the agents.
 func (e *entry) sendOrders(now time.Time) {
 	t := e.term
 	orders := t.scheduler.Decide(now, e.wallMS())
@@ -302,8 +309,9 @@
 	}
 }
 
-// storeChange stores the scheduler's changes, and after that acknowledges the ends of
-// runs. It also writes when the leadership lease must be renewed.
+// storeChange stores the scheduler's changes, and only then acknowledges the ends of
+// runs that they contain. It also writes when the leadership lease must be renewed or
+// the term be confirmed as the newest.
 func (e *entry) storeChange(now time.Time) {
 	t := e.term
 	if t.change == nil && t.scheduler.HasChange() {
@@ -343,10 +351,10 @@
 	acks := make(map[string]ack)
 	change.EachAck(func(worker string, life, end uint64) { acks[worker] = ack{life, end} })
 	for _, a := range e.w.agents {
-		n, ok := acks[a.name]
+		acked, ok := acks[a.name]
 		if l := e.term.agents[a.name]; ok && l != nil && l.conn != nil {
 			c := l.conn
-			c.send(&a.process, func() { a.handleAck(c, n.life, n.end) })
+			c.send(&a.process, func() { a.handleAck(c, acked.life, acked.end) })
 		}
 	}
 }
--- a/internal/explore/term/messages.go
+++ b/internal/explore/term/messages.go
@@ -9,28 +9,29 @@
 )
 
 // handleReport applies a worker's report of its whole state. Before that it stores the
-// worker's name, and makes sure by a write under the term that this is the newest.
-func (e *entry) handleReport(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, ends []dispatch.RunEnd) {
+// worker's name, and then makes sure by a write under the term that the term is still
+// the newest. If one of these writes fails, it tries again later.
+func (e *entry) handleReport(c *conn, worker *dispatch.Worker, runs []dispatch.RunStatus, ends []dispatch.RunEnd) {
 	t := e.term
 	if t == nil {
 		c.broken = true
 		return
 	}
 	now := e.clock()
-	if !t.storedWorkers[w.Name] && !e.w.rules.SkipStoringWorkers {
-		record := store.Record{Key: w.Name, Value: []byte{1}}
+	if !t.storedWorkers[worker.Name] && !e.w.rules.SkipStoringWorkers {
+		record := store.Record{Key: worker.Name, Value: []byte{1}}
 		_, err := e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicWorkers, Records: []store.Record{record}})
 		if err == nil && !e.w.rules.SkipWriteUnderTerm {
 			_, err = e.reachableStore().Append(context.Background(), store.AppendRequest{Topic: store.TopicProgress, Term: t.number, Seq: t.seq + 1})
 		}
 		if err != nil {
-			e.w.schedule(observeInterval, func() { c.deliver(&e.process, 0, func() { e.handleReport(c, w, rows, ends) }) })
+			e.w.schedule(observeInterval, func() { c.deliver(&e.process, 0, func() { e.handleReport(c, worker, runs, ends) }) })
 			return
 		}
-		t.storedWorkers[w.Name] = true
+		t.storedWorkers[worker.Name] = true
 	}
-	t.agents[w.Name] = &agentLink{conn: c, lastContact: now}
-	t.scheduler.ApplyReport(now, e.wallMS(), w, rows, ends)
+	t.agents[worker.Name] = &agentLink{conn: c, lastContact: now}
+	t.scheduler.ApplyReport(now, e.wallMS(), worker, runs, ends)
 	if e.w.rules.DropUnknownJobs {
 		t.scheduler.AllJobsKnown(now, now.Add(time.Hour))
 	}
@@ -50,8 +51,8 @@
 }
 
 // handlePing answers a ping. The answer renews the worker lease only while the
-// entry's own leadership lease is valid and the worker's has not expired.
-func (e *entry) handlePing(c *conn, w *dispatch.Worker, rows []dispatch.RunStatus, seq uint64) {
+// entry's own leadership lease is valid and the worker lease has not expired.
+func (e *entry) handlePing(c *conn, worker *dispatch.Worker, runs []dispatch.RunStatus, seq uint64) {
 	l := e.linkOf(c)
 	if l == nil {
 		return
@@ -65,17 +66,20 @@
 	if renewed {
 		l.lastContact = now
 	}
-	e.term.scheduler.ApplyPing(now, w, rows)
+	e.term.scheduler.ApplyPing(now, worker, runs)
 	number := e.term.number
 	c.send(&c.agent.process, func() { c.agent.handlePong(c, number, seq, renewed) })
 }
 
+// handleEnds applies the ends of runs that an agent sent from a life of its runner.
 func (e *entry) handleEnds(c *conn, life uint64, ends []dispatch.RunEnd) {
 	if e.linkOf(c) != nil {
 		e.term.scheduler.ApplyEnds(e.clock(), e.wallMS(), c.agent.name, life, ends)
 	}
 }
 
+// handleRefusal applies an agent's message that a run will not start or is not in
+// progress.
 func (e *entry) handleRefusal(c *conn, life uint64, k runKey) {
 	if e.linkOf(c) != nil {
 		e.term.scheduler.OrderRefused(e.clock(), e.wallMS(), c.agent.name, life, k.task, k.run)
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -19,62 +19,69 @@
 	"savoryhoist.example/savoryhoist/pkg/workflow"
 )
 
-// Size and duration of a schedule.
+// Size and duration of a simulated run.
 const (
-	tick    = 20 * time.Millisecond
-	entries = 3
-	workers = 4
-	jobs    = 8
-	// faultDuration is how long new faults are injected, and runFor the duration of
-	// the schedule, at whose end all jobs must be completed. It leaves time for an
-	// entry that is isolated for 22 s, and for the longest wait for a worker that has
-	// not reported, 15.5 s.
+	tickInterval = 20 * time.Millisecond
+	entryCount   = 3
+	workerCount  = 4
+	jobCount     = 8
+	// faultDuration is how long new faults are injected.
 	faultDuration = 20 * time.Second
-	runFor        = 80 * time.Second
+	// totalDuration is the duration of the whole run, at whose end all jobs must be
+	// completed. It leaves time for an entry that is isolated for 22 s, and for the longest
+	// wait for a worker that has not reported, 15.5 s.
+	totalDuration = 80 * time.Second
 )
 
 // clockBase is the true time, the simulation's global clock, at which it begins.
 var clockBase = time.Unix(1_700_000_000, 0)
 
-// Rules are the rules of the protocol that a test can replace. The zero value plays
-// those of the product.
+// Rules are the rules of the protocol that a test can replace by wrong ones. The zero
+// value stands for the product's own rules.
 type Rules struct {
-	// WorkerLeaseEndsBy returns when everything on a worker has ended because its lease has.
+	// WorkerLeaseEndsBy returns by when the lease of a worker has expired and all its
+	// runs have ended, given when its last answered ping arrived.
 	WorkerLeaseEndsBy func(lastContact time.Time) time.Time
-	// EarlierLeasesEndBy returns when everything that an earlier dispatcher ordered has ended.
+	// EarlierLeasesEndBy returns by when the leases that earlier dispatchers extended
+	// have expired, so that all runs that they ordered have ended.
 	EarlierLeasesEndBy func(p *leadership.Predecessor) time.Time
-	// ConfirmsEnd reports whether everything that must have ended by a time has ended, which
-	// a dispatcher knows only after a later write under its term.
-	ConfirmsEnd func(l *leadership.LeaderLease, now, by time.Time) bool
+	// ConfirmsEnd reports whether a lease that expires by expiresBy at the latest has
+	// certainly expired. A later dispatcher may have extended the lease; only a write under
+	// the dispatcher's own term, sent no earlier than expiresBy, shows that there is no later
+	// dispatcher.
+	ConfirmsEnd func(l *leadership.LeaderLease, now, expiresBy time.Time) bool
 	// LeaderLeaseValid reports whether a dispatcher may still act.
 	LeaderLeaseValid func(l *leadership.LeaderLease, now time.Time) bool
 	// WorkerLeaseRemaining returns how long a worker lease still lasts.
 	WorkerLeaseRemaining func(l *leadership.WorkerLease, now time.Time) time.Duration
-	// AckBeforeStore acknowledges the ends of runs before they are stored.
+	// AckBeforeStore makes the dispatcher acknowledge the ends of runs before it has
+	// stored them.
 	AckBeforeStore bool
-	// SkipFencing assumes that a start whose call was not answered never takes effect.
+	// SkipFencing makes agents assume that a start whose call was not answered never
+	// takes effect.
 	SkipFencing bool
-	// IgnoreRunnerLife acknowledges ends and extends leases although the runner may have
-	// restarted.
+	// IgnoreRunnerLife makes agents acknowledge ends and extend leases at a runner that
+	// may have restarted since it was last listed.
 	IgnoreRunnerLife bool
-	// SkipStopInNewLife reports a restarted runner before the starts sent to its earlier life
-	// are fenced in the new one.
+	// SkipStopInNewLife makes agents report a restarted runner to the dispatcher before
+	// they have fenced, in its new life, the starts sent to its earlier one.
 	SkipStopInNewLife bool
-	// SkipStoringWorkers starts tasks on workers whose names are not stored, and
-	// UnprovenWorkers on those whose names were stored without a later write under
-	// the term.
+	// SkipStoringWorkers starts tasks on workers whose names are not in the store.
+	// SkipWriteUnderTerm starts tasks on a worker after its name was stored, without the
+	// write under the term that shows that the term was still the newest by then.
 	SkipStoringWorkers, SkipWriteUnderTerm bool
-	// TreatAllJobsAsNew takes all jobs for new, also those whose entries did not know of the term,
-	// which an earlier dispatcher may have read.
+	// TreatAllJobsAsNew treats every job as new. An earlier dispatcher may already have
+	// read, and started, a job whose accepting entry did not know of the present term.
 	TreatAllJobsAsNew bool
-	// DropUnknownJobs drops reported runs of jobs that have not been read yet.
+	// DropUnknownJobs makes the dispatcher drop reported runs of jobs that it has not
+	// read from the store yet.
 	DropUnknownJobs bool
-	// SkipNewReport does not ask a worker whose lease has expired to report again when it
-	// pings.
+	// SkipNewReport makes the dispatcher answer pings of a worker whose lease has expired
+	// instead of making it report again.
 	SkipNewReport bool
 }
 
-// setDefaults sets the functions that are nil to those of the product.
+// setDefaults replaces the functions that are nil by the product's functions.
 func (r *Rules) setDefaults() {
 	if r.WorkerLeaseEndsBy == nil {
 		r.WorkerLeaseEndsBy = leadership.WorkerLeaseEndsBy
@@ -83,8 +90,8 @@
 		r.EarlierLeasesEndBy = func(p *leadership.Predecessor) time.Time { return p.LeasesEndBy() }
 	}
 	if r.ConfirmsEnd == nil {
-		r.ConfirmsEnd = func(l *leadership.LeaderLease, now, by time.Time) bool {
-			ended, _ := l.ConfirmsEnd(now, by)
+		r.ConfirmsEnd = func(l *leadership.LeaderLease, now, expiresBy time.Time) bool {
+			ended, _ := l.ConfirmsEnd(now, expiresBy)
 			return ended
 		}
 	}
@@ -96,26 +103,30 @@
 	}
 }
 
-// Run plays the schedule of a seed and returns the first violation found.
+// Run performs the simulated run of a seed and returns the first violation found.
 func Run(seed uint64) error { return run(seed, Rules{}) }
 
-// world is the simulated cluster with the events that are scheduled.
+// world is the simulated cluster with its scheduled events. Times given as durations
+// are true time since the start of the simulated run.
 type world struct {
-	rules     Rules
-	random    *rand.Rand
-	now       time.Duration
-	scheduled []event
-	store     standin.Store
-	port      store.Client
-	// unreachable refuses every call, as the store seems to do to an isolated entry.
+	rules       Rules
+	random      *rand.Rand
+	now         time.Duration
+	scheduled   []event
+	store       standin.Store
+	storeClient store.Client
+	// unreachable is the store client of an isolated entry: it refuses every call.
 	unreachable store.Client
-	history     standin.History
-	entries     []*entry
-	agents      []*agent
-	faults      int
+	// history records the starts and ends of runs at all runners, and the violations
+	// found.
+	history standin.History
+	entries []*entry
+	agents  []*agent
+	// faults counts the injected faults.
+	faults int
 }
 
-// event is a function that runs at a moment of true time.
+// event is a function that runs at a point of true time.
 type event struct {
 	at time.Duration
 	fn func()
@@ -124,21 +135,21 @@
 func run(seed uint64, rules Rules) error {
 	rules.setDefaults()
 	w := &world{rules: rules, random: rand.New(rand.NewPCG(seed, 1))}
-	w.port = w.store.Client()
+	w.storeClient = w.store.Client()
 	refusing := new(standin.Store)
 	refusing.SetFault(store.ErrRefused, false)
 	w.unreachable = refusing.Client()
-	for i := range entries {
+	for i := range entryCount {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
-	for i := range workers {
+	for i := range workerCount {
 		w.agents = append(w.agents, newAgent(w, i))
 	}
-	for i := range jobs {
+	for i := range jobCount {
 		w.schedule(w.randomUpTo(faultDuration), func() { w.submit(i) })
 	}
-	for w.now < runFor {
-		w.now += tick
+	for w.now < totalDuration {
+		w.now += tickInterval
 		w.runDue()
 		if w.now < faultDuration && w.random.IntN(40) == 0 {
 			w.injectFault()
@@ -152,8 +163,8 @@
 		for _, a := range w.agents {
 			a.runIfUp(a.tick)
 		}
-		if broken := w.history.Violations(); len(broken) > 0 {
-			return errors.Newf("at %s: %s", w.now, broken[0])
+		if violations := w.history.Violations(); len(violations) > 0 {
+			return errors.Newf("at %s: %s", w.now, violations[0])
 		}
 	}
 	return w.checkJobs()
@@ -162,53 +173,55 @@
 // trueTime returns the true time.
 func (w *world) trueTime() time.Time { return clockBase.Add(w.now) }
 
-// randomUpTo returns a random duration from 0 up to but not including d.
-func (w *world) randomUpTo(d time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(d)))
+// randomUpTo returns a random duration from 0 up to but not including limit.
+func (w *world) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// schedule runs fn after d of true time.
-func (w *world) schedule(d time.Duration, fn func()) {
-	w.scheduled = append(w.scheduled, event{w.now + d, fn})
+// schedule runs fn after the given delay in true time.
+func (w *world) schedule(delay time.Duration, fn func()) {
+	w.scheduled = append(w.scheduled, event{w.now + delay, fn})
 }
 
 // runDue runs the events that are due, in the order in which they were scheduled.
 func (w *world) runDue() {
 	events := w.scheduled
 	w.scheduled = nil
-	for _, l := range events {
-		if l.at > w.now {
-			w.scheduled = append(w.scheduled, l)
+	for _, e := range events {
+		if e.at > w.now {
+			w.scheduled = append(w.scheduled, e)
 			continue
 		}
-		l.fn()
+		e.fn()
 	}
 }
 
-func jobName(i int) string { return fmt.Sprintf("job%d", i) }
+func jobName(index int) string { return fmt.Sprintf("job%d", index) }
 
-// submit stores a job, as an entry does before it responds to its caller.
-func (w *world) submit(i int) {
-	sub := &workflow.Submission{ID: jobName(i), Queue: "q", AcceptedMS: w.trueTime().UnixMilli(), Term: w.knownTerm(), Spec: workflow.Spec{Steps: []workflow.Step{
+// submit stores the job with an index, as an entry does before it responds to its caller.
+func (w *world) submit(index int) {
+	submission := &workflow.Submission{ID: jobName(index), Queue: "q", AcceptedMS: w.trueTime().UnixMilli(), Term: w.knownTerm(), Spec: workflow.Spec{Steps: []workflow.Step{
 		{Count: 2, Size: worker.Resources{MilliCPU: 1000}, EstimateMS: 1000},
 		{Count: 1, Size: worker.Resources{MilliCPU: 1000}, EstimateMS: 1000, After: []int{0}},
 	}}}
-	record, err := workflow.SubmissionRecord(sub)
+	record, err := workflow.SubmissionRecord(submission)
 	if err == nil {
-		_, err = w.port.Append(context.Background(), store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{record}})
+		_, err = w.storeClient.Append(context.Background(), store.AppendRequest{Topic: store.TopicIntake, Records: []store.Record{record}})
 	}
 	if err != nil {
-		w.schedule(tick, func() { w.submit(i) }) // the caller retries
+		w.schedule(tickInterval, func() { w.submit(index) }) // the caller retries
 	}
 }
 
 // knownTerm returns the newest term that a random entry knows.
-func (w *world) knownTerm() uint64 { return w.entries[w.random.IntN(entries)].candidate.Claim().Term }
+func (w *world) knownTerm() uint64 {
+	return w.entries[w.random.IntN(entryCount)].candidate.Claim().Term
+}
 
 // checkJobs returns an error if a job is not completed, or is completed although no
 // run of one of its tasks did its work.
 func (w *world) checkJobs() error {
-	records, _, err := w.port.AllNewest(context.Background(), store.TopicProgress)
+	records, _, err := w.storeClient.AllNewest(context.Background(), store.TopicProgress)
 	if err != nil {
 		return err
 	}
@@ -218,10 +231,10 @@
 			return err
 		}
 	}
-	for i := range jobs {
+	for i := range jobCount {
 		j, ok := jobTable.Job(jobName(i))
 		if !ok || j.Phase() != workflow.PhaseCompleted {
-			return errors.Newf("%s is not completed %s after the last fault", jobName(i), runFor-faultDuration)
+			return errors.Newf("%s is not completed %s after the last fault", jobName(i), totalDuration-faultDuration)
 		}
 		for _, task := range []string{"0.0.0", "0.0.1", "0.1.0"} {
 			if name := jobName(i) + "." + task; !w.history.Completed(name) {
@@ -232,50 +245,57 @@
 	return nil
 }
 
-// injectFault injects one fault.
+// injectFault injects one random fault.
 func (w *world) injectFault() {
 	w.faults++
-	e, a := w.entries[w.random.IntN(entries)], w.agents[w.random.IntN(workers)]
+	e, a := w.entries[w.random.IntN(entryCount)], w.agents[w.random.IntN(workerCount)]
 	duration := 300*time.Millisecond + w.randomUpTo(7*time.Second)
 	switch w.random.IntN(11) {
-	case 0:
+	case 0: // an entry restarts
 		e.restart(w.randomUpTo(2 * time.Second))
-	case 1:
+	case 1: // an entry freezes
 		e.frozenUntil = w.now + duration
-	case 2:
+	case 2: // an entry is cut off from agents and other entries, but not from the store
 		e.cutUntil = w.now + duration
-	case 3:
+	case 3: // an agent restarts
 		a.restart(w.randomUpTo(2 * time.Second))
-	case 4:
+	case 4: // an agent freezes
 		a.frozenUntil = w.now + duration
-	case 5:
+	case 5: // an agent is cut off from all entries
 		a.cutUntil = w.now + duration
-	case 6:
+	case 6: // a runner restarts
 		a.runner.Restart(w.trueTime())
-	case 7:
+	case 7: // the store refuses calls
 		w.store.SetFault(store.ErrRefused, false)
 		w.schedule(duration, func() { w.store.SetFault(nil, false) })
-	case 8:
+	case 8: // the store carries out appends, but no call learns its outcome
 		w.store.SetFault(store.ErrOutcomeUnknown, true)
 		w.schedule(w.randomUpTo(time.Second), func() { w.store.SetFault(nil, false) })
-	case 10:
+	case 10: // an entry reaches neither the store nor other entries, but still its agents
 		e.isolatedUntil = w.now + 3*duration
-	case 9:
+	case 9: // starts at an agent's runner are not answered and take effect later
 		a.startsDelayedUntil = w.now + w.randomUpTo(3*time.Second)
 	}
 }
 
 // process is what entries and agents have in common: a drifting clock, which
-// continues while they are frozen, and network links that can be cut.
+// continues while they are frozen, and network connections that can be cut off. Its
+// times are true time.
 type process struct {
 	w *world
 	// generation counts restarts; connections of an earlier generation are broken.
-	generation  uint64
-	rate        float64
-	offset      time.Duration
+	generation uint64
+	// rate is how fast the process's clock runs, 1 being exact, and offset what the clock
+	// shows beyond clockBase at the start.
+	rate   float64
+	offset time.Duration
+	// Until frozenUntil the process does nothing but keeps its state and connections.
 	frozenUntil time.Duration
-	downUntil   time.Duration
-	cutUntil    time.Duration
+	// Until downUntil the process is down after a restart.
+	downUntil time.Duration
+	// Until cutUntil every message that is due at or from the process breaks its
+	// connection.
+	cutUntil time.Duration
 }
 
 // maxClockDrift bounds the relative error of a process's clock.
@@ -299,8 +319,8 @@
 
 func (p *process) isCut() bool { return p.w.now < p.cutUntil }
 
-// conn is a connection between an agent and an entry. Once it is broken nothing more
-// arrives, and each end notices that later.
+// conn is a connection between an agent and an entry. Once it is broken, no message
+// arrives any more. The agent notices that some time later, and reconnects.
 type conn struct {
 	w      *world
 	agent  *agent
@@ -309,27 +329,30 @@
 	// lastArrival is when the message that was sent last arrives; messages arrive in
 	// the order in which they were sent.
 	lastArrival time.Duration
-	// agentGeneration and entryGeneration are those at which it was opened.
+	// agentGeneration and entryGeneration are the generations of the agent and of the entry
+	// when the connection was opened.
 	agentGeneration, entryGeneration uint64
 }
 
-// send delivers a message, which is fn, to one end after a random delay.
+// send delivers a message to one end of the connection after a random delay. fn is how
+// that end handles the message.
 func (c *conn) send(to *process, fn func()) {
-	c.lastArrival = max(c.lastArrival, c.w.now+tick+c.w.randomUpTo(100*time.Millisecond))
+	c.lastArrival = max(c.lastArrival, c.w.now+tickInterval+c.w.randomUpTo(100*time.Millisecond))
 	c.deliver(to, c.lastArrival-c.w.now, fn)
 }
 
-// deliver runs fn at one end after d, or as soon as that end is no longer frozen or
-// down, unless the connection is broken.
-func (c *conn) deliver(to *process, d time.Duration, fn func()) {
-	c.w.schedule(d, func() {
+// deliver runs fn, the handling of a message, at one end of the connection after the
+// given delay, or as soon as that end is no longer frozen or down, unless the
+// connection is broken.
+func (c *conn) deliver(to *process, delay time.Duration, fn func()) {
+	c.w.schedule(delay, func() {
 		if c.agent.isCut() || c.entry.isCut() || c.agent.generation != c.agentGeneration || c.entry.generation != c.entryGeneration {
 			c.broken = true
 		}
 		switch {
 		case c.broken:
 		case c.w.now < to.frozenUntil || c.w.now < to.downUntil:
-			c.deliver(to, tick, fn)
+			c.deliver(to, tickInterval, fn)
 		default:
 			fn()
 		}
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// ciSeeds is the number of schedules that every test run plays.
+	// ciSeeds is the number of simulated runs that every run of the tests performs.
 	ciSeeds = 60
-	// mutantSeeds is the number of schedules within which a wrong rule must cause a
+	// mutantSeeds is the number of simulated runs within which a wrong rule must cause a
 	// violation.
 	mutantSeeds = 60
 )
@@ -29,8 +29,9 @@
 	mutants := []struct {
 		name  string
 		rules Rules
-		// from is the first seed: some wrong rules cause a violation in few schedules only.
-		from uint64
+		// firstSeed is where the search begins: some wrong rules cause a violation in few
+		// simulated runs only.
+		firstSeed uint64
 	}{
 		{"a worker is taken for lost before its lease has expired", Rules{WorkerLeaseEndsBy: func(lastContact time.Time) time.Time { return lastContact.Add(3 * time.Second) }}, 0},
 		{"workers that have not reported are not waited for", Rules{EarlierLeasesEndBy: func(*leadership.Predecessor) time.Time { return time.Time{} }}, 0},
@@ -38,8 +39,8 @@
 		{"a worker runs tasks after its lease has expired", Rules{WorkerLeaseRemaining: func(l *leadership.WorkerLease, now time.Time) time.Duration {
 			return l.Remaining(now.Add(-2 * time.Second))
 		}}, 0},
-		{"a worker is taken for lost although a later dispatcher may have contact with it", Rules{ConfirmsEnd: func(_ *leadership.LeaderLease, now, by time.Time) bool {
-			return !now.Before(by)
+		{"a worker is taken for lost although a later dispatcher may have contact with it", Rules{ConfirmsEnd: func(_ *leadership.LeaderLease, now, expiresBy time.Time) bool {
+			return !now.Before(expiresBy)
 		}}, 0},
 		{"ends of runs are acknowledged before they are stored", Rules{AckBeforeStore: true}, 0},
 		{"a start whose call was not answered is not fenced", Rules{SkipFencing: true}, 0},
@@ -53,13 +54,13 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := m.from; seed < m.from+mutantSeeds; seed++ {
+			for seed := m.firstSeed; seed < m.firstSeed+mutantSeeds; seed++ {
 				if err := run(seed, m.rules); err != nil {
 					t.Logf("found by seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("got no violation in %d schedules from %d on, want one", mutantSeeds, m.from)
+			t.Errorf("got no violation in %d schedules from %d on, want one", mutantSeeds, m.firstSeed)
 		})
 	}
 }
