--- a/internal/explore/log/log.go
+++ b/internal/explore/log/log.go
@@ -1,6 +1,6 @@
 // Package log simulates the readers of the log and the chain of bundles. Its seeded
-// schedules have lost replies, copies that are written late, retention, readers that
-// lag or are restarted, concurrent operators, and forged and replayed bundles.
+// simulated runs have lost replies, batches that the network delays, retention, readers
+// that lag or are restarted, concurrent operators, and forged and replayed bundles.
 package log
 
 import (
@@ -18,7 +18,7 @@
 
 // Errors returned by Run.
 var (
-	// ErrLost means that a reader did not see an acknowledged record.
+	// ErrLost means that a reader did not see an acknowledged record, or could not decode one.
 	ErrLost = errors.New("record lost")
 	// ErrAppliedTwice means that a reader applied a record twice.
 	ErrAppliedTwice = errors.New("record applied twice")
@@ -30,21 +30,22 @@
 	ErrBundlesDiffer = errors.New("processes have different bundles in force")
 )
 
-// Sizes of a schedule. The log keeps minRetention batches and up to retentionRange
-// more.
+// Sizes of a simulated run. The log of a run retains the newest minRetainedBatches
+// batches and a random number below retainedBatchesRange more.
 const (
-	steps          = 120
-	writers        = 3
-	readers        = 4
-	followers      = 4
-	minRetention   = 60
-	retentionRange = 100
+	// stepCount is the number of steps of one simulated run, each of one second.
+	stepCount            = 120
+	writerCount          = 3
+	readerCount          = 4
+	followerCount        = 4
+	minRetainedBatches   = 60
+	retainedBatchesRange = 100
 )
 
-// Run plays the schedule of a seed and returns the first violation found.
+// Run performs the simulated run of a seed and returns the first violation found.
 func Run(seed uint64) error {
 	w := newWorld(seed)
-	for range steps {
+	for range stepCount {
 		if err := w.step(); err != nil {
 			return errors.Wrapf(err, "seed %d, step %d", seed, w.now)
 		}
@@ -55,25 +56,28 @@
 // world is one log with its writers, its readers and the followers of the readers.
 type world struct {
 	random *rand.Rand
-	// now is the number of the current step, in each of which a second passes.
+	// now is the number of the current step, and thus the time in seconds.
 	now int
-	// retention is the number of batches that the log keeps.
-	retention   int
-	firstOffset uint64
-	batches     [][]byte
-	// delayed are copies of batches that are appended later.
-	delayed       [][]byte
-	writers       []writer
-	readers       []*reader
-	followers     []*follower
-	operators     []string
+	// retainedBatches is the largest number of batches that the log retains.
+	retainedBatches int
+	firstOffset     uint64
+	batches         [][]byte
+	// delayedBatches are the batches of appends that the network delays. Their writers
+	// have retried them, so that each takes effect as a second copy.
+	delayedBatches [][]byte
+	writers        []writer
+	readers        []*reader
+	followers      []*follower
+	operators      []string
+	// carrySchedule determines when the bundle in force must be appended again.
 	carrySchedule record.CarryForwardSchedule
-	// acknowledged are the jobs named in records that were acknowledged to their
-	// writer, with the offsets of the records.
+	// acknowledged holds, by job, the offset of the record that names the job, for records
+	// whose append was acknowledged.
 	acknowledged map[string]uint64
 }
 
-// writer appends records, one batch at a time. Each record names a job of its own.
+// writer appends records, one batch at a time. Each record names a job of its own,
+// which is numbered from 1.
 type writer struct {
 	name    string
 	seq     uint64
@@ -81,18 +85,18 @@
 }
 
 func newWorld(seed uint64) *world {
-	random := rand.New(rand.NewPCG(seed, seed)) //nolint:gosec // a reproducible schedule
+	random := rand.New(rand.NewPCG(seed, seed)) //nolint:gosec // a reproducible simulated run
 	w := &world{
-		random: random, retention: minRetention + random.IntN(retentionRange), acknowledged: make(map[string]uint64),
+		random: random, retainedBatches: minRetainedBatches + random.IntN(retainedBatchesRange), acknowledged: make(map[string]uint64),
 		operators: []string{"alice"},
 	}
-	for i := range writers {
+	for i := range writerCount {
 		w.writers = append(w.writers, writer{name: fmt.Sprintf("writer-%d@1", i)})
 	}
-	for range readers {
+	for range readerCount {
 		w.readers = append(w.readers, newReader())
 	}
-	for range followers {
+	for range followerCount {
 		w.followers = append(w.followers, newFollower())
 	}
 	return w
@@ -100,13 +104,14 @@
 
 func (w *world) time() time.Time { return time.Unix(int64(w.now), 0) }
 
-// append appends a batch, drops those beyond the retention, and returns the offset.
+// append appends a batch and returns its offset. It drops the oldest batches beyond the
+// log's retention.
 func (w *world) append(data []byte) uint64 {
 	offset := w.firstOffset + uint64(len(w.batches))
 	w.batches = append(w.batches, data)
-	if drop := len(w.batches) - w.retention; drop > 0 {
-		w.batches = w.batches[drop:]
-		w.firstOffset += uint64(drop)
+	if excess := len(w.batches) - w.retainedBatches; excess > 0 {
+		w.batches = w.batches[excess:]
+		w.firstOffset += uint64(excess)
 	}
 	w.carrySchedule.Observe(w.time(), w.firstOffset, w.endOffset())
 	return offset
@@ -128,23 +133,24 @@
 	case 5:
 		w.restartProcess()
 	case 6:
-		w.writeDelayed()
+		w.appendDelayedBatch()
 	default:
 		if err := w.updateFollower(); err != nil {
 			return err
 		}
 	}
-	for range readers / 2 {
-		if err := w.read(w.readers[w.random.IntN(readers)]); err != nil {
+	for range readerCount / 2 {
+		if err := w.read(w.readers[w.random.IntN(readerCount)]); err != nil {
 			return err
 		}
 	}
 	return w.carryForwardIfDue()
 }
 
-// appendRecords appends one writer's next batch, sometimes with a second copy.
+// appendRecords appends the next batch of a random writer, sometimes with a second copy,
+// at once or later.
 func (w *world) appendRecords() {
-	p := &w.writers[w.random.IntN(writers)]
+	p := &w.writers[w.random.IntN(writerCount)]
 	var messages []record.Message
 	var names []string
 	for range 1 + w.random.IntN(3) {
@@ -160,7 +166,7 @@
 	switch w.random.IntN(6) {
 	case 0: // the reply was lost, the batch was found by reading
 	case 1: // the first call is delayed by the network, and takes effect after the retry
-		w.delayed = append(w.delayed, data)
+		w.delayedBatches = append(w.delayedBatches, data)
 	case 2: // the writer wrongly assumed that the log lacked the batch, and retried
 		w.append(data)
 	}
@@ -170,28 +176,29 @@
 	}
 }
 
-// writeDelayed appends the oldest delayed copy.
-func (w *world) writeDelayed() {
-	if len(w.delayed) > 0 {
-		w.append(w.delayed[0])
-		w.delayed = w.delayed[1:]
+// appendDelayedBatch lets the oldest append that the network delayed take effect: it adds
+// a second copy of a batch that its writer has retried.
+func (w *world) appendDelayedBatch() {
+	if len(w.delayedBatches) > 0 {
+		w.append(w.delayedBatches[0])
+		w.delayedBatches = w.delayedBatches[1:]
 	}
 }
 
-// restartProcess replaces a reader or a follower by one without state.
+// restartProcess replaces a random reader or follower by one without state.
 func (w *world) restartProcess() {
 	if w.random.IntN(2) == 0 {
-		w.readers[w.random.IntN(readers)] = newReader()
+		w.readers[w.random.IntN(readerCount)] = newReader()
 		return
 	}
-	w.followers[w.random.IntN(followers)] = newFollower()
+	w.followers[w.random.IntN(followerCount)] = newFollower()
 }
 
-// finish appends what is delayed, lets every reader and follower catch up, and
-// compares their bundles.
+// finish appends the delayed batches, lets every reader and follower catch up, and
+// compares their bundles in force.
 func (w *world) finish() error {
-	for len(w.delayed) > 0 {
-		w.writeDelayed()
+	for len(w.delayedBatches) > 0 {
+		w.appendDelayedBatch()
 	}
 	if err := w.readAll(); err != nil {
 		return err
@@ -238,14 +245,14 @@
 	return nil
 }
 
-// operatorKey returns an operator's key, which follows from the name.
+// operatorKey returns an operator's key, which is derived from the operator's name.
 func operatorKey(name string) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-// operators returns operators with these names, each of whom may sign alone.
+// operators returns operators with these names. One signature is enough for a bundle.
 func operators(names ...string) bundle.Operators {
 	o := bundle.Operators{Threshold: 1}
 	for _, n := range names {
--- a/internal/explore/log/log_test.go
+++ b/internal/explore/log/log_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// seeds is the number of schedules that the test plays.
+// seeds is the number of simulated runs that the test performs.
 const seeds = 40
 
-// TestRun plays schedules and expects no violation.
+// TestRun performs simulated runs and expects no violation.
 func TestRun(t *testing.T) {
 	for seed := range uint64(seeds) {
 		if err := Run(seed); err != nil {
--- a/internal/explore/log/operator.go
+++ b/internal/explore/log/operator.go
@@ -11,36 +11,38 @@
 // the operators' keys.
 const publicationsPerKeyChange = 4
 
-// newestReader returns the reader with the highest version in force.
+// newestReader returns the reader whose bundle in force has the highest version.
 func (w *world) newestReader() *reader {
-	best := w.readers[0]
+	newest := w.readers[0]
 	for _, r := range w.readers {
-		if r.chain.Version() > best.chain.Version() {
-			best = r
+		if r.chain.Version() > newest.chain.Version() {
+			newest = r
 		}
 	}
-	return best
+	return newest
 }
 
-// newestInSync returns the reader with the highest version in force of those whose
-// chain is in sync with the log, or any reader if there is none.
+// newestInSync returns, of the readers whose chains are in sync with the log, the one
+// whose bundle in force has the highest version. If no chain is in sync, it returns the
+// first reader.
 func (w *world) newestInSync() *reader {
-	var best *reader
+	var newest *reader
 	for _, r := range w.readers {
-		if r.chain.InSync() && (best == nil || r.chain.Version() > best.chain.Version()) {
-			best = r
+		if r.chain.InSync() && (newest == nil || r.chain.Version() > newest.chain.Version()) {
+			newest = r
 		}
 	}
-	if best == nil {
+	if newest == nil {
 		return w.readers[0]
 	}
-	return best
+	return newest
 }
 
-// publishBundles lets one or two operators publish bundles through an entry, which
-// refuses those that cannot come in force as far as it has read the log.
+// publishBundles lets operators publish one or two bundles through a random entry. The
+// entry refuses bundles that cannot come in force according to the part of the log that
+// it has read.
 func (w *world) publishBundles() {
-	entry := w.readers[w.random.IntN(readers)]
+	entry := w.readers[w.random.IntN(readerCount)]
 	for i := range 1 + w.random.IntN(2) {
 		s := w.nextBundle(entry.chain, i)
 		if entry.chain.Check(s) == nil {
@@ -49,24 +51,24 @@
 	}
 }
 
-// nextBundle returns a child of the bundle in force, sometimes with another
-// operator's key.
-func (w *world) nextBundle(c *bundle.Chain, variant int) *bundle.Signed {
+// nextBundle returns a child of the bundle in force, which sometimes replaces the
+// operator by another one. variant distinguishes bundles of the same version.
+func (w *world) nextBundle(chain *bundle.Chain, variant int) *bundle.Signed {
 	signer := "alice"
-	if d := c.Document(); d != nil {
+	if d := chain.Document(); d != nil {
 		signer = d.Operators.Keys[0].Name
 	}
-	next := signer
+	nextOperator := signer
 	if w.random.IntN(publicationsPerKeyChange) == 0 {
-		next = fmt.Sprintf("operator-%d", w.now)
+		nextOperator = fmt.Sprintf("operator-%d", w.now)
 	}
-	return signedBundle(c.Version()+1, c.Digest(), signer, next, variant)
+	return signedBundle(chain.Version()+1, chain.Digest(), signer, nextOperator, variant)
 }
 
-// signedBundle returns a bundle signed by one operator that names the next operator.
-// Bundles that differ only in variant differ in their content.
-func signedBundle(version uint64, parent, signer, next string, variant int) *bundle.Signed {
-	d := &bundle.Document{Version: version, Parent: parent, Operators: operators(next)}
+// signedBundle returns a bundle that is signed by signer and makes nextOperator the only
+// operator. Bundles that differ only in variant differ in their content.
+func signedBundle(version uint64, parent, signer, nextOperator string, variant int) *bundle.Signed {
+	d := &bundle.Document{Version: version, Parent: parent, Operators: operators(nextOperator)}
 	d.BatchClasses = []bundle.BatchClass{{Name: "shaping", Priority: variant, TakeoverAfter: 1e9, MaxFailures: 1}}
 	content, err := bundle.Format(d)
 	if err != nil {
@@ -77,8 +79,8 @@
 	return s
 }
 
-// appendInvalidBundle appends the bundle in force again, or one signed with a key
-// that is not an operator's.
+// appendInvalidBundle appends the newest bundle in force again, or a bundle signed with a
+// key that is not an operator's.
 func (w *world) appendInvalidBundle() {
 	r := w.newestReader()
 	if r.chain.Signed() == nil {
@@ -92,16 +94,17 @@
 	w.appendBundle(&record.Bundle{Signed: encodeSigned(s)})
 }
 
-// carryForwardIfDue lets a reader append the bundle in force again before the log's
-// retention drops it.
+// carryForwardIfDue lets a random reader append its bundle in force again before the
+// log's retention drops that bundle.
 func (w *world) carryForwardIfDue() error {
 	if _, due := w.carrySchedule.Due(w.time()); !due {
 		return nil
 	}
-	return w.carryForwardBy(w.readers[w.random.IntN(readers)])
+	return w.carryForwardBy(w.readers[w.random.IntN(readerCount)])
 }
 
-// carryForwardBy appends the bundle in force at a reader, if its chain is in sync.
+// carryForwardBy appends the bundle in force at a reader again, if the reader's chain is
+// in sync with the log.
 func (w *world) carryForwardBy(r *reader) error {
 	proof := r.chain.Proof()
 	if proof == nil || !r.chain.InSync() {
@@ -115,6 +118,7 @@
 	return nil
 }
 
+// appendBundle appends a batch with one bundle, as a new writer.
 func (w *world) appendBundle(m *record.Bundle) {
 	data, err := record.Encode(fmt.Sprintf("door@%d", w.endOffset()), 1, []record.Message{m})
 	if err != nil {
--- a/internal/explore/log/reader.go
+++ b/internal/explore/log/reader.go
@@ -14,7 +14,7 @@
 type reader struct {
 	nextOffset uint64
 	dedup      record.Deduper
-	// seen are the jobs named in applied records, with the offsets of the records.
+	// seen holds, by job, the offset of the applied record that names the job.
 	seen  map[string]uint64
 	chain *bundle.Chain
 }
@@ -23,9 +23,9 @@
 	return &reader{seen: make(map[string]uint64), chain: bundle.NewChain(operators("alice"))}
 }
 
-// read passes the next batches to a reader. A reader whose next offset the retention
-// has dropped continues at the first one kept: what it lacks is in a snapshot, which
-// this simulation does not model.
+// read passes the next batches to a reader. If the log's retention has dropped the
+// reader's next offset, the reader continues at the first offset retained. The state
+// that it then lacks is in a snapshot, which this simulation does not model.
 func (w *world) read(r *reader) error {
 	if r.nextOffset < w.firstOffset {
 		r.nextOffset = w.firstOffset
@@ -33,7 +33,7 @@
 		r.dedup = record.Deduper{}
 		r.seen = make(map[string]uint64)
 	}
-	from := r.nextOffset
+	fromOffset := r.nextOffset
 	for range 1 + w.random.IntN(maxBatchesPerRead) {
 		if r.nextOffset == w.endOffset() {
 			break
@@ -50,7 +50,7 @@
 		r.nextOffset++
 		r.chain.NoteReadTo(r.nextOffset)
 	}
-	return w.checkAcknowledged(r, from)
+	return w.checkAcknowledged(r, fromOffset)
 }
 
 // applyRecord applies one record at a reader.
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// checkAcknowledged checks that the reader has seen every acknowledged record from
-// offset from up to its next offset.
-func (w *world) checkAcknowledged(r *reader, from uint64) error {
+// checkAcknowledged checks that a reader has seen every acknowledged record from
+// fromOffset up to the reader's next offset.
+func (w *world) checkAcknowledged(r *reader, fromOffset uint64) error {
 	for name, offset := range w.acknowledged {
-		if offset < from || offset >= r.nextOffset {
+		if offset < fromOffset || offset >= r.nextOffset {
 			continue
 		}
 		if _, ok := r.seen[name]; !ok {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// applyBundle passes a bundle of the log to a chain.
+// applyBundle passes a bundle that the log holds at an offset to a chain.
 func (w *world) applyBundle(c *bundle.Chain, m *record.Bundle, offset uint64) error {
 	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return err
 }
 
-// updateChain calls update, which offers a bundle to a chain, and checks that the
-// bundle in force was not reverted.
+// updateChain calls update, which offers a bundle to a chain, and checks that update did
+// not revert the chain's bundle in force.
 func updateChain(c *bundle.Chain, update func() error) error {
 	version, digest := c.Version(), c.Digest()
 	_ = update() // the chain may refuse the bundle
@@ -118,10 +118,12 @@
 
 func newFollower() *follower { return &follower{chain: bundle.NewChain(operators("alice"))} }
 
+// updateFollower passes the bundle in force of a random reader to a random follower.
 func (w *world) updateFollower() error {
-	return w.adoptProof(w.followers[w.random.IntN(followers)], w.readers[w.random.IntN(readers)])
+	return w.adoptProof(w.followers[w.random.IntN(followerCount)], w.readers[w.random.IntN(readerCount)])
 }
 
+// adoptProof passes the bundle in force of a reader to a follower.
 func (w *world) adoptProof(f *follower, r *reader) error {
 	proof := r.chain.Proof()
 	if proof == nil {
