--- a/internal/explore/request/agent.go
+++ b/internal/explore/request/agent.go
@@ -6,8 +6,9 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// attempt is the message with which an entry sends an attempt to an agent. Its
-// incarnation and mark are the newest that the entry knows of the agent.
+// attempt is the message with which an entry sends an attempt to an agent. incarnation
+// and mark are the newest incarnation of the agent, and mark of its dedup table, that
+// the entry knows.
 type attempt struct {
 	id          endpoint.AttemptID
 	caller      *caller
@@ -28,8 +29,8 @@
 	running     int
 }
 
-// pendingAttempt is an attempt that waits or runs, with the functions that send a
-// reply to it.
+// pendingAttempt is an attempt that waits for a slot or runs, with the functions that
+// send a reply to it.
 type pendingAttempt struct {
 	attempt attempt
 	ticket  *endpoint.Ticket
@@ -43,13 +44,14 @@
 	state endpoint.AttemptState
 }
 
-// restart drops the agent's state. What it ran continues on the runner.
+// restart drops the agent's state. Requests that the agent has started continue on the
+// runner.
 func (a *agent) restart() {
 	a.incarnation++
 	a.dedup = &endpoint.DedupTable{}
 	a.dedup.SetMaxEnded(maxEndedAttempts)
 	a.gate = &endpoint.Gate{}
-	a.gate.SetLimits(slots, connections)
+	a.gate.SetLimits(slotsPerAgent, connectionsPerAgent)
 	a.pending = make(map[endpoint.AttemptID]*pendingAttempt)
 	a.tickets = make(map[*endpoint.Ticket]*pendingAttempt)
 	a.running = 0
@@ -66,35 +68,35 @@
 	}
 }
 
-// handleAttempt handles an attempt; replyTo sends the reply.
-func (a *agent) handleAttempt(in attempt, replyTo func(reply)) {
-	if !a.w.rules.sameIncarnation(in.incarnation, a.incarnation) {
-		replyTo(reply{id: in.id, state: endpoint.AttemptUnknown})
+// handleAttempt handles an attempt that an entry sent. replyTo sends the reply.
+func (a *agent) handleAttempt(sent attempt, replyTo func(reply)) {
+	if !a.w.rules.sameIncarnation(sent.incarnation, a.incarnation) {
+		replyTo(reply{id: sent.id, state: endpoint.AttemptUnknown})
 		return
 	}
-	switch a.w.rules.admit(a.dedup, a.w.now, in.id, in.mark) {
+	switch a.w.rules.admit(a.dedup, a.w.now, sent.id, sent.mark) {
 	case endpoint.Admit:
-		a.queueOrRun(in, replyTo)
+		a.queueOrRun(sent, replyTo)
 	case endpoint.Attach:
-		p := a.pending[in.id]
+		p := a.pending[sent.id]
 		p.replyTo = append(p.replyTo, replyTo)
 	case endpoint.Replay:
-		replyTo(reply{id: in.id, state: endpoint.AttemptDone, body: string(a.dedup.Response(in.id).Body())})
+		replyTo(reply{id: sent.id, state: endpoint.AttemptDone, body: string(a.dedup.Response(sent.id).Body())})
 	case endpoint.RefuseNotRun:
-		replyTo(reply{id: in.id, state: endpoint.AttemptNotRun})
+		replyTo(reply{id: sent.id, state: endpoint.AttemptNotRun})
 	case endpoint.RefuseRun:
-		replyTo(reply{id: in.id, state: endpoint.AttemptDone})
+		replyTo(reply{id: sent.id, state: endpoint.AttemptDone})
 	case endpoint.RefuseUnknown:
-		replyTo(reply{id: in.id, state: endpoint.AttemptUnknown})
+		replyTo(reply{id: sent.id, state: endpoint.AttemptUnknown})
 	}
 }
 
 // queueOrRun offers an attempt to the gate, which starts it, queues it or sheds it.
-func (a *agent) queueOrRun(in attempt, replyTo func(reply)) {
-	p := &pendingAttempt{attempt: in, replyTo: []func(reply){replyTo}}
-	p.ticket = endpoint.NewTicket("class", "team", a.w.random.IntN(3), in.deadline, maxWork/4)
+func (a *agent) queueOrRun(sent attempt, replyTo func(reply)) {
+	p := &pendingAttempt{attempt: sent, replyTo: []func(reply){replyTo}}
+	p.ticket = endpoint.NewTicket("class", "team", a.w.random.IntN(3), sent.deadline, maxRunDuration/4)
 	p.ticket.SetLong(a.w.random.IntN(4) == 0)
-	a.pending[in.id] = p
+	a.pending[sent.id] = p
 	a.tickets[p.ticket] = p
 	verdict, victim, _ := a.gate.Offer(a.w.now, p.ticket)
 	if victim != nil {
@@ -108,16 +110,16 @@
 	}
 }
 
-// run runs an attempt on the runner. An agent that has restarted meanwhile does not
-// learn how it ended.
+// run runs an attempt on the runner. If the agent restarts meanwhile, it does not learn
+// how the attempt ended.
 func (a *agent) run(p *pendingAttempt) {
 	p.attempt.caller.runs++
 	a.running++
-	if a.running > slots {
+	if a.running > slotsPerAgent {
 		a.w.fail(ErrTooManyRunning)
 	}
 	incarnation := a.incarnation
-	a.w.schedule(a.w.randomBetween(0, maxWork), func() {
+	a.w.schedule(a.w.randomBetween(0, maxRunDuration), func() {
 		if a.incarnation != incarnation {
 			return
 		}
@@ -132,7 +134,7 @@
 	})
 }
 
-// startNext starts the attempts that the gate lets go, and finishes those it sheds.
+// startNext starts the attempts that the gate admits, and finishes those that it sheds.
 func (a *agent) startNext() {
 	for {
 		t, verdict := a.gate.Next(a.w.now)
@@ -147,8 +149,8 @@
 	}
 }
 
-// finish notes the state in which an attempt ended, and replies to it. Of some
-// attempts the dedup table keeps no response.
+// finish records the state in which an attempt ended, and replies to the attempt. For
+// some attempts, the dedup table gets no response to keep.
 func (a *agent) finish(p *pendingAttempt, state endpoint.AttemptState, body string) {
 	var response *endpoint.Response
 	if state == endpoint.AttemptDone && a.w.random.IntN(8) > 0 {
@@ -163,8 +165,8 @@
 	}
 }
 
-// handleQuery returns the state of an attempt, and fences one that is unknown. If
-// cancel is set it also cancels one that waits.
+// handleQuery returns the state of an attempt, and fences an attempt that is unknown. If
+// cancel is set, it also cancels an attempt that waits for a slot.
 func (a *agent) handleQuery(id endpoint.AttemptID, incarnation, mark uint64, cancel bool) endpoint.AttemptState {
 	if !a.w.rules.sameIncarnation(incarnation, a.incarnation) {
 		return endpoint.AttemptUnknown
--- a/internal/explore/request/entry.go
+++ b/internal/explore/request/entry.go
@@ -11,22 +11,23 @@
 // agentMark is the newest mark of an agent's dedup table that an entry knows.
 type agentMark struct{ incarnation, mark uint64 }
 
-// abandonRate is the probability that an entry abandons a slow attempt of a
-// repeatable request for another one.
+// abandonRate is the probability that an entry abandons a slow attempt of a repeatable
+// request and starts another attempt.
 const abandonRate = 0.3
 
-// entry simulates an entry. A restart drops its requests; life counts restarts.
+// entry simulates an entry. life counts its restarts, each of which drops all its
+// requests.
 type entry struct {
 	w     *world
 	life  int
 	marks map[*agent]agentMark
-	// openExchanges are the exchanges that wait for a reply. A misdelivered reply goes
-	// to one of them.
+	// openExchanges are the exchanges that wait for a reply. A misdelivered reply is
+	// delivered to a random one of them.
 	openExchanges []*exchange
 }
 
-// requestRun follows one request at an entry through its attempts; agent and attempt
-// are those of the current one.
+// requestRun follows one request at an entry through its attempts. agent and attempt are
+// those of the current attempt.
 type requestRun struct {
 	entry    *entry
 	caller   *caller
@@ -49,9 +50,10 @@
 	e.marks = make(map[*agent]agentMark)
 }
 
+// noteMark notes a mark of an agent's dedup table, unless the entry knows a newer one.
 func (e *entry) noteMark(a *agent, incarnation, mark uint64) {
-	k := e.marks[a]
-	if incarnation > k.incarnation || incarnation == k.incarnation && mark > k.mark {
+	newest := e.marks[a]
+	if incarnation > newest.incarnation || incarnation == newest.incarnation && mark > newest.mark {
 		e.marks[a] = agentMark{incarnation, mark}
 	}
 }
@@ -65,21 +67,21 @@
 
 func (r *requestRun) pastDeadline() bool { return r.entry.w.now.After(r.deadline) }
 
-// startAttempt starts the next attempt at a random agent. An agent whose mark is not
-// known yet counts as one that refused.
+// startAttempt starts the next attempt at a random agent. If the entry does not know the
+// agent's mark yet, the attempt counts as refused.
 func (r *requestRun) startAttempt() {
 	w := r.entry.w
-	n := r.tracker.BeginAttempt()
-	r.agent = w.agents[w.random.IntN(agents)]
-	k, ok := r.entry.marks[r.agent]
+	number := r.tracker.BeginAttempt()
+	r.agent = w.agents[w.random.IntN(agentCount)]
+	newest, ok := r.entry.marks[r.agent]
 	if !ok {
 		r.tracker.RecordRefusal(endpoint.AttemptNotRun)
 		w.schedule(heartbeatInterval, r.retryOrRespond)
 		return
 	}
 	r.attempt = attempt{
-		id: endpoint.AttemptID{Request: r.caller.name, Attempt: n}, caller: r.caller,
-		incarnation: k.incarnation, mark: k.mark, deadline: r.deadline,
+		id: endpoint.AttemptID{Request: r.caller.name, Attempt: number}, caller: r.caller,
+		incarnation: newest.incarnation, mark: newest.mark, deadline: r.deadline,
 	}
 	r.sendAttempt()
 }
@@ -89,15 +91,16 @@
 	w := r.entry.w
 	x := &exchange{request: r, entryLife: r.entry.life}
 	r.entry.openExchanges = append(r.entry.openExchanges, x)
-	a, in := r.agent, r.attempt
+	a, sent := r.agent, r.attempt
 	replyTo := func(got reply) {
 		w.send(func() { x.pickReceiver().deliver(got) })
 	}
-	w.send(func() { a.handleAttempt(in, replyTo) })
+	w.send(func() { a.handleAttempt(sent, replyTo) })
 	w.schedule(responseTimeout, x.timeOut)
 }
 
-// pickReceiver returns the exchange that gets a reply: now and then a random open one.
+// pickReceiver returns the exchange to which the reply to x is delivered: usually x
+// itself, now and then a random open exchange.
 func (x *exchange) pickReceiver() *exchange {
 	w := x.request.entry.w
 	if others := x.request.entry.openExchanges; len(others) > 0 && w.random.Float64() < w.disorderRate/4 {
@@ -121,6 +124,8 @@
 	}
 }
 
+// deliver passes a reply to the request, unless the exchange is closed. A reply to
+// another attempt counts as no reply.
 func (x *exchange) deliver(got reply) {
 	if !x.isOpen() {
 		return
@@ -140,6 +145,7 @@
 	r.retryOrRespond()
 }
 
+// timeOut ends an exchange that has had no reply for responseTimeout.
 func (x *exchange) timeOut() {
 	if !x.isOpen() {
 		return
@@ -152,12 +158,13 @@
 	x.request.handleNoReply()
 }
 
-// abandon abandons an attempt that may still run, and asks the agent to cancel it.
+// abandon abandons the current attempt, which may still run, asks the agent to cancel it,
+// and continues with another attempt.
 func (r *requestRun) abandon() {
 	w := r.entry.w
-	a, in := r.agent, r.attempt
+	a, sent := r.agent, r.attempt
 	r.tracker.Abandon()
-	w.send(func() { a.handleQuery(in.id, in.incarnation, in.mark, true) })
+	w.send(func() { a.handleQuery(sent.id, sent.incarnation, sent.mark, true) })
 	r.retryOrRespond()
 }
 
@@ -170,32 +177,32 @@
 	r.retryOrRespond()
 }
 
-// queryAgent asks the agent for the state of the attempt.
+// queryAgent asks the agent for the state of the current attempt.
 func (r *requestRun) queryAgent() {
 	w := r.entry.w
 	life := r.entry.life
 	done := false
-	a, in, over := r.agent, r.attempt, r.pastDeadline()
+	a, sent, pastDeadline := r.agent, r.attempt, r.pastDeadline()
 	handleResult := func(state endpoint.AttemptState) {
 		if done || life != r.entry.life {
 			return
 		}
 		done = true
-		if r.tracker.RecordQueryResult(state, over) == endpoint.StepResend {
+		if r.tracker.RecordQueryResult(state, pastDeadline) == endpoint.StepResend {
 			r.sendAttempt()
 			return
 		}
 		r.retryOrRespond()
 	}
 	w.send(func() {
-		state := a.handleQuery(in.id, in.incarnation, in.mark, over)
+		state := a.handleQuery(sent.id, sent.incarnation, sent.mark, pastDeadline)
 		w.send(func() { handleResult(state) })
 	})
 	w.schedule(queryTimeout, func() { handleResult(endpoint.AttemptUnknown) })
 }
 
 // retryOrRespond continues after an attempt without a response: it starts another
-// one if that is allowed, or else responds to the caller.
+// attempt if the rules allow one, or else responds to the caller.
 func (r *requestRun) retryOrRespond() {
 	if r.caller.entryLife != r.entry.life {
 		return
@@ -207,8 +214,8 @@
 	r.respond("", r.tracker.State())
 }
 
-// respond sends the caller the final response, or the state of the request if there
-// is no response.
+// respond sends the caller the response with the given body, or the state of the request
+// if body is empty.
 func (r *requestRun) respond(body string, state endpoint.AttemptState) {
 	if r.caller.entryLife != r.entry.life {
 		return
--- a/internal/explore/request/request.go
+++ b/internal/explore/request/request.go
@@ -1,7 +1,7 @@
 // Package request simulates interactive requests under faults. It runs the code that
 // decides on attempts through seeded interleavings of lost, late, duplicated and
-// misdelivered messages and of restarts, and checks what callers are told against
-// what ran.
+// misdelivered messages and of restarts. It compares what callers are told about their
+// requests with what ran.
 package request
 
 import (
@@ -28,35 +28,36 @@
 	ErrNoResponse = errors.New("caller never got a response")
 )
 
-// Sizes of a schedule.
+// Sizes of a simulated run.
 const (
-	agents           = 2
-	entries          = 2
-	requests         = 24
-	slots            = 2
-	connections      = 4
-	maxEndedAttempts = 6
+	agentCount          = 2
+	entryCount          = 2
+	requestCount        = 24
+	slotsPerAgent       = 2
+	connectionsPerAgent = 4
+	maxEndedAttempts    = 6
 )
 
-// Times of a schedule.
+// Times of a simulated run.
 const (
-	// horizon is how long agents send heartbeats; requests and restarts come in its
-	// first half.
-	horizon           = 4 * time.Second
-	heartbeatInterval = 50 * time.Millisecond
-	maxDelay          = 60 * time.Millisecond
-	maxLateDelay      = 900 * time.Millisecond
-	maxWork           = 200 * time.Millisecond
-	responseTimeout   = 300 * time.Millisecond
-	queryTimeout      = 150 * time.Millisecond
-	requestTimeout    = 1500 * time.Millisecond
+	// horizon is how long agents send heartbeats. Requests and restarts take place in the
+	// first half of this time.
+	horizon              = 4 * time.Second
+	heartbeatInterval    = 50 * time.Millisecond
+	maxUsualMessageDelay = 60 * time.Millisecond
+	maxLateMessageDelay  = 900 * time.Millisecond
+	maxRunDuration       = 200 * time.Millisecond
+	responseTimeout      = 300 * time.Millisecond
+	queryTimeout         = 150 * time.Millisecond
+	requestTimeout       = 1500 * time.Millisecond
 )
 
-// rules are the decisions under test. A test replaces one by a wrong one.
+// rules are the decisions of the product under test. The mutant test replaces one at a
+// time by a wrong one.
 type rules struct {
-	query           func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState
-	admit           func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
-	mayRetry        func(c *endpoint.AttemptTracker, over bool) bool
+	query           func(table *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState
+	admit           func(table *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.Admission
+	mayRetry        func(tracker *endpoint.AttemptTracker, pastDeadline bool) bool
 	sameAttempt     func(a, b endpoint.AttemptID) bool
 	sameIncarnation func(query, own uint64) bool
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// Run plays the schedule of a seed and returns the first violation found.
+// Run performs the simulated run of a seed and returns the first violation found.
 func Run(seed uint64) error { return run(seed, productRules()) }
 
 func run(seed uint64, r rules) error {
@@ -124,13 +125,15 @@
 	entries []*entry
 	callers []*caller
 	err     error
-	// lossRate is the probability that a message is lost, disorderRate the one that
-	// it is late; half of it, that it is duplicated; a quarter, that it is misdelivered or
-	// that a run ends with an unknown outcome.
+	// lossRate is the probability that a message is lost. disorderRate is the probability
+	// that a message is late; half of disorderRate is the probability that a message is
+	// duplicated, and a quarter of it the probability that a reply is misdelivered or that
+	// a run of a request ends with an unknown outcome.
 	lossRate, disorderRate float64
 }
 
-// caller is the caller of one request; runs counts how often the request was run.
+// caller is the caller of one request. runs counts how often the request was run, and
+// entryLife is the life of the entry that received it.
 type caller struct {
 	name       string
 	mayRepeat  bool
@@ -146,19 +149,19 @@
 	w.now = w.start
 	w.lossRate = w.random.Float64() * 0.3
 	w.disorderRate = w.random.Float64() * 0.3
-	for i := range agents {
+	for i := range agentCount {
 		a := &agent{w: w, name: string(rune('a' + i))}
 		a.restart()
 		w.agents = append(w.agents, a)
 		w.schedule(0, a.sendHeartbeats)
 	}
-	for range entries {
+	for range entryCount {
 		w.entries = append(w.entries, &entry{w: w, marks: make(map[*agent]agentMark)})
 	}
-	for i := range requests {
+	for i := range requestCount {
 		c := &caller{name: "request-" + string(rune('a'+i)), mayRepeat: w.random.IntN(3) == 0}
 		w.callers = append(w.callers, c)
-		w.schedule(w.randomBetween(heartbeatInterval, horizon/2), func() { w.entries[w.random.IntN(entries)].handleRequest(c) })
+		w.schedule(w.randomBetween(heartbeatInterval, horizon/2), func() { w.entries[w.random.IntN(entryCount)].handleRequest(c) })
 	}
 	for _, a := range w.agents {
 		for range w.random.IntN(3) {
@@ -171,10 +174,10 @@
 	return w
 }
 
-// schedule runs fn after d.
-func (w *world) schedule(d time.Duration, fn func()) {
+// schedule runs fn after the given delay.
+func (w *world) schedule(delay time.Duration, fn func()) {
 	w.seq++
-	heap.Push(&w.events, &event{at: w.now.Add(d), seq: w.seq, fn: fn})
+	heap.Push(&w.events, &event{at: w.now.Add(delay), seq: w.seq, fn: fn})
 }
 
 // randomBetween returns a random duration from lowest to highest.
@@ -182,29 +185,31 @@
 	return lowest + time.Duration(w.random.Int64N(int64(highest-lowest)+1))
 }
 
-// send delivers a message, which is fn, once, twice or never, sometimes late.
+// send delivers a message once, twice or never, sometimes late. fn is how its receiver
+// handles the message.
 func (w *world) send(fn func()) {
 	if w.random.Float64() < w.lossRate {
 		return
 	}
-	highest := maxDelay
+	maxDelay := maxUsualMessageDelay
 	if w.random.Float64() < w.disorderRate {
-		highest = maxLateDelay
+		maxDelay = maxLateMessageDelay
 	}
-	w.schedule(w.randomBetween(0, highest), fn)
+	w.schedule(w.randomBetween(0, maxDelay), fn)
 	if w.random.Float64() < w.disorderRate/2 {
-		w.schedule(w.randomBetween(0, maxLateDelay), fn)
+		w.schedule(w.randomBetween(0, maxLateMessageDelay), fn)
 	}
 }
 
-// fail notes a violation, of which the first is kept.
+// fail notes a violation. Only the first one is kept.
 func (w *world) fail(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-// check checks the callers after the last event, and returns the first violation.
+// check checks what the callers were told after the last event, and returns the first
+// violation.
 func (w *world) check() error {
 	for _, c := range w.callers {
 		switch {
--- a/internal/explore/request/request_test.go
+++ b/internal/explore/request/request_test.go
@@ -9,6 +9,7 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
+// testSeeds is the number of simulated runs that each test performs.
 const testSeeds = 1500
 
 func TestNoViolation(t *testing.T) {
@@ -28,28 +29,28 @@
 		want   error
 	}{
 		{"an evicted attempt counts as never seen", func(r *rules) {
-			r.query = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.AttemptState {
-				return b.QueryOrFence(now, id, math.MaxUint64)
+			r.query = func(table *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.AttemptState {
+				return table.QueryOrFence(now, id, math.MaxUint64)
 			}
 		}, ErrFalseNotRun},
 		{"an attempt that may be evicted is run", func(r *rules) {
-			r.admit = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.Admission {
-				return b.Admit(now, id, math.MaxUint64)
+			r.admit = func(table *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, _ uint64) endpoint.Admission {
+				return table.Admit(now, id, math.MaxUint64)
 			}
 		}, ErrDoubleRun},
 		{"a query does not fence", func(r *rules) {
-			r.query = func(b *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState {
-				known := *b
+			r.query = func(table *endpoint.DedupTable, now time.Time, id endpoint.AttemptID, mark uint64) endpoint.AttemptState {
+				known := *table
 				return known.QueryOrFence(now, endpoint.AttemptID{Request: id.Request + "?", Attempt: id.Attempt}, mark)
 			}
 		}, ErrFalseNotRun},
 		{"unknown attempts are tried again", func(r *rules) {
-			r.mayRetry = func(c *endpoint.AttemptTracker, over bool) bool {
-				free := endpoint.NewAttemptTracker(true)
-				for range c.Attempt() {
-					free.BeginAttempt()
+			r.mayRetry = func(tracker *endpoint.AttemptTracker, pastDeadline bool) bool {
+				repeatable := endpoint.NewAttemptTracker(true)
+				for range tracker.Attempt() {
+					repeatable.BeginAttempt()
 				}
-				return free.MayRetry(over)
+				return repeatable.MayRetry(pastDeadline)
 			}
 		}, ErrDoubleRun},
 		{"replies are not matched with attempts", func(r *rules) {
