--- a/internal/standin/address.go
+++ b/internal/standin/address.go
@@ -12,14 +12,16 @@
 
 // Ports that tests listen on. They lie below the range from which the system takes
 // ports for outgoing connections, so that no port is taken between the check and
-// its use. Each test process starts at a port of its own: its process id times
-// portStep, modulo the size of the range.
+// its use. Each test process starts at a port of its own: firstPort plus its process
+// id times portStep, modulo the size of the range.
 const (
 	firstPort = 10000
 	lastPort  = 32000
 	portStep  = 211
 )
 
+// ports holds, in next, the number of the port that was tried last, before the modulo; it
+// is 0 before the first call.
 var ports struct {
 	mu   sync.Mutex
 	next int
--- a/internal/standin/connections.go
+++ b/internal/standin/connections.go
@@ -8,7 +8,9 @@
 // Connections lets a test stall the open connections of a server while new ones
 // work. The zero value stalls none.
 type Connections struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// used and stalled hold the remote addresses of connections: of those that have
+	// carried a request since the last stall, and of those that are stalled.
 	used    map[string]bool
 	stalled map[string]bool
 }
@@ -26,8 +28,8 @@
 	c.used = nil
 }
 
-// Wrap returns a handler that passes requests to next, except that it neither serves
-// nor responds to those on stalled connections.
+// Wrap returns a handler that passes requests to next. It neither serves nor responds to
+// requests on stalled connections.
 func (c *Connections) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.isStalled(r.RemoteAddr) {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -15,14 +15,14 @@
 
 const maxAppendBytes = 8 << 20
 
-// maxPageBatches is the most batches that one read returns.
+// maxPageBatches is the largest number of batches that one read returns.
 const maxPageBatches = 1000
 
 // LogFaults selects the faults that the log simulates.
 type LogFaults struct {
-	// Down makes every call fail with status 503.
+	// Down makes every call over HTTP fail with status 503.
 	Down bool `json:"down"`
-	// DelayMS delays every call, in milliseconds.
+	// DelayMS is the delay of every call over HTTP, in milliseconds.
 	DelayMS int64 `json:"delay-ms"`
 	// LoseReplies is the number of appends whose response is lost after the write.
 	LoseReplies int `json:"lose-replies"`
@@ -115,14 +115,16 @@
 	if !l.applyFaults(w, r) {
 		return
 	}
-	offset, lost := l.append(r.PathValue("stream"), data)
-	if lost {
+	offset, replyLost := l.append(r.PathValue("stream"), data)
+	if replyLost {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, services.AppendResult{Offset: offset})
 }
 
-func (l *Log) append(name string, data []byte) (offset uint64, lost bool) {
+// append writes a batch for a call over HTTP. replyLost is set if the fault LoseReplies
+// withholds the response.
+func (l *Log) append(name string, data []byte) (offset uint64, replyLost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset = l.addBatch(name, data)
@@ -139,9 +141,9 @@
 	offset := s.firstOffset + uint64(len(s.batches))
 	s.batches = append(s.batches, data)
 	if l.faults.MaxBatches > 0 && len(s.batches) > l.faults.MaxBatches {
-		drop := len(s.batches) - l.faults.MaxBatches
-		s.batches = s.batches[drop:]
-		s.firstOffset += uint64(drop)
+		excess := len(s.batches) - l.faults.MaxBatches
+		s.batches = s.batches[excess:]
+		s.firstOffset += uint64(excess)
 	}
 	l.appends++
 	close(s.changed)
@@ -165,17 +167,17 @@
 	if !l.applyFaults(w, r) {
 		return
 	}
-	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
+	offset, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, "from: want a number", http.StatusBadRequest)
 		return
 	}
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	deadline := time.NewTimer(wait)
-	defer deadline.Stop()
+	waitTimer := time.NewTimer(wait)
+	defer waitTimer.Stop()
 	for {
-		page, expired, changed := l.readPage(r.PathValue("stream"), from)
-		if expired {
+		page, dropped, changed := l.readPage(r.PathValue("stream"), offset)
+		if dropped {
 			writeJSON(w, http.StatusGone, page)
 			return
 		}
@@ -185,7 +187,7 @@
 		}
 		select {
 		case <-changed:
-		case <-deadline.C:
+		case <-waitTimer.C:
 			wait = 0
 		case <-r.Context().Done():
 			return
@@ -193,16 +195,18 @@
 	}
 }
 
-func (l *Log) readPage(name string, from uint64) (page services.LogPage, expired bool, changed chan struct{}) {
+// readPage returns the batches of a stream from an offset on, or dropped if the stream
+// no longer retains that offset. changed is closed when a batch is added.
+func (l *Log) readPage(name string, offset uint64) (page services.LogPage, dropped bool, changed chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
 	page.FirstOffset = s.firstOffset
 	page.NextOffset = s.firstOffset + uint64(len(s.batches))
-	if from < s.firstOffset {
+	if offset < s.firstOffset {
 		return page, true, s.changed
 	}
-	for o := from; o < page.NextOffset && len(page.Batches) < maxPageBatches; o++ {
+	for o := offset; o < page.NextOffset && len(page.Batches) < maxPageBatches; o++ {
 		page.Batches = append(page.Batches, services.LogBatch{Offset: o, Data: s.batches[o-s.firstOffset]})
 	}
 	return page, false, s.changed
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -23,8 +23,8 @@
 type RunnerFaults struct {
 	// FailAll makes every request fail at once with status 500.
 	FailAll bool `json:"fail-all"`
-	// Silent makes the runner never respond to a request that it begins while
-	// Silent is set.
+	// Silent makes the runner never respond to the requests that it starts while Silent is
+	// set.
 	Silent bool `json:"silent"`
 	// DelayMS is added to the service time of every request, in milliseconds.
 	DelayMS int64 `json:"delay-ms"`
@@ -35,7 +35,9 @@
 type Runner struct {
 	slots chan struct{}
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// runCounts holds how often each request was run by its Savoryhoist-Request-Id,
+	// requestCounts by its identifier in HeaderRequest.
 	runCounts     map[string]int
 	requestCounts map[string]int
 	faults        RunnerFaults
@@ -104,7 +106,7 @@
 	_, _ = w.Write(body)
 }
 
-// countRequest counts a run of the request and returns the present faults.
+// countRequest counts one run of a request and returns the present faults.
 func (r *Runner) countRequest(req *http.Request) RunnerFaults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -25,13 +25,13 @@
 	connections map[string]*Connections
 }
 
-// NewSite returns a site with count workers of the given size, each with a runner
-// of the given number of slots; now is the clock of the workers.
-func NewSite(count, slots int, size worker.Resources, now func() time.Time) *Site {
+// NewSite returns a site with a number of workers of the given size, each with a runner
+// with slotsPerRunner slots. now is the clock of the workers.
+func NewSite(workers, slotsPerRunner int, size worker.Resources, now func() time.Time) *Site {
 	s := &Site{connections: map[string]*Connections{PartLog: {}, PartWorkers: {}, PartRunners: {}}}
-	for range count {
+	for range workers {
 		s.workers = append(s.workers, NewWorker(size, now))
-		s.runners = append(s.runners, NewRunner(slots))
+		s.runners = append(s.runners, NewRunner(slotsPerRunner))
 	}
 	return s
 }
@@ -39,14 +39,15 @@
 // Counts records the activity of a site. The load tool compares it with what
 // callers saw.
 type Counts struct {
-	// Requests is how often each request was run, over all runners.
+	// Requests holds, by request, how often it was run at all runners together.
 	Requests map[string]int `json:"requests"`
 	// Tasks holds the runs of each task, over all workers.
 	Tasks map[string][]Run `json:"tasks"`
 	// Overcommitted holds the names of the workers whose running tasks exceeded their
 	// capacity at any time.
 	Overcommitted []string `json:"overfull"`
-	Appends       uint64   `json:"appends"`
+	// Appends is the number of batches written to the log.
+	Appends uint64 `json:"appends"`
 }
 
 // Counts returns the activity of the site so far.
@@ -88,6 +89,7 @@
 	return mux
 }
 
+// mount serves a handler of a part under a path prefix.
 func (s *Site) mount(mux *http.ServeMux, part, prefix string, h http.Handler) {
 	mux.Handle(prefix+"/", http.StripPrefix(prefix, s.connections[part].Wrap(h)))
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -97,9 +97,10 @@
 	}
 }
 
-func send(t *testing.T, h http.Handler, path string, in any) {
+// send posts a body in JSON to a handler and expects status 200.
+func send(t *testing.T, h http.Handler, path string, requestBody any) {
 	t.Helper()
-	body, err := json.Marshal(in)
+	body, err := json.Marshal(requestBody)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -12,14 +12,15 @@
 // Store simulates the platform's store of keyed topics in memory. The zero value is
 // empty. It does not wait for new records in a read.
 type Store struct {
-	// PageSize is the most records in one page of the newest records; 0 means 500.
+	// PageSize is the largest number of records in one page of the newest records; 0 means
+	// 500.
 	PageSize int
 	// OnPage, if set, is called after each read of a page of the newest records.
 	OnPage func()
 
 	mu     sync.Mutex
 	topics map[store.Topic]*keyedTopic
-	// fault, if set, is the error of every call. writeDespiteFault means that
+	// fault, if set, is the error that every call returns. writeDespiteFault means that
 	// appends still take effect.
 	fault             error
 	writeDespiteFault bool
@@ -32,8 +33,9 @@
 	endOffset   uint64
 	// newest holds the newest record of each key.
 	newest map[string]store.StoredRecord
-	term   uint64
-	seq    uint64
+	// term is the newest term of an append, and seq the newest sequence number under it.
+	term uint64
+	seq  uint64
 	// endOffsets holds the end offset after each append of the term, by sequence number.
 	endOffsets map[uint64]uint64
 }
@@ -73,6 +75,7 @@
 	return t
 }
 
+// append carries out an append and returns the topic's end offset.
 func (s *Store) append(_ context.Context, a store.AppendRequest) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +118,8 @@
 const repeatableAppends = 5
 
 // checkSequence checks and records the term and the sequence number of an append.
-// repeated means that the append was carried out before, with the given end offset.
+// repeated means that the append was carried out before; end is then the topic's end
+// offset after it.
 func (t *keyedTopic) checkSequence(a *store.AppendRequest) (end uint64, repeated bool, err error) {
 	switch {
 	case a.Term < t.term:
@@ -137,32 +141,35 @@
 	return 0, false, nil
 }
 
-func (s *Store) read(_ context.Context, topic store.Topic, from uint64, _ time.Duration) (*store.Page, error) {
+// read returns the records of a topic from an offset on.
+func (s *Store) read(_ context.Context, topic store.Topic, offset uint64, _ time.Duration) (*store.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fault != nil {
 		return nil, s.fault
 	}
 	t := s.topic(topic)
-	if from < t.firstOffset {
+	if offset < t.firstOffset {
 		return nil, store.ErrTrimmed
 	}
 	page := &store.Page{End: t.endOffset}
-	if from < t.endOffset {
-		page.Records = append(page.Records, t.records[from-t.firstOffset:]...)
+	if offset < t.endOffset {
+		page.Records = append(page.Records, t.records[offset-t.firstOffset:]...)
 	}
 	return page, nil
 }
 
-func (s *Store) readNewest(_ context.Context, topic store.Topic, after string) (*store.Page, error) {
-	page, err := s.newestPage(topic, after)
+// readNewest returns a page of the newest records of the keys after afterKey.
+func (s *Store) readNewest(_ context.Context, topic store.Topic, afterKey string) (*store.Page, error) {
+	page, err := s.newestPage(topic, afterKey)
 	if s.OnPage != nil {
 		s.OnPage()
 	}
 	return page, err
 }
 
-func (s *Store) newestPage(topic store.Topic, after string) (*store.Page, error) {
+// newestPage returns the newest records of the keys after afterKey, up to PageSize.
+func (s *Store) newestPage(topic store.Topic, afterKey string) (*store.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fault != nil {
@@ -171,7 +178,7 @@
 	t := s.topic(topic)
 	keys := make([]string, 0, len(t.newest))
 	for k := range t.newest {
-		if k > after {
+		if k > afterKey {
 			keys = append(keys, k)
 		}
 	}
--- a/internal/standin/taskrunner.go
+++ b/internal/standin/taskrunner.go
@@ -21,19 +21,22 @@
 	Task    string
 	Run     uint64
 	Outcome string
-	// stale is set if the runner's lease has expired since the end. An
-	// acknowledgement of the end is then not recorded in the history.
+	// stale is set if the runner's lease has expired since the end. By then the dispatcher
+	// may rightly have given the run up and ordered another run of the task, so the history
+	// does not count a later acknowledgement as one of the task's success.
 	stale bool
 }
 
-// Reasons for which a TaskRunner refuses a call.
+// Reasons for which a TaskRunner refuses a call. Their values are names of the platform's
+// protocol, as are the outcomes of runs: done, failed, stopped and lapsed.
 const (
-	// ReasonFence means that the call's fencing token is lower than an earlier one.
+	// ReasonFence means that the call's fencing token is lower than that of an earlier
+	// call.
 	ReasonFence = "fence"
-	// ReasonStaleRun means that another run of the task is in progress, or that the run
-	// has ended or was stopped, or a later one was.
+	// ReasonStaleRun means that another run of the task is in progress, or that this run or
+	// a later run of the task has already been started or stopped.
 	ReasonStaleRun = "old"
-	// ReasonLeaseEnded means that the lease for the start has ended already.
+	// ReasonLeaseEnded means that the lease given with the start has already ended.
 	ReasonLeaseEnded = "late"
 )
 
@@ -44,23 +47,26 @@
 	Name         string
 	TaskDuration time.Duration
 	History      *History
-	// ClockLagDivisor makes the runner's clock lose 1/ClockLagDivisor of the elapsed time; 0 means that it
-	// is exact.
+	// ClockLagDivisor makes the runner's clock lose 1/ClockLagDivisor of the elapsed time;
+	// 0 means that the clock is exact.
 	ClockLagDivisor int
 
 	mu sync.Mutex
 	// startedAtMS is startedAt in Unix milliseconds.
 	startedAtMS uint64
 	startedAt   time.Time
-	// fence is the highest fencing token of a call.
-	fence uint64
-	// leaseEndMS is when the lease ends on the runner's clock.
+	// highestToken is the highest fencing token that was accepted.
+	highestToken uint64
+	// leaseEndMS is when the lease of all runs ends on the runner's clock; 0 means that
+	// there is no lease.
 	leaseEndMS int64
 	// lastEnd is the number of the newest end.
-	lastEnd  uint64
-	running  map[string]*taskRun
+	lastEnd uint64
+	// running holds the run in progress of each task.
+	running map[string]*taskRun
+	// finished holds the ends that have not been acknowledged.
 	finished []RunEnd
-	// highestRun holds, by task, the highest run that was started or stopped.
+	// highestRun holds, by task, the highest number of a run that was started or stopped.
 	highestRun map[string]uint64
 	changed    chan struct{}
 }
@@ -91,7 +97,7 @@
 		r.History.noteEnd(task, t.run)
 	}
 	r.startedAtMS, r.startedAt, r.leaseEndMS = uint64(now.UnixMilli()), now, 0
-	r.fence, r.lastEnd, r.finished = 0, 0, nil
+	r.highestToken, r.lastEnd, r.finished = 0, 0, nil
 	r.running, r.highestRun = make(map[string]*taskRun), make(map[string]uint64)
 	r.notifyChanged()
 }
@@ -118,7 +124,8 @@
 	return r.changed
 }
 
-// ClockMS returns the runner's clock, in milliseconds since its start, plus 1.
+// ClockMS returns the runner's clock, in milliseconds since its start, plus 1. The clock
+// never shows 0, so that a lease end of 0, which stands for no lease, has always passed.
 func (r *TaskRunner) ClockMS(now time.Time) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +140,8 @@
 	return ms + 1
 }
 
-// EndDueRuns ends the runs whose time has come, or all runs if the lease has expired.
+// EndDueRuns ends the runs that have run for TaskDuration, or all runs if the lease has
+// expired.
 func (r *TaskRunner) EndDueRuns(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,6 +162,7 @@
 	}
 }
 
+// finish ends a run in progress and records its end. The caller holds mu.
 func (r *TaskRunner) finish(task string, t *taskRun, outcome string) {
 	delete(r.running, task)
 	r.lastEnd++
@@ -170,38 +179,40 @@
 const maxLeaseMS = 6000
 
 // Admit reports whether to carry out a call with the given fencing token. If so, it
-// extends the lease to untilMS on the runner's clock. It never shortens the lease.
-func (r *TaskRunner) Admit(now time.Time, fence uint64, untilMS int64) bool {
+// extends the lease to leaseEndMS on the runner's clock, but by no more than maxLeaseMS
+// from now. It never shortens the lease.
+func (r *TaskRunner) Admit(now time.Time, token uint64, leaseEndMS int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if fence < r.fence {
+	if token < r.highestToken {
 		return false
 	}
-	r.fence = fence
-	r.leaseEndMS = max(r.leaseEndMS, min(untilMS, r.clockMS(now)+maxLeaseMS))
+	r.highestToken = token
+	r.leaseEndMS = max(r.leaseEndMS, min(leaseEndMS, r.clockMS(now)+maxLeaseMS))
 	return true
 }
 
-// Start starts a run, or returns the reason for which it refuses to.
-func (r *TaskRunner) Start(now time.Time, task string, run uint64, untilMS int64, fate TaskBehaviour) string {
+// Start starts a run, and returns "" or the reason for which it refuses to. leaseEndMS is
+// the end of the lease that was given with the start.
+func (r *TaskRunner) Start(now time.Time, task string, run uint64, leaseEndMS int64, behaviour TaskBehaviour) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.running[task]
 	switch {
-	case untilMS <= r.clockMS(now):
+	case leaseEndMS <= r.clockMS(now):
 		return ReasonLeaseEnded
 	case t != nil && t.run == run:
 		return ""
 	case t != nil || run <= r.highestRun[task]:
 		return ReasonStaleRun
 	}
-	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.TaskDuration), behaviour: fate}
+	r.running[task] = &taskRun{run: run, endsAt: now.Add(r.TaskDuration), behaviour: behaviour}
 	r.highestRun[task] = run
 	r.History.noteStart(now, r.Name, task, run)
 	return ""
 }
 
-// Stop ends a run, or prevents its start.
+// Stop ends a run and earlier runs of the task, and prevents their later start.
 func (r *TaskRunner) Stop(task string, run uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,8 +222,8 @@
 	}
 }
 
-// List drops the ends with numbers up to acked, which are acknowledged, and returns
-// the runs in progress and the other ends.
+// List drops the ends with numbers up to acked, which the caller acknowledges, and
+// returns the runs in progress and the remaining ends.
 func (r *TaskRunner) List(acked uint64) (running []RunStatus, finished []RunEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,19 +240,21 @@
 	return running, slices.Clone(r.finished)
 }
 
-// History records the starts and ends of runs at all runners, and the violations of
-// guarantees. The zero value is empty.
+// History records the starts and ends of runs at all runners, and the violations of two
+// guarantees: no two runs of a task are in progress at once, and no run starts after the
+// success of the task was acknowledged. The zero value is empty.
 type History struct {
 	mu sync.Mutex
 	// runs holds, by task and run, the runner of each run in progress.
 	runs map[string]map[uint64]string
-	// ackedDone holds the tasks of which a successful end was acknowledged,
-	// completed those of which a run has done all its work.
+	// ackedDone holds the tasks of which a successful end was acknowledged. completed holds
+	// the tasks of which a run has done all its work.
 	ackedDone  map[string]bool
 	completed  map[string]bool
 	violations []string
 }
 
+// noteStart notes that a run started at a runner, and whether that violates a guarantee.
 func (h *History) noteStart(now time.Time, runner, task string, run uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,8 +267,8 @@
 	if h.ackedDone[task] {
 		h.violations = append(h.violations, fmt.Sprintf("%s: run %d of %s started at %s after the success of a run was acknowledged", now.Format(time.StampMilli), run, task, runner))
 	}
-	for other, where := range h.runs[task] {
-		h.violations = append(h.violations, fmt.Sprintf("%s: run %d of %s started at %s while run %d was in progress at %s", now.Format(time.StampMilli), run, task, runner, other, where))
+	for other, otherRunner := range h.runs[task] {
+		h.violations = append(h.violations, fmt.Sprintf("%s: run %d of %s started at %s while run %d was in progress at %s", now.Format(time.StampMilli), run, task, runner, other, otherRunner))
 	}
 	h.runs[task][run] = runner
 }
@@ -274,7 +287,7 @@
 	}
 }
 
-// Violations returns the violations of guarantees.
+// Violations returns descriptions of the violations so far.
 func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,26 +15,26 @@
 // TaskPayload tells the simulated worker how a task behaves. A job's payload holds
 // it in JSON.
 type TaskPayload struct {
-	// RunMS is how long the task runs at full speed, in milliseconds.
+	// RunMS is how long the task runs in total at full speed, in milliseconds.
 	RunMS int64 `json:"run-ms"`
 	// Fail makes the task fail at its end.
 	Fail bool `json:"fail"`
 }
 
-// defaultTaskWork is how long a task without a payload runs.
+// defaultTaskWork is how long a task without a payload runs at full speed.
 const defaultTaskWork = 100 * time.Millisecond
 
 // WorkerFaults selects the faults that a worker simulates.
 type WorkerFaults struct {
 	// FailAll makes every task that starts from now on fail at once.
 	FailAll bool `json:"fail-all"`
-	// LoseVM drops every task once, as when the VM is replaced.
+	// LoseVM drops every task when the faults are set, as the replacement of the VM does.
 	LoseVM bool `json:"lose-vm"`
 	// UsageLagMS is how far usage reports lag behind, in milliseconds.
 	UsageLagMS int64 `json:"usage-lag-ms"`
 }
 
-// Run is one start of a task, for checks after a test.
+// Run is one run of a task, recorded for checks after a test.
 type Run struct {
 	Key   string `json:"key"`
 	Epoch uint64 `json:"epoch"`
@@ -53,13 +53,14 @@
 }
 
 // Worker is an in-memory worker that runs tasks under leases. It computes their
-// progress from its clock at each call.
+// progress up to the present at each call.
 type Worker struct {
 	total worker.Resources
 	now   func() time.Time
 
-	mu            sync.Mutex
-	startedAt     time.Time
+	mu        sync.Mutex
+	startedAt time.Time
+	// incarnation counts the replacements of the VM.
 	incarnation   int
 	tasks         map[string]*task
 	runs          []Run
@@ -74,7 +75,10 @@
 	usage services.Usage
 }
 
+// task is a task at the worker. Its work is measured in running time at full speed;
+// doneWork is the work done up to advancedTo.
 type task struct {
+	// runIndex is the index of the task's run in Worker.runs.
 	runIndex         int
 	order            services.StartOrder
 	state            services.TaskState
@@ -105,11 +109,11 @@
 	w.tasks = make(map[string]*task)
 }
 
-// FailAll makes every task that starts from now on fail at once.
-func (w *Worker) FailAll(on bool) {
+// FailAll sets whether every task that starts from now on fails at once.
+func (w *Worker) FailAll(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults.FailAll = on
+	w.faults.FailAll = fail
 }
 
 // SetFaults replaces the faults that the worker simulates.
@@ -186,6 +190,7 @@
 	writeJSON(rw, http.StatusOK, out)
 }
 
+// view returns the task as the worker lists it.
 func (t *task) view() services.WorkerTask {
 	v := t.order.WorkerTask
 	v.State = t.state
@@ -255,11 +260,11 @@
 		if t.state.Ended() {
 			continue
 		}
-		until := w.startedAt.Add(time.Duration(t.order.LeaseEndMS) * time.Millisecond)
+		leaseEnd := w.startedAt.Add(time.Duration(t.order.LeaseEndMS) * time.Millisecond)
 		end := now
 		t.state = services.TaskRunning
-		if until.Before(now) {
-			end = until
+		if leaseEnd.Before(now) {
+			end = leaseEnd
 			t.state = services.TaskSuspended
 		}
 		w.advanceTask(t, end)
@@ -267,12 +272,13 @@
 	}
 }
 
-// advanceTask adds the progress of a task until end.
+// advanceTask adds the progress of a task until end, and ends the task if its work is
+// done.
 func (w *Worker) advanceTask(t *task, end time.Time) {
 	if end.After(t.advancedTo) && t.cpuPercent > 0 {
 		t.doneWork += end.Sub(t.advancedTo) * time.Duration(t.cpuPercent) / 100
-		if over := t.doneWork - t.requiredWork; over > 0 {
-			end = end.Add(-over * 100 / time.Duration(t.cpuPercent))
+		if excess := t.doneWork - t.requiredWork; excess > 0 {
+			end = end.Add(-excess * 100 / time.Duration(t.cpuPercent))
 		}
 		w.runs[t.runIndex].addProgress(t.advancedTo, end)
 	}
@@ -305,13 +311,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	for _, n := range renewals {
-		if t, ok := w.tasks[n.Key]; ok && n.LeaseEndMS > t.order.LeaseEndMS {
-			t.order.LeaseEndMS = n.LeaseEndMS
+	for _, renewal := range renewals {
+		if t, ok := w.tasks[renewal.Key]; ok && renewal.LeaseEndMS > t.order.LeaseEndMS {
+			t.order.LeaseEndMS = renewal.LeaseEndMS
 		}
 	}
 }
 
+// withTask calls fn with the task that the request's path names, or responds that there
+// is none.
 func (w *Worker) withTask(rw http.ResponseWriter, r *http.Request, fn func(key string, t *task)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -361,7 +369,7 @@
 	})
 }
 
-// maxUsageReports limits the usage reports that are stored to simulate the lag.
+// maxUsageReports is the number of usage reports that are stored to simulate the lag.
 const maxUsageReports = 1024
 
 func (w *Worker) serveUsage(rw http.ResponseWriter, _ *http.Request) {
@@ -377,16 +385,18 @@
 
 // laggingUsage returns the newest report that is at least as old as the lag.
 func (w *Worker) laggingUsage() services.Usage {
-	until := w.now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond)
+	newestVisible := w.now().Add(-time.Duration(w.faults.UsageLagMS) * time.Millisecond)
 	out := services.Usage{Tasks: make(map[string]worker.Resources)}
 	for _, u := range w.usageReports {
-		if !u.at.After(until) {
+		if !u.at.After(newestVisible) {
 			out = u.usage
 		}
 	}
 	return out
 }
 
+// currentUsage returns the usage of the running tasks, each of which uses all resources
+// that it requested.
 func (w *Worker) currentUsage() services.Usage {
 	out := services.Usage{Tasks: make(map[string]worker.Resources)}
 	for k, t := range w.tasks {
