--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -23,14 +23,17 @@
 	"savoryhoist.example/savoryhoist/platform/standin"
 )
 
-// Ports of every process; processes differ by their loopback address.
+// Ports of every process: an entry serves callers on portFront and readiness checks on
+// portReady; an agent receives its runner's heartbeats on portControl, and its runner
+// listens on portApp. portPeers is the first of the two ports for peers and metrics.
+// Processes differ by their loopback address.
 const (
 	portFront, portReady, portControl, portApp, portPeers = 19481, 19482, 19483, 19484, 19485
 	entryCount, runnerCount                               = 3, 3
 )
 
-// machine is one process of the system with a loopback address of its own. It is
-// started again whenever it ends, until it is stopped.
+// machine is one process of the system with a loopback address of its own. The process
+// is started again whenever it ends, until the machine is stopped.
 type machine struct {
 	role, name, ip string
 	configFile     string
@@ -43,7 +46,8 @@
 }
 
 // deployment is a small deployment of the real programs and the stand-ins of the
-// platform. running ends with the test.
+// platform. entries holds the addresses at which entries serve callers. running ends with
+// the test.
 type deployment struct {
 	program  string
 	dir      string
@@ -57,7 +61,8 @@
 	running  context.Context
 }
 
-// serve serves HTTP until the test ends, and returns the address.
+// serve serves HTTP at an address until the test ends, and returns the address with the
+// port that was chosen.
 func serve(t *testing.T, address string, h http.Handler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", address)
@@ -71,6 +76,7 @@
 	return ln.Addr().String()
 }
 
+// newDeployment starts the stand-ins and the processes of a deployment.
 func newDeployment(t *testing.T, program string, seed uint64) *deployment {
 	t.Helper()
 	running, cancel := context.WithCancel(context.Background())
@@ -113,14 +119,14 @@
 func (d *deployment) add(t *testing.T, role, name, ip, storeAddress string) {
 	t.Helper()
 	m := &machine{role: role, name: name, ip: ip, configFile: filepath.Join(d.dir, name+".json"), proxy: newProxy(t, storeAddress)}
-	at := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
-	var seeds []string
+	addressAt := func(port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+	var seedAddresses []string
 	for i := range entryCount {
-		seeds = append(seeds, fmt.Sprintf("%s.%d:%d", ip[:strings.LastIndexByte(ip, '.')], 1+i, portControl))
+		seedAddresses = append(seedAddresses, fmt.Sprintf("%s.%d:%d", ip[:strings.LastIndexByte(ip, '.')], 1+i, portControl))
 	}
 	data, err := json.Marshal(map[string]any{
-		"node-name": name, "ip": ip, "zone": "a", "port-range": []int{portPeers, portPeers + 1}, "seeds": seeds, "app": at(portApp),
-		"listen":   map[string]string{"front": at(portFront), "ready": at(portReady), "control": at(portControl)},
+		"node-name": name, "ip": ip, "zone": "a", "port-range": []int{portPeers, portPeers + 1}, "seeds": seedAddresses, "app": addressAt(portApp),
+		"listen":   map[string]string{"front": addressAt(portFront), "ready": addressAt(portReady), "control": addressAt(portControl)},
 		"bounds":   map[string]any{"status_s": 120, "spread-factor": 1.5, "grace-s": 6},
 		"platform": map[string]string{"address": m.proxy.address, "form": "log"},
 	})
@@ -165,11 +171,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd != nil && m.cmd.Process != nil {
-		_ = m.cmd.Process.Signal(sig) // it may have ended already
+		_ = m.cmd.Process.Signal(sig) // the process may have ended already
 	}
 }
 
-// kill kills the process, which is not started again.
+// kill kills the machine's process for good.
 func (m *machine) kill() {
 	m.mu.Lock()
 	m.stopped = true
@@ -225,6 +231,7 @@
 	}
 }
 
+// endFaults ends all faults that last for a while.
 func (d *deployment) endFaults() {
 	d.store.SetOutage(standin.NoOutage)
 	for _, m := range d.machines {
@@ -233,14 +240,15 @@
 	}
 }
 
-// driveRunner sends a runner's heartbeats and advances its tasks.
+// driveRunner sends a runner's heartbeats to its agent, every 25 steps of 20 ms, and ends
+// the runs that are due at every step.
 func (d *deployment) driveRunner(r *standin.Runner, ip string) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for n := 0; d.running.Err() == nil; n++ {
+	for step := 0; d.running.Err() == nil; step++ {
 		r.EndDueRuns(clock.Steady())
-		if n%25 == 0 {
+		if step%25 == 0 {
 			body, _ := json.Marshal(map[string]any{
-				"service": "bench", "phase": "ready", "seq": n + 1, "born": r.StartedAtMS(), "labels": []string{"a", "r1-1"},
+				"service": "bench", "phase": "ready", "seq": step + 1, "born": r.StartedAtMS(), "labels": []string{"a", "r1-1"},
 				"capacity": map[string]int{"cpu": 8000, "mem-mb": 32000},
 			})
 			url := fmt.Sprintf("http://%s:%d/v1/instances/%s/heartbeat", ip, portControl, r.Name)
@@ -252,8 +260,8 @@
 	}
 }
 
-// call sends a caller's request and returns the status of the response, or 0 if there
-// is none, and the job's phase.
+// call sends a caller's request about a job to an entry. It returns the status of the
+// response, or 0 if there is none, and the job's phase.
 func (d *deployment) call(ctx context.Context, method, entry, id, body string) (int, string) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+entry+"/q/"+id, strings.NewReader(body))
 	if err != nil {
@@ -311,7 +319,7 @@
 	t.Logf("logs are in %s", dir)
 }
 
-// newRunner returns a runner whose tasks work for 150 ms.
+// newRunner returns a runner whose tasks run for 150 ms.
 func newRunner(name string, history *product.History) *standin.Runner {
 	return &standin.Runner{TaskRunner: product.TaskRunner{Name: name, TaskDuration: 150 * time.Millisecond, History: history}}
 }
--- a/soak/logs_test.go
+++ b/soak/logs_test.go
@@ -19,8 +19,10 @@
 // no faults are injected any more.
 const logTimeout = 20 * time.Second
 
-// logCase is one way in which a job ends, with the texts that its log lines must
-// contain.
+// logCase is one way in which a job ends, with the texts that the job's log lines must
+// contain. payload is the beginning of the task's payload, which sets its behaviour;
+// cancel is set if the job is long-running and is cancelled; phase is the job's last
+// phase.
 type logCase struct {
 	payload string
 	cancel  bool
@@ -34,8 +36,8 @@
 	{"lasts", true, "cancelled", []string{"job handed in", "start ordered", "job cancelled", "stop ordered", `"how":"stopped"`, `"phase":"cancelled"`}},
 }
 
-// checkLogs lets a job end in each way without faults, and returns what is missing in
-// the logs about it, and which logs contain payload.
+// checkLogs lets one job end in each way of logCases, without faults. It returns what the
+// logs lack about these jobs, and which logs contain the payload of a job.
 func (d *deployment) checkLogs(ctx context.Context, seed uint64) []string {
 	var out []string
 	for i, c := range logCases {
@@ -53,8 +55,8 @@
 	return out
 }
 
-// checkJobLog lets one job end, and returns the first text that its log lines lack, or
-// how its phase differs.
+// checkJobLog lets one job end, and returns the first text that the job's log lines lack,
+// or how its last phase differs from the expected one.
 func (d *deployment) checkJobLog(ctx context.Context, c *logCase, id string) (missing string) {
 	longRunning := ""
 	if c.cancel {
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// proxyMode is what a proxy does with connections.
+// proxyMode is what a proxy does with the connections of its process.
 type proxyMode int
 
 const (
+	// proxyForwarding forwards all bytes.
 	proxyForwarding proxyMode = iota
 	// proxyResetting resets connections, and closes new ones at once.
 	proxyResetting
@@ -84,10 +85,11 @@
 	}
 }
 
-func (p *proxy) track(c net.Conn, on bool) {
+// track adds an open connection to those that proxyResetting resets, or removes it.
+func (p *proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if on {
+	if open {
 		p.conns[c] = true
 	} else {
 		delete(p.conns, c)
@@ -102,27 +104,29 @@
 	if !p.waitToForward() {
 		return
 	}
-	to, err := net.DialTimeout("tcp", target, time.Second)
+	storeConn, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		return
 	}
-	p.track(to, true)
-	defer p.track(to, false)
-	defer func() { _ = to.Close() }()
-	group.Go(func() { p.copyBytes(to, c) })
-	p.copyBytes(c, to)
+	p.track(storeConn, true)
+	defer p.track(storeConn, false)
+	defer func() { _ = storeConn.Close() }()
+	group.Go(func() { p.copyBytes(storeConn, c) })
+	p.copyBytes(c, storeConn)
 }
 
-func (p *proxy) copyBytes(to, from net.Conn) {
-	defer func() { _ = to.Close() }()
+// copyBytes copies bytes from source to destination, while the proxy's mode allows it,
+// and closes destination at the end.
+func (p *proxy) copyBytes(destination, source net.Conn) {
+	defer func() { _ = destination.Close() }()
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buffer)
+		n, err := source.Read(buffer)
 		if n > 0 && !p.waitToForward() {
 			return
 		}
 		if n > 0 {
-			if _, err := to.Write(buffer[:n]); err != nil {
+			if _, err := destination.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,8 +17,9 @@
 	"time"
 )
 
-// ciSeeds run with every test, together with the seeds that once failed, which are in
-// testdata/regressions.txt. SOAK_SEEDS runs that many seeds from SOAK_SEED on instead.
+// ciSeeds are the seeds of every run of the test, together with the seeds that once
+// failed, which are in testdata/regressions.txt. If the variable SOAK_SEEDS is set, the
+// test instead runs that many seeds, from SOAK_SEED on.
 const ciSeeds = "1"
 
 // maxSettleTime is how long accepted jobs may take to be completed after the last
@@ -26,12 +27,13 @@
 // takes a second.
 const maxSettleTime = 60 * time.Second
 
-// visibleAfter is how long after its acceptance every entry must know a job.
+// visibleAfter is how long after a job's acceptance every entry must know the job.
 const visibleAfter = 3 * time.Second
 
 // faultDuration is how long faults are injected for one seed.
 const faultDuration = 8 * time.Second
 
+// seeds returns the seeds to run.
 func seeds(t *testing.T) []uint64 {
 	t.Helper()
 	list := strings.Fields(ciSeeds)
@@ -92,12 +94,12 @@
 	Jobs       int `json:"jobs"`
 }
 
-// jobOutcome is what the caller of a job knows of it.
+// jobOutcome is what the caller of a job knows of the job.
 type jobOutcome struct {
 	accepted bool
 	// acceptedAt is when the response arrived that accepted the job.
 	acceptedAt time.Time
-	// unknown is set once an attempt to submit had no definite response.
+	// unknown is set once an attempt to submit the job had no definite response.
 	unknown bool
 }
 
@@ -113,13 +115,13 @@
 	jobs := make(map[string]*jobOutcome)
 	r := result{}
 	end := time.Now().Add(faultDuration)
-	for n := 0; time.Now().Before(end); n++ {
-		id := fmt.Sprintf("%016x", seed<<32|uint64(n))
+	for number := 0; time.Now().Before(end); number++ {
+		id := fmt.Sprintf("%016x", seed<<32|uint64(number))
 		jobs[id] = &jobOutcome{}
 		d.submit(ctx, random, id, jobs[id])
 		if random.IntN(6) == 0 {
-			what := d.injectFault(random)
-			t.Logf("%s: %s", time.Now().Format(time.StampMilli), what)
+			fault := d.injectFault(random)
+			t.Logf("%s: %s", time.Now().Format(time.StampMilli), fault)
 			r.Faults++
 		}
 		time.Sleep(time.Duration(30+random.IntN(80)) * time.Millisecond)
@@ -153,7 +155,8 @@
 	}
 }
 
-// check waits until accepted jobs are completed and returns the violations found.
+// check waits until the accepted jobs are completed, at most maxSettleTime, and returns
+// the violations found.
 func (d *deployment) check(ctx context.Context, jobs map[string]*jobOutcome) []string {
 	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
@@ -163,6 +166,8 @@
 		for outcome.accepted && phase != "completed" && ctx.Err() == nil {
 			requestedAt := time.Now()
 			var status int
+			// The names of most phases differ in length, so that different entries are asked in
+			// the course of a job.
 			status, phase = d.call(ctx, http.MethodGet, d.entries[len(phase)%len(d.entries)], id, "")
 			if status == http.StatusGone && requestedAt.Sub(outcome.acceptedAt) > visibleAfter {
 				out = append(out, fmt.Sprintf("accepted job %s is not known %v after its acceptance", id, time.Since(outcome.acceptedAt)))
