--- a/experiments/experiments_test.go
+++ b/experiments/experiments_test.go
@@ -62,6 +62,7 @@
 	Seconds     float64  `json:"seconds"`
 }
 
+// seed returns the seed of the experiments.
 func seed() string {
 	if s := os.Getenv(seedVariable); s != "" {
 		return s
@@ -96,6 +97,7 @@
 	writeJSON(t, filepath.Join(outFolder, "summary.json"), out)
 }
 
+// writeJSON writes v to a file and creates the file's folder.
 func writeJSON(t *testing.T, path string, v any) {
 	t.Helper()
 	data, err := json.Marshal(v)
@@ -110,8 +112,9 @@
 	}
 }
 
-// runExperiment starts the plan's site, runs the load tool against it, injects the
-// plan's signals, restarts and bundles meanwhile, and checks and writes the result.
+// runExperiment starts the plan's site, runs the load tool against it, and meanwhile sends
+// the plan's signals, restarts processes and publishes racing bundles. Then it checks and
+// writes the result.
 func runExperiment(t *testing.T, binary, file string, plan *load.Plan) {
 	t.Helper()
 	s := startSite(t, binary, plan.Site)
@@ -155,6 +158,7 @@
 	printResult(out)
 }
 
+// readResult reads the result that the load tool wrote to a file.
 func readResult(t *testing.T, path string, out *load.Result) {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -175,8 +179,8 @@
 	fmt.Println(string(line))
 }
 
-// sendSignal sends a signal to a process when it is due, and then resumes the
-// process or starts it again.
+// sendSignal sends a signal of the plan to its process when the signal is due, and after
+// the signal's pause resumes the process or starts it again. began is when the load began.
 func (s *site) sendSignal(began time.Time, signal load.Signal) {
 	p := s.processByName(signal.Process)
 	time.Sleep(time.Until(began.Add(signal.At)))
@@ -197,26 +201,26 @@
 	}
 }
 
-// reportError marks the test as failed. Unlike must, it may be called from other
-// goroutines than the test's.
+// reportError marks the test as failed if err is not nil. Unlike must, it does not end the
+// test, so goroutines other than the test's may call it.
 func (s *site) reportError(err error) {
 	if err != nil {
 		s.t.Error(err)
 	}
 }
 
-// restartAll stops and starts every entry and agent in turn. It must finish
-// within length, while load is still being sent.
-func (s *site) restartAll(began time.Time, length time.Duration) {
+// restartAll stops and starts every entry and agent in turn. The test fails unless this
+// ends within loadDuration since began, while load is still being sent.
+func (s *site) restartAll(began time.Time, loadDuration time.Duration) {
 	for _, p := range append(append([]*process{}, s.entries...), s.agents...) {
 		time.Sleep(restartPause)
 		s.stop(p)
 		s.start(p)
-		for !isOK(p.url+"/readyz") && time.Since(began) < length {
+		for !isOK(p.url+"/readyz") && time.Since(began) < loadDuration {
 			time.Sleep(readyPollInterval)
 		}
 	}
-	if took := time.Since(began); took > length {
-		s.t.Errorf("rolling restart took %s, want less than the load's duration of %s", took.Round(time.Second), length)
+	if took := time.Since(began); took > loadDuration {
+		s.t.Errorf("rolling restart took %s, want less than the load's duration of %s", took.Round(time.Second), loadDuration)
 	}
 }
--- a/experiments/races_test.go
+++ b/experiments/races_test.go
@@ -13,12 +13,13 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// bundleSpreadLimit is the time within which a bundle must be in force at every entry and agent.
+// bundleSpreadLimit is the time within which a published bundle must be in force at every
+// entry and agent.
 const bundleSpreadLimit = 5 * time.Second
 
-// raceBundles publishes pairs of bundles with the same parent, each pair at two
-// entries at the same time. It returns the longest time, in milliseconds, until
-// the accepted bundle was in force at every entry and agent.
+// raceBundles publishes a number of pairs of bundles with the same parent, each pair at
+// two entries at the same time. It returns the longest time, in milliseconds, until the
+// accepted bundle of a pair was in force at every entry and agent.
 func (s *site) raceBundles(races int) float64 {
 	longest := time.Duration(0)
 	parent := s.signBundle(s.document)
--- a/experiments/scale_test.go
+++ b/experiments/scale_test.go
@@ -57,7 +57,7 @@
 }
 
 // TestScale measures the resource usage of entries and agents with many agents.
-// Run it by scale.sh, in a network of its own, so that only the site's traffic is
+// Run the test by scale.sh, in a network of its own, so that only the site's traffic is
 // counted.
 func TestScale(t *testing.T) {
 	binary := buildProgram(t)
@@ -67,44 +67,44 @@
 	}
 	out := scaleResult{Target: "scale"}
 	for _, agents := range scaleSizes {
-		size := plan.Site
-		size.Workers = agents
+		siteSize := plan.Site
+		siteSize.Workers = agents
 		t.Run(strconv.Itoa(agents), func(t *testing.T) {
-			s := startSite(t, binary, size)
-			at := scalePoint{Agents: agents}
+			s := startSite(t, binary, siteSize)
+			point := scalePoint{Agents: agents}
 			time.Sleep(scaleSettleTime)
-			at.Idle = s.measureCost(func() { time.Sleep(scaleIdleTime) })
+			point.Idle = s.measureCost(func() { time.Sleep(scaleIdleTime) })
 			folder := filepath.Join(outFolder, "scale-"+strconv.Itoa(agents))
 			busy := s.measureCost(func() { s.runLoadTool("scale.yaml", folder) })
 			var result load.Result
 			readResult(t, filepath.Join(folder, "result.json"), &result)
 			busy.Requests, busy.Starts = result.Requests[0].Sent, result.Jobs[0].Starts
-			at.Busy = busy
-			out.Sizes = append(out.Sizes, at)
-			fmt.Printf("%+v\n", at)
+			point.Busy = busy
+			out.Sizes = append(out.Sizes, point)
+			fmt.Printf("%+v\n", point)
 		})
 	}
 	writeJSON(t, "../out/scale.json", out)
 }
 
-// runLoadTool runs the load tool with the plan in file against the site and lets
-// it write its report to folder.
-func (s *site) runLoadTool(file, folder string) {
-	tool := exec.Command(s.binary, "load", file, "--entry-urls", s.entryURLs(), "--standin-url", s.standin,
-		"--report", folder, "--seed", seed())
+// runLoadTool runs the load tool with the plan in planFile against the site. The tool
+// writes its report to reportFolder.
+func (s *site) runLoadTool(planFile, reportFolder string) {
+	tool := exec.Command(s.binary, "load", planFile, "--entry-urls", s.entryURLs(), "--standin-url", s.standin,
+		"--report", reportFolder, "--seed", seed())
 	tool.Stderr = os.Stderr
 	s.reportError(tool.Run())
 }
 
 // measureCost returns the resource usage of the site's processes while fn runs.
 func (s *site) measureCost(fn func()) scaleCost {
-	before, bytes, began := sampleUsage(s.all), s.peerLinkBytes(), time.Now()
+	before, bytesBefore, began := sampleUsage(s.all), s.peerLinkBytes(), time.Now()
 	fn()
-	length := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	after := sampleUsage(s.all)
-	c := scaleCost{PeerBytesPerAgentPerS: (s.peerLinkBytes() - bytes) / length / float64(len(s.agents))}
-	c.AgentCPU, c.AgentCPUMax, c.AgentMB, c.AgentMBMax = meanAndMaxUsage(s.agents, before, after, length)
-	c.EntryCPU, c.EntryCPUMax, c.EntryMB, c.EntryMBMax = meanAndMaxUsage(s.entries, before, after, length)
+	c := scaleCost{PeerBytesPerAgentPerS: (s.peerLinkBytes() - bytesBefore) / seconds / float64(len(s.agents))}
+	c.AgentCPU, c.AgentCPUMax, c.AgentMB, c.AgentMBMax = meanAndMaxUsage(s.agents, before, after, seconds)
+	c.EntryCPU, c.EntryCPUMax, c.EntryMB, c.EntryMBMax = meanAndMaxUsage(s.entries, before, after, seconds)
 	return c
 }
 
@@ -144,7 +144,7 @@
 // tcpLoopbackBytes estimates the TCP traffic so far: the bytes that the site's
 // processes have read, and the headers of all segments.
 func (s *site) tcpLoopbackBytes() float64 {
-	var read float64
+	var bytesRead float64
 	for _, p := range s.all {
 		if p.cmd == nil {
 			continue
@@ -153,11 +153,11 @@
 		for line := range strings.Lines(string(data)) {
 			if rest, ok := strings.CutPrefix(line, "rchar:"); ok {
 				n, _ := strconv.ParseFloat(strings.TrimSpace(rest), 64)
-				read += n
+				bytesRead += n
 			}
 		}
 	}
-	return read + tcpHeaderBytes*tcpSegments()
+	return bytesRead + tcpHeaderBytes*tcpSegments()
 }
 
 // tcpSegments returns the number of TCP segments sent so far: the 12th field of
--- a/experiments/site_test.go
+++ b/experiments/site_test.go
@@ -48,7 +48,8 @@
 	standin   string
 	entries   []*process
 	agents    []*process
-	all       []*process
+	// all holds the stand-ins' process first, then the entries and the agents.
+	all []*process
 	// peers holds the peer addresses of the entries of each data centre.
 	peers map[string][]string
 }
@@ -56,11 +57,13 @@
 // process is one process of a site, with what is needed to start it again.
 type process struct {
 	name string
-	// binary is the program to run; if empty, the site's.
-	binary  string
-	args    []string
-	url     string
-	cmd     *exec.Cmd
+	// binary is the path of the program to run; if empty, the site's program is run.
+	binary string
+	args   []string
+	url    string
+	// cmd is nil while the process is stopped.
+	cmd *exec.Cmd
+	// cpuTime is the processor time used by the runs that have ended.
 	cpuTime time.Duration
 }
 
@@ -119,6 +122,7 @@
 	return s
 }
 
+// must ends the test if err is not nil.
 func (s *site) must(err error) {
 	s.t.Helper()
 	if err != nil {
@@ -134,6 +138,7 @@
 	return address
 }
 
+// addStandin adds the process that serves the stand-ins.
 func (s *site) addStandin(size load.Site) {
 	address := s.freeAddress()
 	s.standin = "http://" + address
@@ -141,6 +146,8 @@
 	s.all = append(s.all, &process{name: "standin", binary: currentBinary, args: args, url: s.standin + "/counts"})
 }
 
+// processArgs issues a certificate for an entry or agent, and returns the arguments that
+// both have. public is the operator's public key.
 func (s *site) processArgs(role link.Role, dataCentre, name, public string) []string {
 	pem, key, err := s.authority.Issue(time.Now(), certificateValidity, link.NewPeer(role, dataCentre, name))
 	s.must(err)
@@ -152,27 +159,30 @@
 	}
 }
 
+// addEntry adds entry i, which is not started yet.
 func (s *site) addEntry(i int, dataCentre, public string) {
 	name := fmt.Sprintf("entry-%d", i+1)
-	caller, peer := s.freeAddress(), s.freeAddress()
-	s.peers[dataCentre] = append(s.peers[dataCentre], peer)
+	callerAddress, peerAddress := s.freeAddress(), s.freeAddress()
+	s.peers[dataCentre] = append(s.peers[dataCentre], peerAddress)
 	args := append(s.processArgs(link.RoleEntry, dataCentre, name, public),
-		"--open", "--log-url", s.standin+"/log", "--listen", caller, "--peer-listen", peer)
-	p := &process{name: name, args: args, url: "http://" + caller}
+		"--open", "--log-url", s.standin+"/log", "--listen", callerAddress, "--peer-listen", peerAddress)
+	p := &process{name: name, args: args, url: "http://" + callerAddress}
 	s.entries = append(s.entries, p)
 	s.all = append(s.all, p)
 }
 
+// addAgent adds agent i, which is not started yet and sends heartbeats to the entries of
+// its data centre.
 func (s *site) addAgent(i int, dataCentre, public string) {
 	name := fmt.Sprintf("worker-%d", i+1)
-	admin := s.freeAddress()
+	adminAddress := s.freeAddress()
 	args := append(s.processArgs(link.RoleAgent, dataCentre, name, public),
 		"--service", s.document.Services[0].Name, "--rack", fmt.Sprintf("rack-%d", i/workersPerRack+1),
-		"--listen", s.freeAddress(), "--admin-listen", admin, "--heartbeat-every", heartbeatEvery,
+		"--listen", s.freeAddress(), "--admin-listen", adminAddress, "--heartbeat-every", heartbeatEvery,
 		"--runner-url", fmt.Sprintf("%s/runners/%d", s.standin, i+1),
 		"--worker-url", fmt.Sprintf("%s/workers/%d", s.standin, i+1),
 		"--entries", strings.Join(s.peers[dataCentre], ","))
-	p := &process{name: name, args: args, url: "http://" + admin}
+	p := &process{name: name, args: args, url: "http://" + adminAddress}
 	s.agents = append(s.agents, p)
 	s.all = append(s.all, p)
 }
@@ -195,6 +205,7 @@
 	return nil
 }
 
+// start starts a process, whose output is appended to its log file.
 func (s *site) start(p *process) {
 	f, err := os.OpenFile(s.path(p.name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, fileMode)
 	s.must(err)
@@ -204,8 +215,8 @@
 	s.must(f.Close())
 }
 
-// wait waits until a process that was told to end has ended, and adds up the
-// processor time that it used.
+// wait waits until a process that was told to end has ended, and adds the processor time
+// that it used to cpuTime.
 func (p *process) wait() error {
 	err := p.cmd.Wait()
 	p.cpuTime += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
@@ -221,8 +232,8 @@
 	}
 }
 
-// stopAll kills the processes that still run. If the test has failed, it copies
-// their logs to out/logs.
+// stopAll kills the processes that still run. If the test has failed, stopAll copies the
+// logs of all processes to out/logs.
 func (s *site) stopAll() {
 	for _, p := range s.all {
 		if p.cmd != nil && p.cmd.Process != nil {
@@ -252,6 +263,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// eventually waits until fn returns true, and fails the test after readyTimeout. condition
+// describes what fn checks.
 func (s *site) eventually(condition string, fn func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
@@ -284,6 +297,7 @@
 	return resp.StatusCode
 }
 
+// publishFirst publishes the site's first bundle, repeatedly until an entry accepts it.
 func (s *site) publishFirst() {
 	signed := s.signBundle(s.document)
 	s.eventually("first bundle in force", func() bool { return s.publish(s.entries[0], signed) == http.StatusOK })
--- a/experiments/usage_test.go
+++ b/experiments/usage_test.go
@@ -60,16 +60,16 @@
 	return 0
 }
 
-// setMaxUsage sets the highest usage of any entry and any agent between two
-// samples that are length apart. A process that was restarted in between counts
-// from its start.
-func (c *experimentResult) setMaxUsage(before, after map[string]usageSample, length time.Duration) {
-	for name, a := range after {
-		spent := a.cpu
-		if b := before[name]; b.pid == a.pid {
-			spent -= b.cpu
+// setMaxUsage sets the highest usage of any entry and any agent between two samples that
+// were taken the given time apart. A process that was restarted in between counts from
+// its restart.
+func (c *experimentResult) setMaxUsage(before, after map[string]usageSample, elapsed time.Duration) {
+	for name, last := range after {
+		cpu := last.cpu
+		if first := before[name]; first.pid == last.pid {
+			cpu -= first.cpu
 		}
-		share, memoryMB := spent.Seconds()/length.Seconds(), a.memoryKB>>10
+		share, memoryMB := cpu.Seconds()/elapsed.Seconds(), last.memoryKB>>10
 		switch {
 		case strings.HasPrefix(name, "entry-"):
 			c.MaxEntryCPU, c.MaxEntryMemoryMB = max(c.MaxEntryCPU, share), max(c.MaxEntryMemoryMB, memoryMB)
