--- a/internal/bench/log/appends.go
+++ b/internal/bench/log/appends.go
@@ -29,8 +29,8 @@
 	histogramDigits      = 3
 )
 
-// appendLoad holds the writers of all entries, by data centre, and the
-// measurements.
+// appendLoad holds the writers of all entries, by data centre, and the measurements:
+// the latencies of the appends in milliseconds and the number of records.
 type appendLoad struct {
 	writers     [][]*services.Writer
 	group       sync.WaitGroup
@@ -44,14 +44,14 @@
 // assignment, the start and the end of each task, by any of the entries of a data
 // centre.
 func measureAppends(ctx context.Context, r *Result) error {
-	l, err := newHarness()
+	h, err := newHarness()
 	if err != nil {
 		return err
 	}
-	defer l.close()
-	service := new(standin.Log)
-	service.SetFaults(standin.LogFaults{DelayMS: logDelayMS})
-	url, err := l.serve(service.Handler())
+	defer h.close()
+	logService := new(standin.Log)
+	logService.SetFaults(standin.LogFaults{DelayMS: logDelayMS})
+	url, err := h.serve(logService.Handler())
 	if err != nil {
 		return err
 	}
@@ -64,18 +64,20 @@
 	began := time.Now()
 	load.run(ctx)
 	load.group.Wait()
-	took := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	stop()
 	writers.Wait()
 	if load.err != nil {
 		return load.err
 	}
-	r.AppendsPerSecond = float64(service.Appends()) / took
-	r.RecordsPerSecond = float64(load.records) / took
+	r.AppendsPerSecond = float64(logService.Appends()) / seconds
+	r.RecordsPerSecond = float64(load.records) / seconds
 	r.AppendP99MS = float64(load.latenciesMS.ValueAtQuantile(99))
 	return nil
 }
 
+// addWriters adds the writers of one data centre's entries, and runs them in group until
+// ctx ends.
 func (a *appendLoad) addWriters(ctx context.Context, group *sync.WaitGroup, url, dataCentre string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: entriesPerDataCentre}}
 	var writers []*services.Writer
@@ -88,6 +90,8 @@
 	a.writers = append(a.writers, writers)
 }
 
+// run starts startsPerSecond tasks per second for appendMeasurePeriod, and appends the
+// records of each.
 func (a *appendLoad) run(ctx context.Context) {
 	began := time.Now()
 	started := 0
--- a/internal/bench/log/bench.go
+++ b/internal/bench/log/bench.go
@@ -25,14 +25,17 @@
 
 // Result is the benchmark's output.
 type Result struct {
-	AppendsPerSecond     float64 `json:"appends-per-s-300-starts"`
-	RecordsPerSecond     float64 `json:"appends-per-s-300-starts-one-each"`
-	AppendP99MS          float64 `json:"append-p99-ms-300-starts"`
+	AppendsPerSecond float64 `json:"appends-per-s-300-starts"`
+	RecordsPerSecond float64 `json:"appends-per-s-300-starts-one-each"`
+	AppendP99MS      float64 `json:"append-p99-ms-300-starts"`
+	// InForceSeconds and InForceFaultySeconds are the longest times until a bundle was in
+	// force in every process, without and with faults.
 	InForceSeconds       float64 `json:"bundle-in-force-s"`
 	InForceFaultySeconds float64 `json:"bundle-in-force-lossy-s"`
 	Rollouts             int     `json:"bundle-rolls"`
 	ControlResult
 	RecoveryResult
+	// TookS is the duration of the whole benchmark in seconds.
 	TookS float64 `json:"took-s"`
 }
 
@@ -100,6 +103,7 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
+// identity returns the identity of a peer with a new certificate of the authority.
 func (l *harness) identity(role link.Role, dataCentre, name string) (*link.Identity, error) {
 	certificate, key, err := l.authority.Issue(time.Now(), certificateLifetime, link.NewPeer(role, dataCentre, name))
 	if err != nil {
--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -48,8 +48,8 @@
 	BytesPerSecond11      float64 `json:"control-bytes-per-s-11"`
 	BytesPerSecond100     float64 `json:"control-bytes-per-s-100"`
 	BytesPerSecond400     float64 `json:"control-bytes-per-s-400"`
-	// AgentBytesPerSecond and EntryBytes are the bytes per second of one agent and of one
-	// entry at the target size.
+	// AgentBytesPerSecond and EntryBytesPerSecond are the bytes per second of one agent and
+	// of one entry at the target size. BytesPerSecond1400 is the larger of the two.
 	AgentBytesPerSecond float64 `json:"control-bytes-per-s-1400-agent"`
 	EntryBytesPerSecond float64 `json:"control-bytes-per-s-1400-entry"`
 	BytesPerSecond1400  float64 `json:"control-bytes-per-s-1400"`
@@ -90,19 +90,19 @@
 	return nil
 }
 
-// controlRates are the heartbeats, bytes, datagrams and processor seconds per
-// second of one run.
+// controlRates are the heartbeats, bytes, datagrams and processor seconds per second of
+// one measurement.
 type controlRates struct{ heartbeats, bytes, datagrams, cpu float64 }
 
-// measureControlRates measures heartbeats, bytes and datagrams through a proxy, and
-// the processor time per heartbeat without it.
+// measureControlRates measures heartbeats, bytes and datagrams through a proxy, and the
+// processor time per heartbeat without the proxy, which would add to it.
 func measureControlRates(ctx context.Context, agents int) (controlRates, error) {
-	l, err := newHarness()
+	h, err := newHarness()
 	if err != nil {
 		return controlRates{}, err
 	}
 	live, stop := context.WithCancel(ctx)
-	c := &controlTestbed{harness: l, log: new(standin.Log)}
+	c := &controlTestbed{harness: h, log: new(standin.Log)}
 	defer func() {
 		for _, client := range c.clients {
 			_ = client.Close()
@@ -112,7 +112,7 @@
 		if c.proxy != nil {
 			c.proxy.close()
 		}
-		l.close()
+		h.close()
 	}()
 	if err := c.start(live, agents); err != nil {
 		return controlRates{}, err
@@ -140,6 +140,7 @@
 
 const controlDataCentre = "dc-1"
 
+// start starts the entry and prepares the clients of a number of agents.
 func (c *controlTestbed) start(ctx context.Context, agents int) error {
 	url, err := c.serve(c.log.Handler())
 	if err != nil {
@@ -171,10 +172,10 @@
 	return nil
 }
 
-// addAgent prepares the client and the heartbeat of one agent and appends its tasks
-// to the log.
-func (c *controlTestbed) addAgent(i int) error {
-	name := fmt.Sprintf("worker-%d", i)
+// addAgent prepares the client and the heartbeat of the agent with an index, and appends
+// the agent's tasks to the log.
+func (c *controlTestbed) addAgent(index int) error {
+	name := fmt.Sprintf("worker-%d", index)
 	id, err := c.identity(link.RoleAgent, controlDataCentre, name)
 	if err != nil {
 		return err
@@ -184,11 +185,11 @@
 	assign := new(record.Assign)
 	started := new(record.Started)
 	h := &link.Heartbeat{
-		Worker: name, Rack: fmt.Sprintf("rack-%d", i/3), Service: "planner", Address: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
+		Worker: name, Rack: fmt.Sprintf("rack-%d", index/3), Service: "planner", Address: fmt.Sprintf("10.1.%d.%d:8443", index/250, index%250),
 		Incarnation: uint64(time.Now().UnixNano()), Slots: 8, InFlight: 3, Ready: true,
 		Total: worker.Resources{MilliCPU: 16000, MemoryMB: 60000}, Free: worker.Resources{MilliCPU: 4000, MemoryMB: 9000},
 	}
-	epoch := record.NewPosition(uint64(i), 1)
+	epoch := record.NewPosition(uint64(index), 1)
 	for t := range uint32(tasksPerWorker) {
 		assignment := record.AssignmentID{Task: record.TaskID{Job: spec.ID, Index: t}, Epoch: epoch}
 		assign.Placements = append(assign.Placements, record.Placement{Task: assignment.Task, Worker: name})
@@ -204,8 +205,9 @@
 	return nil
 }
 
-// measure sends every agent's heartbeats to an address. It starts to count when
-// all connections should be established, after warmUpHeartbeats per agent.
+// measure sends every agent's heartbeats to an address and returns the rates during
+// controlMeasurePeriod. This begins after warmUpHeartbeats per agent, when all connections
+// should be established.
 func (c *controlTestbed) measure(ctx context.Context, address string) (controlRates, error) {
 	var group sync.WaitGroup
 	var heartbeats, failed atomic.Int64
@@ -218,15 +220,15 @@
 		continue
 	}
 	heartbeats.Store(0)
-	bytes, datagrams := c.proxy.bytes.Load(), c.proxy.datagrams.Load()
-	cpu, began := processorTime(), time.Now()
+	bytesBefore, datagramsBefore := c.proxy.bytes.Load(), c.proxy.datagrams.Load()
+	cpuBefore, began := processorTime(), time.Now()
 	delay.For(ctx, controlMeasurePeriod)
-	took := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	s := controlRates{
-		heartbeats: float64(heartbeats.Load()) / took,
-		bytes:      float64(c.proxy.bytes.Load()-bytes) / took,
-		datagrams:  float64(c.proxy.datagrams.Load()-datagrams) / took,
-		cpu:        (processorTime() - cpu).Seconds() / took,
+		heartbeats: float64(heartbeats.Load()) / seconds,
+		bytes:      float64(c.proxy.bytes.Load()-bytesBefore) / seconds,
+		datagrams:  float64(c.proxy.datagrams.Load()-datagramsBefore) / seconds,
+		cpu:        (processorTime() - cpuBefore).Seconds() / seconds,
 	}
 	stop()
 	group.Wait()
@@ -236,13 +238,15 @@
 	return s, ctx.Err()
 }
 
-func (c *controlTestbed) sendHeartbeats(ctx context.Context, i int, address string, heartbeats, failed *atomic.Int64) {
+// sendHeartbeats sends the heartbeats of the agent with an index to an address, until ctx ends.
+// It counts the answered heartbeats in heartbeats and the others in failed.
+func (c *controlTestbed) sendHeartbeats(ctx context.Context, agentIndex int, address string, heartbeats, failed *atomic.Int64) {
 	delay.For(ctx, rand.N(controlHeartbeatInterval))
-	h := *c.heartbeats[i]
+	h := *c.heartbeats[agentIndex]
 	var sender link.HeartbeatSender
 	for ctx.Err() == nil {
 		h.Round++
-		if err := c.sendHeartbeat(ctx, i, address, &sender, &h); err == nil {
+		if err := c.sendHeartbeat(ctx, agentIndex, address, &sender, &h); err == nil {
 			heartbeats.Add(1)
 		} else if ctx.Err() == nil {
 			failed.Add(1)
@@ -251,14 +255,15 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat as an agent does.
-func (c *controlTestbed) sendHeartbeat(ctx context.Context, i int, address string, sender *link.HeartbeatSender, h *link.Heartbeat) error {
+// sendHeartbeat sends one heartbeat of the agent with an index. As real agents do, it
+// leaves out the heartbeat's stable part while the entry has that part.
+func (c *controlTestbed) sendHeartbeat(ctx context.Context, agentIndex int, address string, sender *link.HeartbeatSender, h *link.Heartbeat) error {
 	sent, digest, err := sender.Compact(address, h)
 	if err != nil {
 		return err
 	}
 	var reply link.HeartbeatReply
-	if err := c.clients[i].Call(ctx, address, link.PathHeartbeat, sent, &reply); err != nil {
+	if err := c.clients[agentIndex].Call(ctx, address, link.PathHeartbeat, sent, &reply); err != nil {
 		return err
 	}
 	sender.HandleReply(address, digest, &reply)
--- a/internal/bench/log/recovery.go
+++ b/internal/bench/log/recovery.go
@@ -37,7 +37,7 @@
 	RecoveryMB         float64 `json:"recovery-mb"`
 }
 
-// measureRecovery starts an entry with streams of two lengths.
+// measureRecovery measures the start of an entry with streams of two lengths.
 func measureRecovery(ctx context.Context, r *Result) error {
 	var err error
 	if r.RecoverySeconds4K, _, err = recoverEntry(ctx, 4096); err != nil {
@@ -57,6 +57,7 @@
 	err          error
 }
 
+// add appends a batch and returns its position. It keeps an error in err.
 func (w *streamWriter) add(messages ...record.Message) record.Position {
 	data, err := record.Encode("writer", w.lastSeq+1, messages)
 	if err != nil {
@@ -77,9 +78,9 @@
 	return record.NewPosition(w.lastOffset, 0)
 }
 
-// fill writes batches of records until the stream has the given number of them.
-// Jobs are submitted, run, end and are forgotten later, so that finally the jobs of
-// a day are known and recoveryOpenTasks tasks are running.
+// fill writes batches of records until the stream has the given number of batches. Jobs
+// are submitted, run, end and are forgotten later, so that finally the jobs of a day are
+// known and recoveryOpenTasks tasks are running.
 func (w *streamWriter) fill(batches int) {
 	open := make([]record.AssignmentID, 0, recoveryOpenTasks)
 	for i := 0; int(w.lastOffset) < batches && w.err == nil; i++ {
@@ -96,12 +97,15 @@
 		if i >= recoveryKnownJobs {
 			w.add(&record.Forget{Jobs: []string{fmt.Sprintf("job-%d", i-recoveryKnownJobs)}})
 		}
+		// Each job adds at most 5 batches, so a snapshot follows every
+		// snapshotIntervalBatches batches.
 		if w.lastOffset/snapshotIntervalBatches != (w.lastOffset-min(w.lastOffset, 5))/snapshotIntervalBatches {
 			w.snapshot()
 		}
 	}
 }
 
+// snapshot appends a snapshot of the state machine.
 func (w *streamWriter) snapshot() {
 	parts, err := w.stateMachine.Snapshot(fmt.Sprintf("snapshot-%d", w.lastOffset), maxSnapshotPartBytes)
 	if err != nil {
@@ -114,21 +118,21 @@
 	}
 }
 
-// recoverEntry returns how long a new entry takes until it knows all tasks of the
-// stream, and the memory in MB that it then uses.
+// recoverEntry returns how long a new entry takes until it knows all tasks of a stream
+// with the given number of batches, and the memory in MB that it then uses.
 func recoverEntry(ctx context.Context, batches int) (seconds, mb float64, err error) {
-	l, err := newHarness()
+	h, err := newHarness()
 	if err != nil {
 		return 0, 0, err
 	}
 	w := &streamWriter{log: new(standin.Log)}
 	w.fill(batches)
-	want := w.stateMachine.Len()
+	wantTasks := w.stateMachine.Len()
 	w.stateMachine = job.StateMachine{}
 	if w.err != nil {
 		return 0, 0, w.err
 	}
-	url, err := l.serve(w.log.Handler())
+	url, err := h.serve(w.log.Handler())
 	if err != nil {
 		return 0, 0, err
 	}
@@ -137,17 +141,17 @@
 	defer func() {
 		stop()
 		running.Wait()
-		l.close()
+		h.close()
 	}()
-	id, err := l.identity(link.RoleEntry, controlDataCentre, "entry-1")
+	id, err := h.identity(link.RoleEntry, controlDataCentre, "entry-1")
 	if err != nil {
 		return 0, 0, err
 	}
-	before := heapMB()
+	heapBeforeMB := heapMB()
 	began := time.Now()
 	e, err := entry.New(began, entry.Settings{
 		Name: "entry-1", DataCentre: controlDataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
-		LogURL: url, Roots: l.roots, DrainDelay: drainDelay, AllowUnauthenticated: true,
+		LogURL: url, Roots: h.roots, DrainDelay: drainDelay, AllowUnauthenticated: true,
 	}, id, discardLogger())
 	if err != nil {
 		return 0, 0, err
@@ -155,14 +159,16 @@
 	running.Go(func() { _ = e.Run(live) })
 	waitCtx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
-	for taskCount(waitCtx, e) < want {
+	for taskCount(waitCtx, e) < wantTasks {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, 0, errors.Wrapf(ErrGuarantee, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), want, recoveryTimeout)
+			return 0, 0, errors.Wrapf(ErrGuarantee, "%d batches: %d of %d tasks known after %s", batches, taskCount(ctx, e), wantTasks, recoveryTimeout)
 		}
 	}
-	return time.Since(began).Seconds(), heapMB() - before, nil
+	return time.Since(began).Seconds(), heapMB() - heapBeforeMB, nil
 }
 
+// taskCount returns the number of tasks that an entry knows, or 0 if the entry does not
+// answer.
 func taskCount(ctx context.Context, e *entry.Entry) int {
 	var status entry.Status
 	if getJSON(ctx, "http://"+e.Address()+"/status", &status) != nil {
@@ -177,7 +183,7 @@
 
 const bytesPerMB = 1 << 20
 
-// heapMB returns the size of the live heap.
+// heapMB returns the size of the live heap after a garbage collection, in MB.
 func heapMB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/bench/log/rollout.go
+++ b/internal/bench/log/rollout.go
@@ -45,21 +45,23 @@
 // proxies in front of the entries.
 type testbed struct {
 	*harness
-	log          *standin.Log
-	logURL       string
-	entries      []*entry.Entry
-	proxies      []*udpProxy
-	running      sync.WaitGroup
-	version      uint64
-	newestDigest string
+	log           *standin.Log
+	logURL        string
+	entries       []*entry.Entry
+	proxies       []*udpProxy
+	running       sync.WaitGroup
+	bundleVersion uint64
+	newestDigest  string
 }
 
+// measureInForce measures how long bundles take until they are in force everywhere,
+// without faults and with faults of the network and the log.
 func measureInForce(ctx context.Context, r *Result) error {
-	l, err := newHarness()
+	h, err := newHarness()
 	if err != nil {
 		return err
 	}
-	s := &testbed{harness: l, log: new(standin.Log)}
+	s := &testbed{harness: h, log: new(standin.Log)}
 	live, stop := context.WithCancel(ctx)
 	defer func() {
 		stop()
@@ -67,7 +69,7 @@
 		for _, p := range s.proxies {
 			p.close()
 		}
-		l.close()
+		h.close()
 	}()
 	if err := s.start(live); err != nil {
 		return err
@@ -86,12 +88,12 @@
 	return err
 }
 
-// measureRollouts rolls out several bundles, each after a call of fault, and
-// returns the longest time in seconds.
-func (s *testbed) measureRollouts(ctx context.Context, count int, fault func()) (float64, error) {
+// measureRollouts rolls out a number of bundles, each after a call of injectFault, and
+// returns the longest time that one took, in seconds.
+func (s *testbed) measureRollouts(ctx context.Context, count int, injectFault func()) (float64, error) {
 	longest := 0.0
 	for range count {
-		fault()
+		injectFault()
 		took, err := s.rollOut(ctx)
 		if err != nil {
 			return 0, err
@@ -110,6 +112,7 @@
 	})
 }
 
+// start starts the log, and the entries and agents of all data centres.
 func (s *testbed) start(ctx context.Context) error {
 	var err error
 	if s.logURL, err = s.serve(s.log.Handler()); err != nil {
@@ -146,13 +149,13 @@
 	if err != nil {
 		return "", err
 	}
-	r, err := newUDPProxy()
+	proxy, err := newUDPProxy()
 	if err != nil {
 		return "", err
 	}
-	s.proxies = append(s.proxies, r)
+	s.proxies = append(s.proxies, proxy)
 	e, err := entry.New(time.Now(), entry.Settings{
-		Name: name, DataCentre: dataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", PeerAdvertise: r.address(),
+		Name: name, DataCentre: dataCentre, Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", PeerAdvertise: proxy.address(),
 		LogURL: s.logURL, Roots: s.roots, DrainDelay: drainDelay, AllowUnauthenticated: true,
 	}, id, discardLogger())
 	if err != nil {
@@ -160,9 +163,10 @@
 	}
 	s.entries = append(s.entries, e)
 	s.running.Go(func() { _ = e.Run(ctx) })
-	return r.address(), r.setServer(e.PeerListenAddress())
+	return proxy.address(), proxy.setServer(e.PeerListenAddress())
 }
 
+// startAgent starts an agent that sends heartbeats to the given addresses of entries.
 func (s *testbed) startAgent(ctx context.Context, dataCentre, name string, entries []string) error {
 	id, err := s.identity(link.RoleAgent, dataCentre, name)
 	if err != nil {
@@ -184,8 +188,9 @@
 	return nil
 }
 
-// rollOut publishes the next bundle and returns how long it took until it was in
-// force in every process, as the entries report for themselves and their agents.
+// rollOut publishes the next bundle and returns how long it took until the bundle was in
+// force in every process, according to the status of the entries, which includes their
+// agents.
 func (s *testbed) rollOut(ctx context.Context) (time.Duration, error) {
 	content, err := bundle.Format(s.nextDocument())
 	if err != nil {
@@ -202,13 +207,13 @@
 	defer cancel()
 	for !s.publish(waitCtx, data) {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not published within %s", s.version, rolloutTimeout)
+			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not published within %s", s.bundleVersion, rolloutTimeout)
 		}
 	}
 	s.newestDigest = bundle.Digest(content)
 	for !s.inForceEverywhere(waitCtx) {
 		if !delay.For(waitCtx, pollInterval) {
-			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not in force in every entry and agent within %s", s.version, rolloutTimeout)
+			return 0, errors.Wrapf(ErrGuarantee, "bundle version %d was not in force in every entry and agent within %s", s.bundleVersion, rolloutTimeout)
 		}
 	}
 	return time.Since(began), nil
@@ -217,19 +222,21 @@
 // nextDocument returns the next version of the bundle, with as many teams as at the
 // target size.
 func (s *testbed) nextDocument() *bundle.Document {
-	s.version++
-	d := &bundle.Document{Version: s.version, Parent: s.newestDigest, Operators: s.roots}
+	s.bundleVersion++
+	d := &bundle.Document{Version: s.bundleVersion, Parent: s.newestDigest, Operators: s.roots}
 	for i := range targetTeams {
 		d.Teams = append(d.Teams, bundle.Team{
 			Name:  fmt.Sprintf("team-%d", i),
-			Quota: worker.Resources{MilliCPU: int64(1000 * (i + int(s.version))), MemoryMB: 4096},
+			Quota: worker.Resources{MilliCPU: int64(1000 * (i + int(s.bundleVersion))), MemoryMB: 4096},
 		})
 	}
 	return d
 }
 
+// publish sends an encoded bundle to one of the entries, which it varies from version to
+// version, and reports whether the entry accepted the bundle.
 func (s *testbed) publish(ctx context.Context, data []byte) bool {
-	e := s.entries[int(s.version)%len(s.entries)]
+	e := s.entries[int(s.bundleVersion)%len(s.entries)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Address()+"/bundles", bytes.NewReader(data))
 	if err != nil {
 		return false
@@ -262,6 +269,7 @@
 	return true
 }
 
+// getJSON decodes the response to a GET request into out.
 func getJSON(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/bench/log/udpproxy.go
+++ b/internal/bench/log/udpproxy.go
@@ -18,15 +18,15 @@
 
 // linkFaults are the faults of a simulated link.
 type linkFaults struct {
-	// delay is the minimum delay of a datagram; a random time of up to jitter is
+	// delay is the minimum delay of a datagram, to which a random time of up to jitter is
 	// added.
 	delay, jitter time.Duration
 	// lossRate is the fraction of datagrams that are dropped.
 	lossRate float64
 }
 
-// udpProxy forwards datagrams between clients and one server, with the faults that
-// are set, and counts them and their bytes.
+// udpProxy forwards datagrams between clients and one server, with the faults that are
+// set, and counts the datagrams and their bytes, with IP and UDP headers.
 type udpProxy struct {
 	// clientSide is the socket to which clients send.
 	clientSide *net.UDPConn
@@ -37,26 +37,27 @@
 
 	group sync.WaitGroup
 	mu    sync.Mutex
-	// serverSides holds the socket towards the server of each client address.
+	// serverSides holds, by client address, the socket through which the client's datagrams
+	// go to the server.
 	serverSides map[string]*net.UDPConn
 	closed      bool
 }
 
 // newUDPProxy returns a proxy that drops all datagrams until it has a server.
 func newUDPProxy() (*udpProxy, error) {
-	front, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	clientSide, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	r := &udpProxy{clientSide: front, serverSides: make(map[string]*net.UDPConn)}
+	r := &udpProxy{clientSide: clientSide, serverSides: make(map[string]*net.UDPConn)}
 	r.group.Go(r.forwardRequests)
 	return r, nil
 }
 
 // setServer sets the address of the server.
 func (r *udpProxy) setServer(server string) error {
-	to, err := net.ResolveUDPAddr("udp", server)
-	r.server.Store(to)
+	address, err := net.ResolveUDPAddr("udp", server)
+	r.server.Store(address)
 	return err
 }
 
@@ -77,26 +78,26 @@
 func (r *udpProxy) forwardRequests() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := r.clientSide.ReadFromUDP(buffer)
+		n, client, err := r.clientSide.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
 		if r.server.Load() == nil {
 			continue
 		}
-		back, err := r.serverSide(from)
+		serverSide, err := r.serverSide(client)
 		if err != nil {
 			return
 		}
-		r.forward(buffer[:n], func(data []byte) { _, _ = back.Write(data) })
+		r.forward(buffer[:n], func(data []byte) { _, _ = serverSide.Write(data) })
 	}
 }
 
 // serverSide returns the socket from which a client's datagrams go to the server.
-func (r *udpProxy) serverSide(from *net.UDPAddr) (*net.UDPConn, error) {
+func (r *udpProxy) serverSide(client *net.UDPAddr) (*net.UDPConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := from.String()
+	key := client.String()
 	if b, ok := r.serverSides[key]; ok {
 		return b, nil
 	}
@@ -108,22 +109,23 @@
 		return nil, err
 	}
 	r.serverSides[key] = b
-	r.group.Go(func() { r.forwardReplies(b, from) })
+	r.group.Go(func() { r.forwardReplies(b, client) })
 	return b, nil
 }
 
 // forwardReplies forwards datagrams from the server to a client.
-func (r *udpProxy) forwardReplies(back *net.UDPConn, to *net.UDPAddr) {
+func (r *udpProxy) forwardReplies(serverSide *net.UDPConn, client *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, err := back.Read(buffer)
+		n, err := serverSide.Read(buffer)
 		if err != nil {
 			return
 		}
-		r.forward(buffer[:n], func(data []byte) { _, _ = r.clientSide.WriteToUDP(data, to) })
+		r.forward(buffer[:n], func(data []byte) { _, _ = r.clientSide.WriteToUDP(data, client) })
 	}
 }
 
+// forward counts a datagram and passes it to send, with the faults that are set.
 func (r *udpProxy) forward(data []byte, send func([]byte)) {
 	r.datagrams.Add(1)
 	r.bytes.Add(int64(len(data) + headerBytes))
--- a/internal/bench/log/udpproxy_test.go
+++ b/internal/bench/log/udpproxy_test.go
@@ -32,11 +32,11 @@
 		t.Fatal(err)
 	}
 	buffer := make([]byte, maxDatagramBytes)
-	n, from, err := server.ReadFromUDP(buffer)
+	n, source, err := server.ReadFromUDP(buffer)
 	if err != nil || string(buffer[:n]) != "question" {
 		t.Fatalf("server: got %q, error %v", buffer[:n], err)
 	}
-	if _, err := server.WriteToUDP([]byte("answer"), from); err != nil {
+	if _, err := server.WriteToUDP([]byte("answer"), source); err != nil {
 		t.Fatal(err)
 	}
 	n, err = client.Read(buffer)
