--- a/internal/bench/request/baseline.go
+++ b/internal/bench/request/baseline.go
@@ -10,7 +10,9 @@
 	index   int
 	running int
 	queue   []*call
-	onEnd   func(c *call, ok bool)
+	// onEnd is called at the end of an attempt; ok is set unless the attempt failed or was
+	// refused.
+	onEnd func(c *call, ok bool)
 }
 
 // receive queues a request, or refuses it if all connections are in use.
@@ -23,6 +25,7 @@
 	v.startQueued()
 }
 
+// startQueued starts queued requests while slots are free.
 func (v *fifoEndpoint) startQueued() {
 	for v.running < slotsPerEndpoint && len(v.queue) > 0 {
 		c := v.queue[0]
@@ -52,16 +55,19 @@
 	return true, min(serviceTimeAt(index, c.serviceTime), max(c.deadline.Sub(s.now), 0))
 }
 
-// directPolicy sends each request at once to the endpoint that pick returns; it
+// directPolicy sends each request at once to the endpoint whose index pick returns. It
 // has no queue of its own.
 type directPolicy struct {
-	s          *sim
-	servers    [endpointCount]*fifoEndpoint
-	inFlight   [][endpointCount]int
+	s       *sim
+	servers [endpointCount]*fifoEndpoint
+	// inFlight holds, by entry and endpoint, the number of requests in flight.
+	inFlight [][endpointCount]int
+	// lastPicked holds, by entry, the endpoint that round-robin picked last.
 	lastPicked []int
 	pick       func(p *directPolicy, c *call) int
 }
 
+// newDirectPolicy returns a policy that sends requests to the endpoints that pick returns.
 func newDirectPolicy(s *sim, pick func(p *directPolicy, c *call) int) policy {
 	p := &directPolicy{s: s, pick: pick, inFlight: make([][endpointCount]int, s.deployment.entries), lastPicked: make([]int, s.deployment.entries)}
 	for i := range p.lastPicked {
@@ -80,6 +86,8 @@
 	p.s.schedule(hopDelay, func() { p.servers[i].receive(c) })
 }
 
+// attemptEnded handles the end of an attempt at endpoint i: the entry settles the request
+// or retries it at another endpoint.
 func (p *directPolicy) attemptEnded(i int, c *call, ok bool) {
 	p.s.schedule(hopDelay, func() {
 		p.inFlight[c.entry][i]--
@@ -146,6 +154,7 @@
 	p.startQueued()
 }
 
+// startQueued sends queued requests to endpoints with free slots.
 func (p *centralQueue) startQueued() {
 	for len(p.queue) > 0 {
 		c := p.queue[0]
@@ -164,6 +173,8 @@
 	}
 }
 
+// start runs an attempt at endpoint i, and queues the request again at the head if the
+// attempt fails.
 func (p *centralQueue) start(i int, c *call) {
 	ok, spent := startAttempt(p.s, i, c)
 	p.s.schedule(spent+hopDelay, func() {
--- a/internal/bench/request/bench.go
+++ b/internal/bench/request/bench.go
@@ -47,18 +47,18 @@
 		c := compare(&deployments[i], s.Length, s.Seeds)
 		c.print(w, &deployments[i])
 		r := c.ratios()
-		sum.CrestP99RatioToRoundRobin = max(sum.CrestP99RatioToRoundRobin, r.crestToRoundRobin)
-		sum.WorstP99RatioToBest = max(sum.WorstP99RatioToBest, r.worstToBest)
+		sum.CrestP99RatioToRoundRobin = max(sum.CrestP99RatioToRoundRobin, r.crestP99ToRoundRobin)
+		sum.WorstP99RatioToBest = max(sum.WorstP99RatioToBest, r.worstP99ToBest)
 		sum.OverloadGoodputRatio = min(sum.OverloadGoodputRatio, r.overloadGoodput)
-		sum.OverloadUsefulWorkRatio = min(sum.OverloadUsefulWorkRatio, r.overloadWork)
+		sum.OverloadUsefulWorkRatio = min(sum.OverloadUsefulWorkRatio, r.overloadUsefulWork)
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 	}
 	_, _ = fmt.Fprintln(w)
-	sum.RouteNS11, _ = routeCost(w, 11)
-	sum.RouteNS200, sum.RouteAllocs200 = routeCost(w, 200)
-	sum.RouteNS1400, _ = routeCost(w, 1400)
+	sum.RouteNS11, _ = measureRouteCost(w, 11)
+	sum.RouteNS200, sum.RouteAllocs200 = measureRouteCost(w, 200)
+	sum.RouteNS1400, _ = measureRouteCost(w, 1400)
 	if err := sum.measureHops(ctx, w, s.Calls); err != nil {
 		return err
 	}
--- a/internal/bench/request/compare.go
+++ b/internal/bench/request/compare.go
@@ -26,8 +26,8 @@
 // roundRobinIndex is the index of round-robin in comparedPolicies.
 const roundRobinIndex = 2
 
-// scenario is a load under which policies are compared. If crest is set, it is
-// not run: its results are the requests of the swing scenario that arrived at
+// scenario is a load under which policies are compared. If crest is set, the scenario is
+// not run: its results are those of the requests of the swing scenario that arrived at
 // the crest.
 type scenario struct {
 	name  string
@@ -60,17 +60,17 @@
 // maxParallelRuns is the number of simulations that run at the same time.
 const maxParallelRuns = 3
 
-// compare simulates a deployment under every scenario and policy, with several
-// seeds each.
-func compare(d *deployment, length time.Duration, seeds int) *comparison {
+// compare simulates a deployment under every scenario and policy, with a number of seeds
+// each. duration is the measured virtual time of each simulation.
+func compare(d *deployment, duration time.Duration, seeds int) *comparison {
 	var out comparison
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	jobs := make(chan func())
+	simulations := make(chan func())
 	for range maxParallelRuns {
 		group.Go(func() {
-			for job := range jobs {
-				job()
+			for run := range simulations {
+				run()
 			}
 		})
 	}
@@ -81,8 +81,8 @@
 		for k := range comparedPolicies {
 			out[i][k] = &result{}
 			for seed := range seeds {
-				jobs <- func() {
-					r := simulate(d, comparedPolicies[k].newPolicy, scenarios[i].load, length, uint64(seed))
+				simulations <- func() {
+					r := simulate(d, comparedPolicies[k].newPolicy, scenarios[i].load, duration, uint64(seed))
 					mu.Lock()
 					defer mu.Unlock()
 					out[i][k].merge(r)
@@ -90,7 +90,7 @@
 			}
 		}
 	}
-	close(jobs)
+	close(simulations)
 	group.Wait()
 	out[crestScenario] = out[swingScenario]
 	return &out
@@ -104,30 +104,33 @@
 	return r.classes[0].latencies
 }
 
-// ratios are the figures of a comparison for which there is a target.
-type ratios struct {
-	crestToRoundRobin, worstToBest, overloadGoodput, overloadWork float64
+// targetRatios are the figures of a comparison for which there is a target: the 99th
+// percentile of the short class's latency at the crest, divided by that of round-robin;
+// the worst ratio, over all scenarios, of this percentile to that of the best baseline;
+// and the goodput and the useful work under overload, divided by those at full capacity.
+type targetRatios struct {
+	crestP99ToRoundRobin, worstP99ToBest, overloadGoodput, overloadUsefulWork float64
 }
 
-func (c *comparison) ratios() ratios {
-	var out ratios
+func (c *comparison) ratios() targetRatios {
+	var out targetRatios
 	for i := range scenarios {
 		own := quantile(shortClassLatencies(i, c[i][0]), 0.99)
 		best := time.Duration(0)
 		for k := 1; k < len(comparedPolicies); k++ {
-			v := quantile(shortClassLatencies(i, c[i][k]), 0.99)
-			if best == 0 || v < best {
-				best = v
+			p99 := quantile(shortClassLatencies(i, c[i][k]), 0.99)
+			if best == 0 || p99 < best {
+				best = p99
 			}
 		}
-		out.worstToBest = max(out.worstToBest, own.Seconds()/best.Seconds())
+		out.worstP99ToBest = max(out.worstP99ToBest, own.Seconds()/best.Seconds())
 	}
 	own := quantile(c[crestScenario][0].classes[0].crestLatencies, 0.99)
-	other := quantile(c[crestScenario][roundRobinIndex].classes[0].crestLatencies, 0.99)
-	out.crestToRoundRobin = own.Seconds() / other.Seconds()
-	full, over := c[capacityScenario][0], c[overloadScenario][0]
-	out.overloadGoodput = over.goodput() / full.goodput()
-	out.overloadWork = over.usefulSlots() / full.usefulSlots()
+	roundRobin := quantile(c[crestScenario][roundRobinIndex].classes[0].crestLatencies, 0.99)
+	out.crestP99ToRoundRobin = own.Seconds() / roundRobin.Seconds()
+	atCapacity, overloaded := c[capacityScenario][0], c[overloadScenario][0]
+	out.overloadGoodput = overloaded.goodput() / atCapacity.goodput()
+	out.overloadUsefulWork = overloaded.usefulSlots() / atCapacity.usefulSlots()
 	return out
 }
 
@@ -139,13 +142,13 @@
 	for i := range scenarios {
 		for k := range comparedPolicies {
 			r := c[i][k]
-			times := shortClassLatencies(i, r)
+			latencies := shortClassLatencies(i, r)
 			_, _ = fmt.Fprintf(w, "%-6s %-16s %8.1f %8.1f %8.1f %9.1f %9.1f %9.1f %9.0f %8.1f %8d %8d\n",
-				scenarios[i].name, comparedPolicies[k].name, ms(quantile(times, 0.5)), ms(quantile(times, 0.99)), ms(quantile(times, 0.999)),
-				ms(quantile(r.classes[0].queueTimes, 0.99)), ms(quantile(r.classes[1].latencies, 0.5)), ms(quantile(r.classes[1].latencies, 0.99)),
+				scenarios[i].name, comparedPolicies[k].name, toMilliseconds(quantile(latencies, 0.5)), toMilliseconds(quantile(latencies, 0.99)), toMilliseconds(quantile(latencies, 0.999)),
+				toMilliseconds(quantile(r.classes[0].queueTimes, 0.99)), toMilliseconds(quantile(r.classes[1].latencies, 0.5)), toMilliseconds(quantile(r.classes[1].latencies, 0.99)),
 				r.goodput(), r.usefulSlots(), r.classes[0].refused+r.classes[1].refused, r.classes[0].late+r.classes[1].late)
 		}
 	}
 }
 
-func ms(d time.Duration) float64 { return d.Seconds() * 1e3 }
+func toMilliseconds(d time.Duration) float64 { return d.Seconds() * 1e3 }
--- a/internal/bench/request/hop.go
+++ b/internal/bench/request/hop.go
@@ -32,9 +32,9 @@
 	cpu       time.Duration
 }
 
-// measureHops compares the path through entry and agent with a chain of two
-// net/http proxies that only forward, before the same runner. The two paths are
-// measured in turn, after a round that isn't counted.
+// measureHops compares the path through entry and agent with a chain of two net/http
+// proxies that only forward, before the same runner. The two paths are measured in turn,
+// with the given number of requests each, after a first round that is not counted.
 func (sum *Summary) measureHops(ctx context.Context, w io.Writer, calls int) error {
 	s, err := startTestbed(ctx)
 	if err != nil {
@@ -56,25 +56,25 @@
 	for i := range paths {
 		paths[i].client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConnections}}
 	}
-	for part := range hopRounds + 1 {
+	for round := range hopRounds + 1 {
 		for _, p := range paths {
-			if err := p.measure(ctx, calls/hopRounds, part > 0); err != nil {
+			if err := p.measure(ctx, calls/hopRounds, round > 0); err != nil {
 				return errors.Wrap(err, p.name)
 			}
 		}
 	}
 	for _, p := range paths {
 		_, _ = fmt.Fprintf(w, "%s: p50 %.0f us, p99 %.0f us, %.0f us of processor time a request of 1 KB\n", p.name,
-			us(quantile(p.latencies, 0.5)), us(quantile(p.latencies, 0.99)), us(p.cpu)/float64(len(p.latencies)))
+			toMicroseconds(quantile(p.latencies, 0.5)), toMicroseconds(quantile(p.latencies, 0.99)), toMicroseconds(p.cpu)/float64(len(p.latencies)))
 	}
 	sum.HopP50Ratio = quantile(paths[0].latencies, 0.5).Seconds() / quantile(paths[1].latencies, 0.5).Seconds()
 	sum.HopCPURatio = paths[0].cpu.Seconds() / paths[1].cpu.Seconds()
 	return nil
 }
 
-// measure sends requests one after the other and, if count is set, records their
-// latencies and the processor time.
-func (p *requestPath) measure(ctx context.Context, calls int, count bool) error {
+// measure sends a number of requests one after the other and, if record is set, records
+// their latencies and the processor time.
+func (p *requestPath) measure(ctx context.Context, calls int, record bool) error {
 	body := bytes.Repeat([]byte("x"), bodyBytes)
 	before := processorTime()
 	for range calls {
@@ -82,16 +82,17 @@
 		if err := p.call(ctx, body); err != nil {
 			return err
 		}
-		if count {
+		if record {
 			p.latencies = append(p.latencies, time.Since(began))
 		}
 	}
-	if count {
+	if record {
 		p.cpu += processorTime() - before
 	}
 	return nil
 }
 
+// call sends one request and checks that the response has the same body.
 func (p *requestPath) call(ctx context.Context, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url, bytes.NewReader(body))
 	if err != nil {
@@ -115,8 +116,9 @@
 	return nil
 }
 
-// passThroughHandler forwards requests to a base URL and does nothing else.
-func passThroughHandler(to string) http.Handler {
+// passThroughHandler returns a handler that forwards requests to a base URL and does
+// nothing else.
+func passThroughHandler(baseURL string) http.Handler {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConnections, DisableCompression: true}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -124,7 +126,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		out, err := http.NewRequestWithContext(r.Context(), r.Method, to+r.URL.Path, bytes.NewReader(body))
+		out, err := http.NewRequestWithContext(r.Context(), r.Method, baseURL+r.URL.Path, bytes.NewReader(body))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -150,4 +152,4 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-func us(d time.Duration) float64 { return d.Seconds() * 1e6 }
+func toMicroseconds(d time.Duration) float64 { return d.Seconds() * 1e6 }
--- a/internal/bench/request/links.go
+++ b/internal/bench/request/links.go
@@ -33,8 +33,9 @@
 	maxDatagramBytes = 2048
 )
 
-// measureLinks measures the latency of requests over the two transports of
-// package link, TCP and QUIC, without and with packet loss.
+// measureLinks measures the latency of requests over the two transports of package link,
+// TCP and QUIC, without and with packet loss. It sends the given number of requests over
+// each, but at most maxLinkCalls, and prints the results to w.
 func (sum *Summary) measureLinks(ctx context.Context, w io.Writer, calls int) error {
 	now := time.Now()
 	authority, err := link.NewAuthority(now, certificateLifetime)
@@ -57,32 +58,34 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer func() {
-		ended, stop := context.WithTimeout(ctx, linkShutdownTimeout)
+		shutdownCtx, stop := context.WithTimeout(ctx, linkShutdownTimeout)
 		defer stop()
-		_ = s.Shutdown(ended)
+		_ = s.Shutdown(shutdownCtx)
 	}()
 	group.Go(func() { _ = s.ServeTCP() })
 	group.Go(func() { _ = s.ServeQUIC() })
 	for _, loss := range []float64{0, lossRate} {
 		for _, transport := range []string{"tcp", "quic"} {
-			shim, err := newLinkProxy(transport, s.Address(), loss)
+			proxy, err := newLinkProxy(transport, s.Address(), loss)
 			if err != nil {
 				return err
 			}
-			group.Go(shim.run)
+			group.Go(proxy.run)
 			name := fmt.Sprintf("%s-loss-%g", transport, loss)
-			times, err := measureLink(ctx, client, transport, shim.address(), min(calls, maxLinkCalls))
-			shim.close()
+			latencies, err := measureLink(ctx, client, transport, proxy.address(), min(calls, maxLinkCalls))
+			proxy.close()
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			sum.LinkP50US[name], sum.LinkP99US[name] = us(quantile(times, 0.5)), us(quantile(times, 0.99))
+			sum.LinkP50US[name], sum.LinkP99US[name] = toMicroseconds(quantile(latencies, 0.5)), toMicroseconds(quantile(latencies, 0.99))
 			_, _ = fmt.Fprintf(w, "link %-14s p50 %.0f us, p99 %.0f us\n", name, sum.LinkP50US[name], sum.LinkP99US[name])
 		}
 	}
 	return nil
 }
 
+// measureLink returns the latencies of requests that are sent one after the other over
+// one transport. The first one, which establishes the connection, is left out.
 func measureLink(ctx context.Context, id *link.Identity, transport, address string, calls int) ([]time.Duration, error) {
 	client := link.NewClient(id, link.RoleAgent)
 	defer func() { _ = client.Close() }()
@@ -91,7 +94,7 @@
 		roundTripper = client.ControlTransport()
 	}
 	body := bytes.Repeat([]byte("x"), bodyBytes)
-	var times []time.Duration
+	var latencies []time.Duration
 	for i := range calls {
 		began := time.Now()
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+address+"/", bytes.NewReader(body))
@@ -108,10 +111,10 @@
 			return nil, err
 		}
 		if i > 0 {
-			times = append(times, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
 	}
-	return times, nil
+	return latencies, nil
 }
 
 // linkProxy forwards traffic to a server with linkDelay and simulates packet
@@ -127,8 +130,9 @@
 	group    sync.WaitGroup
 }
 
-func newLinkProxy(transport, to string, loss float64) (*linkProxy, error) {
-	s := &linkProxy{target: to, lossRate: loss, random: rand.New(rand.NewPCG(1, 1))} //nolint:gosec // fixed seed for repeatable results
+// newLinkProxy returns a proxy for one transport, "tcp" or "quic", to a target address.
+func newLinkProxy(transport, target string, lossRate float64) (*linkProxy, error) {
+	s := &linkProxy{target: target, lossRate: lossRate, random: rand.New(rand.NewPCG(1, 1))} //nolint:gosec // fixed seed for repeatable results
 	var err error
 	if transport == "quic" {
 		s.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -167,12 +171,14 @@
 	}
 }
 
+// lost decides at random whether a packet is lost.
 func (s *linkProxy) lost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64() < s.lossRate
 }
 
+// track adds a connection to those that the method close closes.
 func (s *linkProxy) track(c io.Closer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +192,7 @@
 		return
 	}
 	s.track(conn)
-	var back *net.UDPAddr
+	var client *net.UDPAddr
 	var mu sync.Mutex
 	s.group.Go(func() {
 		buffer := make([]byte, maxDatagramBytes)
@@ -197,22 +203,22 @@
 			}
 			data := bytes.Clone(buffer[:n])
 			mu.Lock()
-			to := back
+			destination := client
 			mu.Unlock()
 			if !s.lost() {
-				time.AfterFunc(linkDelay, func() { _, _ = s.udp.WriteToUDP(data, to) })
+				time.AfterFunc(linkDelay, func() { _, _ = s.udp.WriteToUDP(data, destination) })
 			}
 		}
 	})
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := s.udp.ReadFromUDP(buffer)
+		n, source, err := s.udp.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
 		data := bytes.Clone(buffer[:n])
 		mu.Lock()
-		back = from
+		client = source
 		mu.Unlock()
 		if !s.lost() {
 			time.AfterFunc(linkDelay, func() { _, _ = conn.Write(data) })
@@ -220,6 +226,7 @@
 	}
 }
 
+// runTCP forwards TCP connections to the server.
 func (s *linkProxy) runTCP() {
 	for {
 		in, err := s.listener.Accept()
@@ -238,11 +245,12 @@
 	}
 }
 
-func (s *linkProxy) pipe(from, to net.Conn) {
-	defer func() { _ = to.Close() }()
+// pipe forwards data from source to destination, and closes destination at the end.
+func (s *linkProxy) pipe(source, destination net.Conn) {
+	defer func() { _ = destination.Close() }()
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, err := from.Read(buffer)
+		n, err := source.Read(buffer)
 		if err != nil {
 			return
 		}
@@ -250,7 +258,7 @@
 		if s.lost() {
 			time.Sleep(tcpLossDelay)
 		}
-		if _, err := to.Write(buffer[:n]); err != nil {
+		if _, err := destination.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
--- a/internal/bench/request/result.go
+++ b/internal/bench/request/result.go
@@ -16,6 +16,7 @@
 
 // result holds the figures of one simulation.
 type result struct {
+	// length is the measured virtual time, end the virtual time at which it ended.
 	length  time.Duration
 	end     time.Time
 	classes [2]classResult
@@ -25,16 +26,17 @@
 	goodWork     time.Duration
 }
 
-// classResult holds the figures of one class. A request that was not answered
+// classResult holds the figures of one class of requests. A request that was not answered
 // before its deadline counts with the whole time to its deadline as latency.
 type classResult struct {
 	latencies, crestLatencies, queueTimes []time.Duration
 	answered, refused, late               int
 }
 
+// add records that a request ended at the virtual time now with an outcome.
 func (r *result) add(now time.Time, c *call, end outcome) {
 	k := &r.classes[c.class]
-	spent := now.Sub(c.arrivedAt)
+	latency := now.Sub(c.arrivedAt)
 	switch end {
 	case answered:
 		k.answered++
@@ -44,13 +46,13 @@
 		}
 	case refused:
 		k.refused++
-		spent = c.deadline.Sub(c.arrivedAt)
+		latency = c.deadline.Sub(c.arrivedAt)
 	case late:
 		k.late++
 	}
-	k.latencies = append(k.latencies, spent)
+	k.latencies = append(k.latencies, latency)
 	if c.atCrest {
-		k.crestLatencies = append(k.crestLatencies, spent)
+		k.crestLatencies = append(k.crestLatencies, latency)
 	}
 	if c.started {
 		k.queueTimes = append(k.queueTimes, c.queueTime)
@@ -58,18 +60,18 @@
 }
 
 // merge adds the figures of another simulation of the same scenario and policy.
-func (r *result) merge(o *result) {
-	r.length += o.length
-	r.goodWork += o.goodWork
-	r.goodRequests += o.goodRequests
+func (r *result) merge(other *result) {
+	r.length += other.length
+	r.goodWork += other.goodWork
+	r.goodRequests += other.goodRequests
 	for i := range r.classes {
-		k, ok := &r.classes[i], &o.classes[i]
-		k.latencies = append(k.latencies, ok.latencies...)
-		k.crestLatencies = append(k.crestLatencies, ok.crestLatencies...)
-		k.queueTimes = append(k.queueTimes, ok.queueTimes...)
-		k.answered += ok.answered
-		k.refused += ok.refused
-		k.late += ok.late
+		k, otherClass := &r.classes[i], &other.classes[i]
+		k.latencies = append(k.latencies, otherClass.latencies...)
+		k.crestLatencies = append(k.crestLatencies, otherClass.crestLatencies...)
+		k.queueTimes = append(k.queueTimes, otherClass.queueTimes...)
+		k.answered += otherClass.answered
+		k.refused += otherClass.refused
+		k.late += otherClass.late
 	}
 }
 
--- a/internal/bench/request/router.go
+++ b/internal/bench/request/router.go
@@ -12,6 +12,7 @@
 type routerPolicy struct {
 	s       *sim
 	routers []*endpoint.Router
+	// waiting holds, by entry, the requests that wait for an endpoint.
 	waiting []map[*endpoint.Ticket]*call
 	agents  [endpointCount]*simAgent
 }
@@ -23,15 +24,16 @@
 	name         string
 	gate         endpoint.Gate
 	serviceTimes endpoint.ServiceTimes
-	// waiting holds the attempts that wait for a slot; waitingLong counts those
-	// of long requests.
+	// waiting holds the attempts that wait for a slot. waitingLong counts the waiting
+	// attempts of long requests.
 	waiting     map[*endpoint.Ticket]*attempt
 	waitingLong int
-	mark        uint64
+	// mark numbers the agent's reports.
+	mark uint64
 }
 
-// attempt is one attempt to have a request served, from the entry's decision
-// until the reply.
+// attempt is one attempt to have a request served, from the entry's decision until the
+// reply, with the tickets that the entry's router and the agent's gate have for it.
 type attempt struct {
 	call        *call
 	entryTicket *endpoint.Ticket
@@ -39,7 +41,8 @@
 	target      *endpoint.Endpoint
 }
 
-// reply is an agent's reply to an attempt.
+// reply is an agent's reply to an attempt. If neither ok nor refused is set, the attempt
+// failed.
 type reply struct {
 	ok, refused bool
 	serviceTime time.Duration
@@ -94,6 +97,8 @@
 	p.offer(c)
 }
 
+// offer offers a request to the entry's router, which sends it to an endpoint, lets it
+// wait or sheds it.
 func (p *routerPolicy) offer(c *call) {
 	s := p.s
 	k := &s.deployment.classes[c.class]
@@ -122,13 +127,14 @@
 	}
 }
 
+// refuseWaiting refuses a request that waits at an entry.
 func (p *routerPolicy) refuseWaiting(entry int, t *endpoint.Ticket) {
 	p.s.settle(p.waiting[entry][t], refused)
 	delete(p.waiting[entry], t)
 }
 
-// sendWaiting sends requests that wait at an entry to endpoints with room, until
-// none is left that can go.
+// sendWaiting sends requests that wait at an entry to endpoints with free slots, until no
+// waiting request can be sent.
 func (p *routerPolicy) sendWaiting(entry int) {
 	for {
 		t, d := p.routers[entry].Next(p.s.now, p.s.random)
@@ -145,6 +151,7 @@
 	}
 }
 
+// send sends a request from its entry to an endpoint.
 func (p *routerPolicy) send(c *call, t *endpoint.Ticket, e *endpoint.Endpoint) {
 	c.attempts++
 	var index int
@@ -199,6 +206,7 @@
 	return y
 }
 
+// start runs an attempt, and afterwards starts the next ones that the gate admits.
 func (a *simAgent) start(y *attempt) {
 	s := a.policy.s
 	ok, spent := startAttempt(s, a.index, y.call)
@@ -222,13 +230,14 @@
 	})
 }
 
+// respond sends the reply to an attempt, with the agent's load, to the entry.
 func (a *simAgent) respond(y *attempt, r reply) {
 	r.load = a.load()
 	a.policy.s.schedule(hopDelay, func() { a.policy.attemptEnded(a.index, y, r) })
 }
 
-// attemptEnded handles an agent's reply at the entry: it settles the request or
-// retries it within the limits.
+// attemptEnded handles, at the entry, the reply of the agent with an index: it settles
+// the request or retries it within the limits.
 func (p *routerPolicy) attemptEnded(index int, y *attempt, r reply) {
 	s, c := p.s, y.call
 	router := p.routers[c.entry]
--- a/internal/bench/request/sim.go
+++ b/internal/bench/request/sim.go
@@ -48,8 +48,8 @@
 	share           float64
 	meanServiceTime time.Duration
 	deadline        time.Duration
-	// declaredServiceTime is the mean service time that the bundle declares; it
-	// is at least three times the real one.
+	// declaredServiceTime is the mean service time that the bundle declares, at least
+	// three times meanServiceTime.
 	declaredServiceTime time.Duration
 }
 
@@ -81,7 +81,8 @@
 	return time.Duration(sum)
 }
 
-// capacity returns how many requests per second the endpoints can serve.
+// capacity returns how many requests per second the endpoints can serve together, of
+// which one is slow and one fails.
 func (d *deployment) capacity() float64 {
 	healthy := float64(endpointCount-2) + 1.0/slowFactor
 	return healthy * slotsPerEndpoint / d.meanServiceTime().Seconds()
@@ -95,15 +96,20 @@
 	deadline  time.Time
 	// serviceTime is the time that a healthy endpoint takes for the request.
 	serviceTime time.Duration
-	entry       int
-	attempts    int
+	// entry is the index of the entry that received the request.
+	entry int
+	// attempts counts the attempts so far.
+	attempts int
 	// excluded is the index of the endpoint where the last attempt failed, or -1.
 	excluded int
-	started  bool
+	// started is set once an endpoint has started the request.
+	started bool
 	// queueTime is the time from arrival to the first start.
 	queueTime time.Duration
-	settled   bool
-	atCrest   bool
+	// settled is set once the request has an outcome.
+	settled bool
+	// atCrest is set if the request arrived at the crest of the load.
+	atCrest bool
 }
 
 // loadProfile returns the offered load as a fraction of the capacity, by the time
@@ -122,6 +128,7 @@
 	crestMinLoad = 1.2
 )
 
+// swingLoad is the load profile of the swing scenario.
 func swingLoad(since time.Duration) float64 {
 	phase := 2 * math.Pi * since.Seconds() / swingPeriod.Seconds()
 	// The clipped sine stays at its maximum for a while.
@@ -179,22 +186,23 @@
 	result     *result
 }
 
-// schedule runs fn after d of virtual time.
-func (s *sim) schedule(d time.Duration, fn func()) {
+// schedule runs fn after the given delay in virtual time.
+func (s *sim) schedule(delay time.Duration, fn func()) {
 	s.lastSeq++
-	heap.Push(&s.events, event{at: s.now.Add(d), seq: s.lastSeq, run: fn})
+	heap.Push(&s.events, event{at: s.now.Add(delay), seq: s.lastSeq, run: fn})
 }
 
-// simulate runs one policy under a load and returns the results.
-func simulate(d *deployment, newPolicy func(*sim) policy, l loadProfile, length time.Duration, seed uint64) *result {
+// simulate runs one policy under a load and returns the results. duration is the measured
+// virtual time after the warm-up.
+func simulate(d *deployment, newPolicy func(*sim) policy, load loadProfile, duration time.Duration, seed uint64) *result {
 	s := &sim{
-		deployment: d, load: l, start: time.Unix(1, 0), result: &result{},
+		deployment: d, load: load, start: time.Unix(1, 0), result: &result{},
 		random: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds for repeatable results
 	}
 	s.now = s.start
-	s.end = s.start.Add(warmUp + length)
+	s.end = s.start.Add(warmUp + duration)
 	s.policy = newPolicy(s)
-	s.result.length, s.result.end = length, s.end
+	s.result.length, s.result.end = duration, s.end
 	s.scheduleArrival()
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
@@ -216,6 +224,7 @@
 	})
 }
 
+// arrive creates a random request, passes it to the policy, and schedules its deadline.
 func (s *sim) arrive() {
 	d := s.deployment
 	c := &call{arrivedAt: s.now, excluded: -1, entry: s.arrivals.IntN(d.entries)}
--- a/internal/bench/request/testbed.go
+++ b/internal/bench/request/testbed.go
@@ -157,6 +157,8 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
+// newSignedBundle returns the roots of a new operator and an encoded bundle that the
+// operator has signed.
 func newSignedBundle() (bundle.Operators, []byte, error) {
 	private, public, err := bundle.GenerateKey(rand.Reader)
 	if err != nil {
@@ -183,6 +185,7 @@
 	return roots, data, err
 }
 
+// issueIdentity returns the identity of a peer with a new certificate of the authority.
 func issueIdentity(authority *link.Authority, role link.Role, name string) (*link.Identity, error) {
 	certificate, key, err := authority.Issue(time.Now(), certificateLifetime, link.NewPeer(role, testbedDataCentre, name))
 	if err != nil {
