--- a/internal/bench/capacity/appends.go
+++ b/internal/bench/capacity/appends.go
@@ -17,25 +17,25 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// measureAppends returns the appends per second to one data centre's stream by the
-// task starts per second in that data centre.
-func measureAppends(ctx context.Context, length time.Duration) (Slope, error) {
+// measureAppends measures the appends per second to one data centre's stream by the task
+// starts per second in that data centre. Each rate of starts is measured for a period.
+func measureAppends(ctx context.Context, period time.Duration) (Slope, error) {
 	out := Slope{Name: "appends-per-start", Unit: "appends a second"}
-	for _, starts := range []int{2, 10, targetStartsPerSecond / targetDataCentres, 2 * targetStartsPerSecond / targetDataCentres} {
-		appends, err := measureAppendRate(ctx, starts, length)
+	for _, startsPerSecond := range []int{2, 10, targetStartsPerSecond / targetDataCentres, 2 * targetStartsPerSecond / targetDataCentres} {
+		appends, err := measureAppendRate(ctx, startsPerSecond, period)
 		if err != nil {
 			return out, err
 		}
-		out.addSample(float64(starts), appends)
+		out.addSample(float64(startsPerSecond), appends)
 	}
 	out.fit()
 	return out, nil
 }
 
-// measureAppendRate returns the appends per second when the entries of one data
-// centre record a number of task starts per second.
-func measureAppendRate(ctx context.Context, starts int, length time.Duration) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, length)
+// measureAppendRate returns the appends per second while the entries of one data centre
+// record the given number of task starts per second, for a period.
+func measureAppendRate(ctx context.Context, startsPerSecond int, period time.Duration) (float64, error) {
+	ctx, cancel := context.WithTimeout(ctx, period)
 	defer cancel()
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", loopback)
 	if err != nil {
@@ -55,14 +55,14 @@
 		writers = append(writers, w)
 		running.Go(func() { w.Run(ctx, 0) })
 	}
-	random := rand.New(rand.NewPCG(uint64(starts), 1))
-	mean := float64(time.Second) / float64(starts*recordsPerTask)
-	for delay.For(ctx, time.Duration(random.ExpFloat64()*mean)) {
+	random := rand.New(rand.NewPCG(uint64(startsPerSecond), 1))
+	meanRecordInterval := float64(time.Second) / float64(startsPerSecond*recordsPerTask)
+	for delay.For(ctx, time.Duration(random.ExpFloat64()*meanRecordInterval)) {
 		task := record.AssignmentID{Task: record.TaskID{Job: "00000000000000000000"}, Epoch: 1}
 		if err := writers[random.IntN(len(writers))].Enqueue(&record.Started{Assignments: []record.AssignmentID{task}}); err != nil {
 			return 0, err
 		}
 	}
 	running.Wait()
-	return float64(l.Appends()) / length.Seconds(), nil
+	return float64(l.Appends()) / period.Seconds(), nil
 }
--- a/internal/bench/capacity/capacity.go
+++ b/internal/bench/capacity/capacity.go
@@ -11,27 +11,28 @@
 type Settings struct {
 	// AppendTime is how long appends are counted at each rate of task starts.
 	AppendTime time.Duration
-	// Heartbeats is how many heartbeats are measured with each number of tasks.
+	// Heartbeats is the number of heartbeats measured with each number of tasks.
 	Heartbeats int
 }
 
-// Result holds the measured slopes and the costs at the target size that follow
-// from them.
+// Result holds the costs that were measured at several sizes, each with the line fitted
+// to it, and the costs at the target size that follow from these lines.
 type Result struct {
 	Slopes []Slope `json:"slopes"`
 	Lines  []Line  `json:"lines"`
 }
 
-// slopeSet holds all measured slopes.
-type slopeSet struct {
+// fittedCosts holds all measured costs, each with the line fitted to it. The unit and the
+// kind of size of each are given where it is measured.
+type fittedCosts struct {
 	workerMemory, runningJobMemory, endedJobMemory, taskMemory, endpointMemory Slope
 	recordCPU, placementCPU, choiceCPU                                         Slope
 	bytesSent, bytesReceived, heartbeatCPU, appends                            Slope
 }
 
-// Run measures all slopes and computes the costs at the target size.
+// Run measures all costs, fits a line to each, and computes the costs at the target size.
 func Run(ctx context.Context, now time.Time, s Settings) (*Result, error) {
-	m := slopeSet{
+	m := fittedCosts{
 		workerMemory:     measureWorkerMemory(),
 		endpointMemory:   measureEndpointMemory(),
 		runningJobMemory: measureJobMemory("entry-memory-per-running-job", true),
@@ -54,7 +55,7 @@
 			m.workerMemory, m.endpointMemory, m.runningJobMemory, m.endedJobMemory, m.taskMemory, m.recordCPU, m.placementCPU, m.choiceCPU,
 			m.bytesSent, m.bytesReceived, m.heartbeatCPU, m.appends,
 		},
-		Lines: m.lines(),
+		Lines: m.targetCosts(),
 	}, nil
 }
 
@@ -64,8 +65,8 @@
 	secondsPerMicrosecond = 1e-6
 )
 
-// lines computes the cost of each role at the target size.
-func (m *slopeSet) lines() []Line {
+// targetCosts computes the costs of each role at the target size.
+func (m *fittedCosts) targetCosts() []Line {
 	workers := float64(targetWorkers) / targetDataCentres
 	tasks := float64(targetTasks) / targetDataCentres
 	endpoints := float64(targetEndpoints) / targetDataCentres
@@ -77,29 +78,29 @@
 	heartbeats := agentsPerEntry / interval
 	bytesPerHeartbeat := m.bytesSent.costAt(tasksPerWorker) + m.bytesReceived.costAt(tasksPerWorker)
 	return []Line{
-		newLine("agent", "heartbeats, both ways", "bytes a second", bytesPerHeartbeat*entriesPerAgent/interval, maxBytesPerSecond,
+		newTargetCost("agent", "heartbeats, both ways", "bytes a second", bytesPerHeartbeat*entriesPerAgent/interval, maxBytesPerSecond,
 			"bytes of a heartbeat at 5.4 tasks x 3 entries told, at the entries' pace"),
-		newLine("entry", "live state of workers, endpoints, tasks and jobs kept a day", "bytes",
+		newTargetCost("entry", "live state of workers, endpoints, tasks and jobs kept a day", "bytes",
 			m.workerMemory.costAt(workers)+m.endpointMemory.costAt(endpoints)+m.runningJobMemory.perUnit()*tasks+m.endedJobMemory.perUnit()*endedJobs, maxMemoryBytes,
 			"slopes x 200 workers, 443 endpoints, 1,071 running tasks and 3,286 ended jobs of a data centre"),
-		newLine("entry", "processor for records folded at the peak", "cores",
+		newTargetCost("entry", "processor for records folded at the peak", "cores",
 			m.recordCPU.costAt(tasks+endedJobs)*secondsPerMicrosecond*starts*recordsPerTask, maxCores, "43 starts a second x 4 records"),
-		newLine("entry", "processor for placements at the peak", "cores",
+		newTargetCost("entry", "processor for placements at the peak", "cores",
 			m.placementCPU.costAt(workers)*secondsPerMicrosecond*starts, maxCores, "43 placements a second, all by one entry"),
-		newLine("entry and agent", "processor for heartbeats, both sides", "cores",
+		newTargetCost("entry and agent", "processor for heartbeats, both sides", "cores",
 			m.heartbeatCPU.costAt(tasksPerWorker)*secondsPerMicrosecond*heartbeats, maxCores,
 			"67 agents at the entry's pace; upper limit for the entry, which has one side"),
-		newLine("entry", "heartbeats of its agents, both ways", "bytes a second", bytesPerHeartbeat*heartbeats, maxBytesPerSecond,
+		newTargetCost("entry", "heartbeats of its agents, both ways", "bytes a second", bytesPerHeartbeat*heartbeats, maxBytesPerSecond,
 			"67 agents at the entry's pace"),
-		newLine("streams", "appends at 300 starts a second", "appends a second",
+		newTargetCost("streams", "appends at 300 starts a second", "appends a second",
 			m.appends.maxCost()*targetDataCentres+bundleAppendRate()+memberAppendRate(), maxAppendsPerSecond,
 			"7 streams at the most measured, 2,200 bundles a day, membership; the writers' pace bounds a stream"),
-		newLine("streams", "records of a day", "records",
+		newTargetCost("streams", "records of a day", "records",
 			targetJobsPerDay*recordsPerTask+targetBundlesPerDay, 0, "23,000 jobs x 4 records, 2,200 bundles"),
 	}
 }
 
-// bundleAppendRate returns the appends per second for bundles.
+// bundleAppendRate returns the appends per second, to all streams, for bundles.
 func bundleAppendRate() float64 { return float64(targetBundlesPerDay) / secondsPerDay }
 
 // memberAppendRate returns the appends per second for the membership records of all
--- a/internal/bench/capacity/heartbeat.go
+++ b/internal/bench/capacity/heartbeat.go
@@ -84,6 +84,7 @@
 	return w, nil
 }
 
+// issueIdentity returns the identity of a peer with a new certificate of the authority.
 func issueIdentity(now time.Time, a *link.Authority, role link.Role, name string) (*link.Identity, error) {
 	certificate, key, err := a.Issue(now, certificateLifetime, link.NewPeer(role, dataCentre, name))
 	if err != nil {
@@ -101,7 +102,7 @@
 	w.group.Wait()
 }
 
-// sendHeartbeat sends one heartbeat that reports a number of running tasks.
+// sendHeartbeat sends the heartbeat of a round, which reports a number of running tasks.
 func (w *heartbeatTestbed) sendHeartbeat(ctx context.Context, round uint64, tasks int) error {
 	h := &link.Heartbeat{
 		Worker: workerName(0), Rack: "rack-1", Service: "lastbench", Address: "127.0.0.1:8444", Incarnation: 1, Slots: 8,
@@ -114,9 +115,10 @@
 	return w.client.Call(ctx, w.proxy.address(), link.PathHeartbeat, h, new(link.HeartbeatReply))
 }
 
-// measureHeartbeats measures the bytes of a heartbeat and of its reply, and the
-// processor time of agent and entry together, by the number of reported tasks.
-func measureHeartbeats(ctx context.Context, now time.Time, count int) (sent, received, processor Slope, err error) {
+// measureHeartbeats measures, by the number of reported tasks, the bytes of a heartbeat
+// and of its reply, and the processor time of agent and entry together. It sends the given
+// number of heartbeats for each number of tasks.
+func measureHeartbeats(ctx context.Context, now time.Time, heartbeats int) (sent, received, processor Slope, err error) {
 	w, err := newHeartbeatTestbed(now)
 	if err != nil {
 		return sent, received, processor, err
@@ -130,16 +132,16 @@
 		if err := w.sendHeartbeat(ctx, round, tasks); err != nil { // establishes the connection before the measurement
 			return sent, received, processor, errors.Wrap(err, "heartbeat")
 		}
-		up, down, began := w.proxy.bytesUp.Load(), w.proxy.bytesDown.Load(), processorTime()
-		for range count {
+		bytesUp, bytesDown, cpuBefore := w.proxy.bytesUp.Load(), w.proxy.bytesDown.Load(), processorTime()
+		for range heartbeats {
 			round++
 			if err := w.sendHeartbeat(ctx, round, tasks); err != nil {
 				return sent, received, processor, errors.Wrap(err, "heartbeat")
 			}
 		}
-		sent.addSample(float64(tasks), float64(w.proxy.bytesUp.Load()-up)/float64(count))
-		received.addSample(float64(tasks), float64(w.proxy.bytesDown.Load()-down)/float64(count))
-		processor.addSample(float64(tasks), microseconds(processorTime()-began)/float64(count))
+		sent.addSample(float64(tasks), float64(w.proxy.bytesUp.Load()-bytesUp)/float64(heartbeats))
+		received.addSample(float64(tasks), float64(w.proxy.bytesDown.Load()-bytesDown)/float64(heartbeats))
+		processor.addSample(float64(tasks), microseconds(processorTime()-cpuBefore)/float64(heartbeats))
 	}
 	sent.fit()
 	received.fit()
@@ -153,8 +155,9 @@
 // maxDatagramBytes is the size of the largest datagram that is forwarded.
 const maxDatagramBytes = 64 << 10
 
-// countingProxy forwards datagrams between one client and one server and counts the
-// bytes in both directions, with IP and UDP headers.
+// countingProxy forwards datagrams between one client and one server and counts their
+// bytes, with IP and UDP headers: bytesUp towards the server, bytesDown towards the
+// client.
 type countingProxy struct {
 	clientSide, serverSide net.PacketConn
 	server                 net.Addr
@@ -180,8 +183,8 @@
 
 func (c *countingProxy) run() {
 	c.group.Go(func() {
-		forward(c.clientSide, c.serverSide, &c.bytesUp, func(from net.Addr) net.Addr {
-			c.client.Store(&from)
+		forward(c.clientSide, c.serverSide, &c.bytesUp, func(source net.Addr) net.Addr {
+			c.client.Store(&source)
 			return c.server
 		})
 	})
@@ -196,17 +199,18 @@
 	_ = c.serverSide.Close()
 }
 
-// forward forwards the datagrams that arrive at one socket through another, until
-// the first is closed.
-func forward(from, to net.PacketConn, bytes *atomic.Int64, target func(net.Addr) net.Addr) {
+// forward forwards the datagrams that arrive at one socket, in, through another, out,
+// until in is closed, and adds their sizes to bytes. target returns the address to which
+// a datagram from an address is forwarded.
+func forward(in, out net.PacketConn, bytes *atomic.Int64, target func(net.Addr) net.Addr) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, address, err := from.ReadFrom(buffer)
+		n, source, err := in.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		bytes.Add(int64(n + headerBytes))
-		if _, err := to.WriteTo(buffer[:n], target(address)); err != nil {
+		if _, err := out.WriteTo(buffer[:n], target(source)); err != nil {
 			return
 		}
 	}
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -22,8 +22,8 @@
 	return strconv.AppendFloat(nil, float64(f), 'g', digits, 64), nil
 }
 
-// Slope is a cost measured at several sizes and the line fitted to it: the cost at
-// a size is Base + PerUnit * size.
+// Slope is a cost measured at several sizes and the line fitted to it. According to the
+// line, the cost at a size is Base + PerUnit * size.
 type Slope struct {
 	Name    string    `json:"name"`
 	Unit    string    `json:"unit"`
@@ -33,22 +33,23 @@
 	PerUnit Figure    `json:"per"`
 }
 
+// addSample adds the cost measured at a size.
 func (s *Slope) addSample(size, cost float64) {
 	s.Sizes = append(s.Sizes, size)
 	s.Costs = append(s.Costs, Figure(cost))
 }
 
-// fit computes Base and PerUnit by least squares.
+// fit computes Base and PerUnit from the samples by least squares.
 func (s *Slope) fit() {
 	n := float64(len(s.Sizes))
-	var sx, sy, sxx, sxy float64
+	var sumX, sumY, sumXX, sumXY float64
 	for i, x := range s.Sizes {
 		y := float64(s.Costs[i])
-		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
+		sumX, sumY, sumXX, sumXY = sumX+x, sumY+y, sumXX+x*x, sumXY+x*y
 	}
-	per := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.PerUnit = Figure(per)
-	s.Base = Figure((sy - per*sx) / n)
+	perUnit := (n*sumXY - sumX*sumY) / (n*sumXX - sumX*sumX)
+	s.PerUnit = Figure(perUnit)
+	s.Base = Figure((sumY - perUnit*sumX) / n)
 }
 
 // costAt returns the cost at a size according to the fitted line.
@@ -78,8 +79,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureSlope measures the cost at each size and fits a line to it.
-func measureSlope(name, unit string, sizes []int, cost func(size int) float64) Slope {
+// measureCost measures the cost at each size and fits a line to it.
+func measureCost(name, unit string, sizes []int, cost func(size int) float64) Slope {
 	s := Slope{Name: name, Unit: unit}
 	for _, size := range sizes {
 		s.addSample(float64(size), cost(size))
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -32,6 +32,7 @@
 // taskSize is so small that all tasks of a measurement can run at the same time.
 var taskSize = worker.Resources{MilliCPU: 1, MemoryMB: 1}
 
+// newBatchState returns the state with a number of ready workers and no jobs.
 func newBatchState(workers int) *batchState {
 	s := &batchState{workers: workers}
 	s.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(stateTime, id, j, t) }
@@ -51,11 +52,12 @@
 func teamName(i int) string   { return fmt.Sprintf("franchise-team-%03d", i%targetTeams) }
 func workerName(i int) string { return fmt.Sprintf("worker-%04d", i) }
 
+// apply applies a record as the next one of the log, and returns its position.
 func (s *batchState) apply(m record.Message) record.Position {
 	s.lastOffset++
-	at := record.NewPosition(s.lastOffset, 0)
-	_ = s.stateMachine.Apply(record.New(at, "entry-1@1", s.lastOffset, m))
-	return at
+	position := record.NewPosition(s.lastOffset, 0)
+	_ = s.stateMachine.Apply(record.New(position, "entry-1@1", s.lastOffset, m))
+	return position
 }
 
 // submit adds job i with a number of tasks, all of them running.
@@ -72,7 +74,7 @@
 	}
 }
 
-// finish ends all tasks of job i.
+// finish ends all tasks of job i, which has the given number of tasks.
 func (s *batchState) finish(i, tasks int) {
 	id := fmt.Sprintf("%020x", i)
 	j, _ := s.stateMachine.Job(id)
@@ -85,7 +87,7 @@
 // measureWorkerMemory measures the live heap of a scheduler by the number of
 // workers.
 func measureWorkerMemory() Slope {
-	return measureSlope("entry-memory-per-worker", "bytes", []int{200, 400, 800}, func(size int) float64 {
+	return measureCost("entry-memory-per-worker", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
 		s := newBatchState(size)
 		after := heapBytes()
@@ -94,10 +96,10 @@
 	})
 }
 
-// measureJobMemory measures the live heap of state machine and scheduler by the
-// number of jobs with one task each, which runs or has ended.
+// measureJobMemory measures the live heap of state machine and scheduler by the number
+// of jobs with one task each. If running is set the tasks run, otherwise they have ended.
 func measureJobMemory(name string, running bool) Slope {
-	return measureSlope(name, "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
+	return measureCost(name, "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
 		s := newBatchState(200)
 		before := heapBytes()
 		for i := range size {
@@ -112,15 +114,15 @@
 	})
 }
 
-// measureTaskMemory measures the live heap by the number of running tasks of a few
-// large jobs.
+// measureTaskMemory measures the live heap of state machine and scheduler by the number
+// of running tasks, which belong to a few large jobs.
 func measureTaskMemory() Slope {
-	const jobs = 10
-	return measureSlope("entry-memory-per-running-task", "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
+	const jobCount = 10
+	return measureCost("entry-memory-per-running-task", "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
 		s := newBatchState(200)
 		before := heapBytes()
-		for i := range jobs {
-			s.submit(i, size/jobs)
+		for i := range jobCount {
+			s.submit(i, size/jobCount)
 		}
 		after := heapBytes()
 		runtime.KeepAlive(s)
@@ -128,32 +130,32 @@
 	})
 }
 
-// measureRecordCPU measures the processor time to apply one record to state machine
-// and scheduler by the number of known jobs. It is the cost of a task from its
-// submission to its end, divided by the number of its records.
+// measureRecordCPU measures, by the number of known jobs, the processor time to apply one
+// record to state machine and scheduler: the processor time for all records of a task
+// from its submission to its end, divided by their number.
 func measureRecordCPU() Slope {
-	const tasks = 4000
-	return measureSlope("entry-processor-per-record", "microseconds", []int{1000, 4000, 16000}, func(size int) float64 {
+	const taskCount = 4000
+	return measureCost("entry-processor-per-record", "microseconds", []int{1000, 4000, 16000}, func(size int) float64 {
 		s := newBatchState(200)
 		for i := range size {
 			s.submit(i, 1)
 		}
 		began := processorTime()
-		for i := range tasks {
+		for i := range taskCount {
 			s.submit(size+i, 1)
 			s.finish(size+i, 1)
 		}
-		return microseconds(processorTime()-began) / (tasks * recordsPerTask)
+		return microseconds(processorTime()-began) / (taskCount * recordsPerTask)
 	})
 }
 
 // measurePlacementCPU measures the processor time to decide where a task runs by
 // the number of workers.
 func measurePlacementCPU() Slope {
-	const tasks = 500
-	return measureSlope("entry-processor-per-placement", "microseconds", []int{100, 200, 400}, func(size int) float64 {
+	const taskCount = 500
+	return measureCost("entry-processor-per-placement", "microseconds", []int{100, 200, 400}, func(size int) float64 {
 		s := newBatchState(size)
-		for i := range tasks {
+		for i := range taskCount {
 			s.apply(&record.Submit{Spec: record.Spec{
 				ID: fmt.Sprint("job-", i), Team: teamName(i), Class: "shaping", Tasks: 1, Size: taskSize, MaxFailures: 3,
 			}})
@@ -168,7 +170,7 @@
 // measureEndpointMemory measures the live heap of a service's router by the number
 // of endpoints.
 func measureEndpointMemory() Slope {
-	return measureSlope("entry-memory-per-endpoint", "bytes", []int{200, 400, 800}, func(size int) float64 {
+	return measureCost("entry-memory-per-endpoint", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
 		r := newRouter(size)
 		after := heapBytes()
@@ -177,6 +179,7 @@
 	})
 }
 
+// newRouter returns a router that knows a number of endpoints of one service.
 func newRouter(endpoints int) *endpoint.Router {
 	r := new(endpoint.Router)
 	for i := range endpoints {
@@ -191,19 +194,19 @@
 // measureChoiceCPU measures the processor time to choose an endpoint for a request
 // by the number of known endpoints.
 func measureChoiceCPU() Slope {
-	const requests = 20000
-	return measureSlope("entry-processor-per-choice", "microseconds", []int{100, 200, 400}, func(size int) float64 {
+	const requestCount = 20000
+	return measureCost("entry-processor-per-choice", "microseconds", []int{100, 200, 400}, func(size int) float64 {
 		r := newRouter(size)
 		random := rand.New(rand.NewPCG(1, 2))
 		began := processorTime()
-		for i := range requests {
+		for i := range requestCount {
 			now := stateTime.Add(time.Duration(i) * time.Microsecond)
 			t := r.NewTicket(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
 			if d := r.Offer(now, random, t, ""); d.Endpoint != nil {
 				r.Table().Done(d.Endpoint, t)
 			}
 		}
-		return microseconds(processorTime()-began) / requests
+		return microseconds(processorTime()-began) / requestCount
 	})
 }
 
--- a/internal/bench/capacity/target.go
+++ b/internal/bench/capacity/target.go
@@ -16,7 +16,8 @@
 	entriesPerDataCentre = 9
 	// entriesPerAgent is the number of entries to which an agent sends heartbeats.
 	entriesPerAgent = 3
-	// membershipRecordsPerSecond is how often an entry refreshes its membership.
+	// membershipRecordsPerSecond is the number of records per second with which one entry
+	// refreshes its membership.
 	membershipRecordsPerSecond = 0.1
 	// recordsPerTask counts the records of a one-task job that runs once: submit,
 	// assign, started, finished.
@@ -25,7 +26,7 @@
 	endedJobRetentionHours = 24
 )
 
-// Limits of one node. maxAppendsPerSecond is for all streams together.
+// Limits of one node's costs. maxAppendsPerSecond is the limit for all streams together.
 const (
 	maxCores            = 0.046
 	maxMemoryBytes      = 32 << 20
@@ -33,8 +34,8 @@
 	maxAppendsPerSecond = 300
 )
 
-// Line is one line of the capacity page: a cost at the target size. A Bound of 0
-// means that there is no limit.
+// Line is a cost at the target size, one line of the capacity page. Bound is the limit of
+// the cost, or 0 if there is none; Holds is set if the cost is within the limit.
 type Line struct {
 	Role  string `json:"role"`
 	What  string `json:"what"`
@@ -42,11 +43,13 @@
 	Value Figure `json:"value"`
 	Bound Figure `json:"bound"`
 	Holds bool   `json:"holds"`
-	// How says from which slopes and numbers the value was computed.
+	// How says from which measured costs and numbers the value was computed.
 	How string `json:"how"`
 }
 
-func newLine(role, what, unit string, value, bound float64, how string) Line {
+// newTargetCost returns the cost of a role at the target size, value, with its limit,
+// bound.
+func newTargetCost(role, what, unit string, value, bound float64, how string) Line {
 	return Line{
 		Role: role, What: what, Unit: unit, Value: Figure(value), Bound: Figure(bound),
 		Holds: bound == 0 || value <= bound, How: how,
