--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -33,7 +33,8 @@
 	sizesPerTeam = 4
 	// sizeSteps is the number of different amounts of each resource.
 	sizeSteps = 20
-	// One in acceleratorJobInterval jobs requests an accelerator.
+	// acceleratorJobInterval is the mean number of jobs for each one that requests an
+	// accelerator.
 	acceleratorJobInterval = 50
 )
 
@@ -105,15 +106,15 @@
 	pending      []record.Message
 }
 
-// MeasurePlacement measures placement under a load and checks that no worker is
-// overcommitted at the end.
+// MeasurePlacement measures placement under a load. At the end it checks that no worker
+// is overcommitted.
 func MeasurePlacement(l Load) (PlacementResult, error) {
-	before := heapBytes()
+	heapBefore := heapBytes()
 	d := &placementRun{load: l, now: startTime, nextSeq: 1, random: rand.New(rand.NewPCG(7, uint64(l.Workers)))} //nolint:gosec // fixed seed
 	d.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { d.scheduler.TaskChanged(d.now, id, j, t) }
 	// The running tasks occupy at most nine tenths of the workers.
-	perWorker := int64((l.Running + l.Workers - 1) / l.Workers)
-	d.typicalSize = worker.Resources{MilliCPU: workerSize.MilliCPU * 9 / 10 / perWorker, MemoryMB: workerSize.MemoryMB * 9 / 10 / perWorker}
+	tasksPerWorker := int64((l.Running + l.Workers - 1) / l.Workers)
+	d.typicalSize = worker.Resources{MilliCPU: workerSize.MilliCPU * 9 / 10 / tasksPerWorker, MemoryMB: workerSize.MemoryMB * 9 / 10 / tasksPerWorker}
 	d.scheduler.Configure(d.now, newDocument(l.Workers), &d.stateMachine)
 	d.reportWorkers(0, l.Workers)
 	if err := d.fill(); err != nil {
@@ -126,11 +127,13 @@
 	if err != nil {
 		return PlacementResult{}, err
 	}
-	out.MemoryMB = float64(heapBytes()-before) / (1 << 20)
+	out.MemoryMB = float64(heapBytes()-heapBefore) / (1 << 20)
 	runtime.KeepAlive(d)
 	return out, d.checkCapacity()
 }
 
+// newDocument returns a bundle for a number of workers. The teams' quotas differ; together
+// they are about the resources of all workers.
 func newDocument(workers int) *bundle.Document {
 	d := &bundle.Document{BatchClasses: []bundle.BatchClass{
 		{Name: "urgent", Priority: 9, Urgent: true, MaxFailures: 3, TakeoverAfter: bundle.Duration(5 * time.Second)},
@@ -199,26 +202,27 @@
 // submitAny queues the submission of a job of the next team, with one of the
 // team's sizes unless the load asks for varied sizes.
 func (d *placementRun) submitAny(class string) {
-	n := uint64(d.random.IntN(sizesPerTeam))
-	from := rand.New(rand.NewPCG(uint64((d.submitted+1)%targetTeams), n)) //nolint:gosec // fixed seed
+	sizeIndex := uint64(d.random.IntN(sizesPerTeam))
+	source := rand.New(rand.NewPCG(uint64((d.submitted+1)%targetTeams), sizeIndex)) //nolint:gosec // fixed seed
 	if d.load.VariedSizes {
-		from = d.random
+		source = d.random
 	}
-	d.submit(class, d.randomSize(from))
+	d.submit(class, d.randomSize(source))
 }
 
-// randomSize returns a size from a tenth to twice the typical size.
-func (d *placementRun) randomSize(from *rand.Rand) worker.Resources {
+// randomSize returns a size from a tenth to twice the typical size, drawn from source.
+func (d *placementRun) randomSize(source *rand.Rand) worker.Resources {
 	s := worker.Resources{
-		MilliCPU: d.typicalSize.MilliCPU * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
-		MemoryMB: d.typicalSize.MemoryMB * int64(1+from.IntN(sizeSteps)) * 2 / sizeSteps,
+		MilliCPU: d.typicalSize.MilliCPU * int64(1+source.IntN(sizeSteps)) * 2 / sizeSteps,
+		MemoryMB: d.typicalSize.MemoryMB * int64(1+source.IntN(sizeSteps)) * 2 / sizeSteps,
 	}
-	if from.IntN(acceleratorJobInterval) == 0 {
+	if source.IntN(acceleratorJobInterval) == 0 {
 		s.Accelerators = 1
 	}
 	return s
 }
 
+// submit queues the submission of a job with one task, of the next team.
 func (d *placementRun) submit(class string, size worker.Resources) {
 	d.submitted++
 	d.pending = append(d.pending, &record.Submit{Spec: record.Spec{
@@ -273,20 +277,20 @@
 	return placed, took
 }
 
-// runSteadyLoad ends and submits tasks at the load's start rate for some virtual
-// seconds.
+// runSteadyLoad ends and submits tasks at the load's start rate for a number of virtual
+// seconds, and returns the result for this time.
 func (d *placementRun) runSteadyLoad(seconds int) (PlacementResult, error) {
 	var out PlacementResult
 	var deciding time.Duration
 	cpu := processorTime()
 	ticks := seconds * int(time.Second/tickInterval)
-	perTick := d.load.StartsPerSecond / int(time.Second/tickInterval)
+	startsPerTick := d.load.StartsPerSecond / int(time.Second/tickInterval)
 	ticksPerHeartbeat := int(heartbeatInterval / tickInterval)
 	for tick := range ticks {
 		d.now = d.now.Add(tickInterval)
 		first := tick % ticksPerHeartbeat * d.load.Workers / ticksPerHeartbeat
 		d.reportWorkers(first, (tick%ticksPerHeartbeat+1)*d.load.Workers/ticksPerHeartbeat)
-		for range perTick {
+		for range startsPerTick {
 			d.finishRandom()
 			d.submitAny("shaping")
 		}
@@ -324,23 +328,23 @@
 		&record.Forget{Jobs: []string{a.Task.Job}})
 }
 
-// checkCapacity returns an error if the active tasks on a worker need more than it
-// has.
+// checkCapacity returns an error if the active tasks on a worker need more resources than
+// the worker has.
 func (d *placementRun) checkCapacity() error {
 	for i := range d.load.Workers {
-		left := workerSize
+		free := workerSize
 		if i%acceleratorWorkerInterval == 0 {
-			left.Accelerators = acceleratorsPerWorker
+			free.Accelerators = acceleratorsPerWorker
 		}
-		d.stateMachine.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { left = left.Minus(j.Spec().Size) })
-		if !left.Valid() {
+		d.stateMachine.EachActive(workerName(i), func(_ record.AssignmentID, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
+		if !free.Valid() {
 			return errors.Wrap(ErrOvercommitted, workerName(i))
 		}
 	}
 	return nil
 }
 
-// heapBytes returns the size of the live heap.
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -13,7 +13,8 @@
 // ErrGuarantee means that a guarantee was violated.
 var ErrGuarantee = errors.New("a guarantee was violated")
 
-// Report is the benchmark's output.
+// Report is the benchmark's output. A number at the end of a field's name is a number of
+// workers; None, Guard and Evict are the policies of a surge.
 type Report struct {
 	PlaceUS11          float64 `json:"place-us-11"`
 	PlaceUS200         float64 `json:"place-us-200"`
@@ -45,10 +46,10 @@
 	Violations         int     `json:"violations"`
 }
 
-// placementSeconds is the measured virtual time of each placement run.
+// placementSeconds is the measured virtual time of a placement run, in seconds.
 const placementSeconds = 5
 
-// Size of the exploration that is part of the benchmark.
+// Size of the simulation of batch jobs under faults that is part of the benchmark.
 const (
 	explorationSeeds   = 300
 	explorationWorkers = 2
@@ -81,11 +82,11 @@
 	return r, nil
 }
 
-// runExploration checks the state machine, the leases and the workers' ledgers
-// together over some seeds.
+// runExploration simulates batch jobs under faults with explorationSeeds seeds, which
+// checks the state machine, the leases and the workers' ledgers together.
 func (r *Report) runExploration(ctx context.Context) error {
-	jobs := []explore.Simulation{{Name: "jobs", Run: exploration.Run}}
-	found, explored := explore.Run(ctx, jobs, 1, explorationSeeds, explorationWorkers)
+	simulations := []explore.Simulation{{Name: "jobs", Run: exploration.Run}}
+	found, explored := explore.Run(ctx, simulations, 1, explorationSeeds, explorationWorkers)
 	r.Explored = int(explored)
 	r.Violations += len(found)
 	if len(found) > 0 {
@@ -94,11 +95,14 @@
 	return nil
 }
 
+// measurePlacement measures placement at several fleet sizes, and the load of one entry at
+// the target size.
 func (r *Report) measurePlacement() error {
 	loads := []struct {
 		workers int
 		varied  bool
-		us, mb  *float64
+		// microseconds and megabytes are the figures of the report that the run sets.
+		microseconds, megabytes *float64
 	}{
 		{surgeWorkers, false, &r.PlaceUS11, &r.MemoryMB11},
 		{targetWorkers / targetDataCentres, false, &r.PlaceUS200, &r.MemoryMB200},
@@ -110,8 +114,8 @@
 		if err != nil {
 			return r.countViolation(err)
 		}
-		*d.us = float64(p.PerPlacement) / float64(time.Microsecond)
-		*d.mb = p.MemoryMB
+		*d.microseconds = float64(p.PerPlacement) / float64(time.Microsecond)
+		*d.megabytes = p.MemoryMB
 		r.CPUPercentOneEntry = p.Cores * 100
 		r.LongestTickMS1400 = float64(p.LongestTick) / float64(time.Millisecond)
 	}
@@ -133,8 +137,11 @@
 	return err
 }
 
+// roundUp returns the smallest multiple of step that is at least n.
 func roundUp(n, step int) int { return (n + step - 1) / step * step }
 
+// measureSurges simulates surges under every policy and compares the guard with the other
+// policies.
 func (r *Report) measureSurges() error {
 	var sums [3]SurgeResult
 	for seed := range uint64(surgeSeeds) {
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -18,17 +18,17 @@
 
 // Sizes and times of a surge.
 const (
-	surgeWorkers = 11
-	surgeLength  = 90 * time.Minute
-	surgeTick    = time.Second
-	// readingDelaySteps is how many steps pass until a policy sees a measured
-	// pressure.
+	surgeWorkers      = 11
+	surgeDuration     = 90 * time.Minute
+	surgeTickInterval = time.Second
+	// readingDelaySteps is the number of steps until a policy sees a measured pressure.
 	readingDelaySteps = 2
 	// checkpointInterval is the longest time between two checkpoints of a task.
 	checkpointInterval = 2 * time.Minute
 	// restartTime is how long a task takes to resume from its checkpoint.
 	restartTime = 10 * time.Second
-	// minWaitingTasks is the number of tasks to which the queue is filled up.
+	// minWaitingTasks is the number of waiting tasks to which the queue is filled up at
+	// every step.
 	minWaitingTasks = 40
 )
 
@@ -61,8 +61,8 @@
 	AboveObjective float64
 }
 
-// interference is how much pressure tasks of a class add if they use the whole
-// worker while the service is at full load.
+// interference holds, by class, how much pressure tasks add if they use the whole worker
+// while the service is at full load.
 var interference = map[string]float64{"shaping": 0.7, "archive": 2.2, "watcher": 0.1}
 
 // taskSizes holds the resources that a task of each class requests.
@@ -72,7 +72,8 @@
 	"watcher": {MilliCPU: 500, MemoryMB: 1000},
 }
 
-// taskRun is one run of a task. It makes progress from progressFrom on.
+// taskRun is one run of a task, which makes progress from progressFrom on. remaining is
+// the work left, in running time at full speed.
 type taskRun struct {
 	assignment record.AssignmentID
 	class      string
@@ -84,7 +85,8 @@
 	progressFrom   time.Time
 }
 
-// simWorker is a simulated worker.
+// simWorker is a simulated worker. load is the present load on its service, from 0 to 1;
+// pressures are the service's pressures at all steps so far; runs are by job.
 type simWorker struct {
 	name      string
 	load      float64
@@ -107,19 +109,20 @@
 	offset    uint64
 	submitted int
 	workers   []*simWorker
-	// remaining is the work left at the last checkpoint, by job.
+	// remaining holds, by job, the work left at the last checkpoint.
 	remaining map[string]time.Duration
 	samples   []sample
 	result    SurgeResult
 }
 
+// sample is the pressure and the load on one worker's service in one second.
 type sample struct{ pressure, load float64 }
 
 // RunSurge simulates a load surge under a policy. The same seed gives the same load
 // and the same jobs under every policy.
-func RunSurge(p Policy, seed uint64) (SurgeResult, error) {
+func RunSurge(policy Policy, seed uint64) (SurgeResult, error) {
 	s := &surgeRun{
-		policy: p, now: startTime, remaining: make(map[string]time.Duration),
+		policy: policy, now: startTime, remaining: make(map[string]time.Duration),
 		loadRandom: rand.New(rand.NewPCG(seed, 1)), jobRandom: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // fixed seeds
 	}
 	s.stateMachine.OnTaskChange = func(id record.TaskID, j *job.Job, t *job.Task) { s.scheduler.TaskChanged(s.now, id, j, t) }
@@ -132,7 +135,7 @@
 		BatchClasses: []bundle.BatchClass{{Name: "shaping", Priority: 5}, {Name: "archive", Priority: 1}, {Name: "watcher", Priority: 3}},
 		Teams:        []bundle.Team{{Name: teamName(0), Quota: workerSize.Times(surgeWorkers)}},
 	}, &s.stateMachine)
-	for range int(surgeLength / surgeTick) {
+	for range int(surgeDuration / surgeTickInterval) {
 		if err := s.step(); err != nil {
 			return s.result, err
 		}
@@ -143,7 +146,7 @@
 
 // step advances the simulation by surgeTick.
 func (s *surgeRun) step() error {
-	s.now = s.now.Add(surgeTick)
+	s.now = s.now.Add(surgeTickInterval)
 	for i, w := range s.workers {
 		w.load = s.loadAt(i)
 		s.advance(w)
@@ -168,15 +171,17 @@
 	return nil
 }
 
-// loadAt returns the load on a worker's service: it rises to a crest and falls
-// again, with waves of two minutes and random changes every second on top.
+// loadAt returns the present load on the service of worker i. The load rises to a crest
+// and falls again, with waves of two minutes and random changes every second on top.
 func (s *surgeRun) loadAt(i int) float64 {
-	at := s.now.Sub(startTime)
-	crest := math.Sin(math.Pi * float64(at) / float64(surgeLength))
-	wave := math.Sin(2*math.Pi*at.Seconds()/120 + float64(i)/3)
+	elapsed := s.now.Sub(startTime)
+	crest := math.Sin(math.Pi * float64(elapsed) / float64(surgeDuration))
+	wave := math.Sin(2*math.Pi*elapsed.Seconds()/120 + float64(i)/3)
 	return min(max(0.15+0.6*crest+0.15*wave+0.08*s.loadRandom.NormFloat64(), 0), 1)
 }
 
+// submit submits the next job, with one task of a class that follows from its number.
+// Every 20th job is ten times as long.
 func (s *surgeRun) submit() {
 	s.submitted++
 	class := [...]string{"shaping", "shaping", "archive", "archive", "watcher"}[s.submitted%5]
@@ -191,13 +196,15 @@
 	}})
 }
 
+// apply applies a record as the next one of the log, and returns its position.
 func (s *surgeRun) apply(m record.Message) record.Position {
 	s.offset++
-	at := record.NewPosition(s.offset, 0)
-	_ = s.stateMachine.Apply(record.New(at, "entry", s.offset, m))
-	return at
+	position := record.NewPosition(s.offset, 0)
+	_ = s.stateMachine.Apply(record.New(position, "entry", s.offset, m))
+	return position
 }
 
+// assign applies an assignment, and starts its tasks on workers whose ledgers admit them.
 func (s *surgeRun) assign(m *record.Assign) error {
 	epoch := s.apply(m)
 	for _, p := range m.Placements {
@@ -220,7 +227,8 @@
 	return checkSizes(s.workers)
 }
 
-// checkSizes returns an error if the tasks on a worker need more than it has.
+// checkSizes returns an error if the tasks on a worker need more resources than the
+// worker has.
 func checkSizes(workers []*simWorker) error {
 	for _, w := range workers {
 		var sum worker.Resources
@@ -250,7 +258,7 @@
 		if s.now.Before(r.progressFrom) {
 			continue
 		}
-		done := surgeTick * time.Duration(r.cpuPercent) / 100
+		done := surgeTickInterval * time.Duration(r.cpuPercent) / 100
 		r.remaining -= done
 		r.unsaved += done
 		if s.now.Sub(r.lastCheckpoint) >= checkpointInterval {
@@ -275,10 +283,13 @@
 	w.guard.CheckpointSaved(s.now, id)
 }
 
-func coreTime(class string, d time.Duration) time.Duration {
-	return time.Duration(float64(d) * float64(taskSizes[class].MilliCPU) / 1000)
+// coreTime returns the processor time of a task of a class that runs for a while at full
+// speed.
+func coreTime(class string, runTime time.Duration) time.Duration {
+	return time.Duration(float64(runTime) * float64(taskSizes[class].MilliCPU) / 1000)
 }
 
+// endRun ends a task's run. Progress since its last checkpoint is lost.
 func (s *surgeRun) endRun(w *simWorker, id string) {
 	s.result.LostWork += coreTime(w.runs[id].class, w.runs[id].unsaved)
 	delete(w.runs, id)
@@ -303,8 +314,8 @@
 		if s.now.Before(r.progressFrom) {
 			continue
 		}
-		part := float64(taskSizes[r.class].MilliCPU) / float64(workerSize.MilliCPU)
-		pressure += w.load * interference[r.class] * part * float64(r.cpuPercent) / 100
+		share := float64(taskSizes[r.class].MilliCPU) / float64(workerSize.MilliCPU)
+		pressure += w.load * interference[r.class] * share * float64(r.cpuPercent) / 100
 	}
 	pressure *= math.Exp(0.08 * s.loadRandom.NormFloat64())
 	w.pressures = append(w.pressures, pressure)
@@ -328,6 +339,7 @@
 	return out
 }
 
+// classUses returns the resources granted to and used by the tasks of each class.
 func (w *simWorker) classUses() []queue.ClassUse {
 	var out []queue.ClassUse
 	for class, size := range taskSizes {
@@ -355,6 +367,7 @@
 	}
 }
 
+// applyGuard carries out what worker.Guard decides.
 func (s *surgeRun) applyGuard(w *simWorker) {
 	var running []worker.GuardTask
 	for _, id := range w.sortedJobs() {
@@ -377,6 +390,8 @@
 	}
 }
 
+// evictLargest evicts the task that requests the most processors if the pressure that
+// policies see is above 1.
 func (s *surgeRun) evictLargest(w *simWorker) {
 	if w.delayedPressure() <= 1 {
 		return
@@ -401,17 +416,17 @@
 		}
 	}
 	sort.Slice(s.samples, func(i, k int) bool { return s.samples[i].pressure > s.samples[k].pressure })
-	total, past := 0.0, 0.0
+	totalLoad, loadAboveObjective := 0.0, 0.0
 	for _, x := range s.samples {
-		total += x.load
+		totalLoad += x.load
 		if x.pressure > 1 {
-			past += x.load
+			loadAboveObjective += x.load
 		}
 	}
-	s.result.AboveObjective = past / total
+	s.result.AboveObjective = loadAboveObjective / totalLoad
 	sum := 0.0
 	for _, x := range s.samples {
-		if sum += x.load; sum >= total/100 {
+		if sum += x.load; sum >= totalLoad/100 {
 			s.result.PressureP99 = x.pressure
 			return
 		}
--- a/internal/bench/batch/urgent.go
+++ b/internal/bench/batch/urgent.go
@@ -15,19 +15,19 @@
 
 // Sizes and times of the simulation of urgent work.
 const (
-	urgentWorkers = 40
-	urgentSeeds   = 200
-	urgentTick    = 10 * time.Millisecond
+	urgentWorkers      = 40
+	urgentSeeds        = 200
+	urgentTickInterval = 10 * time.Millisecond
 	// appendDelay is the time from an append until every entry has read the record.
 	appendDelay = 100 * time.Millisecond
-	// urgentTimeout is when a simulation is given up.
+	// urgentTimeout is how long after the submission a simulation is given up.
 	urgentTimeout = 30 * time.Second
 	// urgentTarget is the longest acceptable time until urgent work starts.
 	urgentTarget = 4900 * time.Millisecond
 )
 
-// UrgentStart is the longest time from the submission of urgent work to its start, when
-// the entry that ranks first for it dies at the moment of submission.
+// UrgentStart is the longest time from the submission of an urgent job to its start, if
+// the entry that ranks first for the job dies at the moment of submission.
 type UrgentStart struct {
 	// MaxWithRoom is for workers with free resources.
 	MaxWithRoom time.Duration
@@ -39,16 +39,16 @@
 func MeasureUrgent() (UrgentStart, error) {
 	var out UrgentStart
 	for seed := range uint64(urgentSeeds) {
-		idle, err := measureUrgentStart(seed, false)
+		withRoom, err := measureUrgentStart(seed, false)
 		if err != nil {
 			return out, err
 		}
-		full, err := measureUrgentStart(seed, true)
+		withFullWorkers, err := measureUrgentStart(seed, true)
 		if err != nil {
 			return out, err
 		}
-		out.MaxWithRoom = max(out.MaxWithRoom, idle)
-		out.MaxWithFullWorkers = max(out.MaxWithFullWorkers, full)
+		out.MaxWithRoom = max(out.MaxWithRoom, withRoom)
+		out.MaxWithFullWorkers = max(out.MaxWithFullWorkers, withFullWorkers)
 	}
 	return out, nil
 }
@@ -69,13 +69,13 @@
 	log          []delayedRecord
 	// nextHeartbeats is when each agent's next heartbeat is due.
 	nextHeartbeats []time.Time
-	// running holds the tasks that agents run, stopped those that they have stopped.
+	// running holds the tasks that agents run, stopped the tasks that they have stopped.
 	running, stopped map[record.AssignmentID]bool
 }
 
-// measureUrgentStart returns the time from the submission of an urgent job to its
-// start; full fills all workers with other work before.
-func measureUrgentStart(seed uint64, full bool) (time.Duration, error) {
+// measureUrgentStart returns the time from the submission of an urgent job to its start.
+// If fullWorkers is set, other work fills all workers before.
+func measureUrgentStart(seed uint64, fullWorkers bool) (time.Duration, error) {
 	s := &urgentRun{
 		now: startTime, random: rand.New(rand.NewPCG(seed, 11)), //nolint:gosec // fixed seed
 		nextHeartbeats: make([]time.Time, urgentWorkers), running: make(map[record.AssignmentID]bool), stopped: make(map[record.AssignmentID]bool),
@@ -88,7 +88,7 @@
 		s.nextHeartbeats[i] = s.now.Add(time.Duration(s.random.Int64N(int64(heartbeatInterval))))
 		s.heartbeat(i)
 	}
-	if full {
+	if fullWorkers {
 		s.submit("old", "shaping", urgentWorkers, workerSize)
 	}
 	s.run(5*time.Second, 0)
@@ -102,16 +102,19 @@
 	return s.now.Sub(submitted), nil
 }
 
+// submit appends the submission of a job of a class, whose team has the class's name.
 func (s *urgentRun) submit(id, class string, tasks uint32, size worker.Resources) {
 	s.append(&record.Submit{Spec: record.Spec{
 		ID: id, Team: class, Class: class, Tasks: tasks, Size: size, MaxFailures: 3, SubmittedAt: s.now.UnixMilli(), TakeoverMS: 10000,
 	}})
 }
 
+// append appends a record to the log, which is readable after appendDelay.
 func (s *urgentRun) append(m record.Message) {
 	s.log = append(s.log, delayedRecord{message: m, readAt: s.now.Add(appendDelay)})
 }
 
+// started reports whether an agent runs a task of a job.
 func (s *urgentRun) started(id string) bool {
 	for a := range s.running {
 		if a.Task.Job == id {
@@ -121,12 +124,13 @@
 	return false
 }
 
-// run simulates a period of time, or until the urgent job has started.
-func (s *urgentRun) run(length, backup time.Duration) {
-	end := s.now.Add(length)
-	tick := s.now.Add(time.Duration(s.random.Int64N(int64(tickInterval))))
+// run simulates a duration, or until the urgent job has started. backupDelay is how long
+// the surviving entry leaves the scheduling of a job to entries that rank before it.
+func (s *urgentRun) run(duration, backupDelay time.Duration) {
+	end := s.now.Add(duration)
+	nextPass := s.now.Add(time.Duration(s.random.Int64N(int64(tickInterval))))
 	for s.now.Before(end) && !s.started("quick") {
-		s.now = s.now.Add(urgentTick)
+		s.now = s.now.Add(urgentTickInterval)
 		s.readLog()
 		for i := range s.nextHeartbeats {
 			if !s.now.Before(s.nextHeartbeats[i]) {
@@ -134,11 +138,11 @@
 				s.heartbeat(i)
 			}
 		}
-		if s.now.Before(tick) {
+		if s.now.Before(nextPass) {
 			continue
 		}
-		tick = tick.Add(tickInterval)
-		for _, d := range s.scheduler.Decide(s.now, &s.stateMachine, func(string) time.Duration { return backup }, s.random) {
+		nextPass = nextPass.Add(tickInterval)
+		for _, d := range s.scheduler.Decide(s.now, &s.stateMachine, func(string) time.Duration { return backupDelay }, s.random) {
 			if m := d.Message(); m != nil {
 				s.append(m)
 			}
