--- a/internal/explore/batch/agent.go
+++ b/internal/explore/batch/agent.go
@@ -11,8 +11,8 @@
 const (
 	roundInterval = 300 * time.Millisecond
 	callTimeout   = time.Second
-	// startupWait is how long a restarted agent admits no tasks, so that the starts
-	// its predecessor sent are listed by then.
+	// startupWait is how long a restarted agent starts no tasks. By then the worker lists
+	// the tasks whose starts the agent sent before it restarted.
 	startupWait = time.Second
 )
 
@@ -26,7 +26,8 @@
 	holder      *lease.Holder
 	incarnation uint64
 	draining    bool
-	primary     int
+	// primary is the index of the agent's primary entry.
+	primary int
 }
 
 func newAgent(w *world, name string, m *machine) *agent {
@@ -35,6 +36,7 @@
 	return a
 }
 
+// start starts the agent's process without state.
 func (a *agent) start() {
 	a.incarnation++
 	a.draining = false
@@ -44,8 +46,8 @@
 	a.process.after(a.w.randomUpTo(roundInterval), a.round)
 }
 
-// restart replaces the agent, either at once (a crash) or after it has drained for
-// a while (a planned restart).
+// restart replaces the agent's process, either at once (a crash) or after the agent has
+// drained for a while (a planned restart).
 func (a *agent) restart() {
 	a.draining = true
 	drainFor := a.w.randomUpTo(2*time.Second) * time.Duration(a.w.random.IntN(2))
@@ -59,7 +61,7 @@
 	})
 }
 
-// round lists the worker's tasks and begins the round's heartbeats. If the worker
+// round asks the worker for its tasks and begins the round's heartbeats. If the worker
 // does not answer within callTimeout, the next round begins roundInterval later.
 func (a *agent) round() {
 	requestedAt := a.process.clock()
@@ -85,19 +87,22 @@
 	})
 }
 
+// sendHeartbeats applies a listing of the worker's tasks, sends heartbeats to all entries,
+// and later carries out the actions that follow from their responses. requestedAt is
+// when the listing was requested, incarnation the worker's at that listing.
 func (a *agent) sendHeartbeats(requestedAt time.Time, listing *lease.Listing, incarnation int) {
 	a.holder.Observe(requestedAt, listing)
 	reports := a.holder.Reports(listing)
 	if a.w.chance(0.05) {
-		a.primary = a.w.random.IntN(entries)
+		a.primary = a.w.random.IntN(entryCount)
 	}
 	roundOver := false
 	for i, e := range a.w.entries {
-		b := &job.Heartbeat{
+		heartbeat := &job.Heartbeat{
 			Worker: a.name, Incarnation: a.incarnation, Round: a.holder.Round(),
 			Ready: a.holder.Ledger().Ready(), Primary: i == a.primary, Reports: reports,
 		}
-		a.sendHeartbeat(e, b, func(r *lease.LogReading) {
+		a.sendHeartbeat(e, heartbeat, func(r *lease.LogReading) {
 			if !roundOver {
 				a.holder.Apply(a.process.clock(), r, a.draining)
 			}
@@ -112,23 +117,25 @@
 	})
 }
 
-// responseWait returns how long the agent waits for the entries' responses before
-// it acts on those it has.
+// responseWait returns how long the agent waits for the entries' responses before it acts
+// on the responses that have arrived.
 func (a *agent) responseWait() time.Duration {
 	if a.w.chance(0.2) {
 		return callTimeout
 	}
-	return 4 * maxUsualDelay
+	return 4 * maxUsualMessageDelay
 }
 
-func (a *agent) sendHeartbeat(e *entry, b *job.Heartbeat, deliver func(*lease.LogReading)) {
+// sendHeartbeat sends a heartbeat to an entry. deliver handles the log reading in the
+// entry's response.
+func (a *agent) sendHeartbeat(e *entry, heartbeat *job.Heartbeat, deliver func(*lease.LogReading)) {
 	if a.w.isCut(a.name, e.name) {
 		return
 	}
 	self := a.process.generationRef()
 	a.w.send(func() {
 		e.process.after(0, func() {
-			r := e.handleHeartbeat(b)
+			r := e.handleHeartbeat(heartbeat)
 			if !a.w.isCut(e.name, a.name) {
 				a.w.reply(self, func() { deliver(&r) })
 			}
--- a/internal/explore/batch/batch_test.go
+++ b/internal/explore/batch/batch_test.go
@@ -7,7 +7,7 @@
 	"savoryhoist.example/savoryhoist/pkg/job"
 )
 
-// ciSeeds is the number of schedules that every test run plays.
+// ciSeeds is the number of simulated runs that every run of the tests performs.
 const ciSeeds = 300
 
 func TestNoViolation(t *testing.T) {
@@ -19,15 +19,15 @@
 }
 
 func TestTakeoverTimeBoundsIdleAndOutage(t *testing.T) {
-	const after = 10 * time.Second
-	idle, err := MeasureTakeoverCost(after, 10)
+	const takeoverAfter = 10 * time.Second
+	cost, err := MeasureTakeoverCost(takeoverAfter, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := idle.MaxIdle, after+2*job.LostAfter; got > want {
+	if got, want := cost.MaxIdle, takeoverAfter+2*job.LostAfter; got > want {
 		t.Errorf("longest idle: got %s, want at most %s", got, want)
 	}
-	if got, want := idle.MinOutageRun, after/2; got < want {
+	if got, want := cost.MinOutageRun, takeoverAfter/2; got < want {
 		t.Errorf("shortest run through an outage: got %s, want at least %s", got, want)
 	}
 }
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -16,11 +16,11 @@
 	readInterval    = 150 * time.Millisecond
 	decideInterval  = 250 * time.Millisecond
 	confirmInterval = 500 * time.Millisecond
-	// unconfirmedLostAfter is how long a worker must be silent to count as lost when
-	// some other entries did not answer.
+	// unconfirmedLostAfter is how long a worker must be silent to count as lost if some
+	// other entries did not answer the query for their last contact with it.
 	unconfirmedLostAfter = 2 * job.LostAfter
-	// placementRetryDelay is how long the entry waits for a placement to take effect
-	// before it places the task again.
+	// placementRetryDelay is how long the entry waits for a placement to take effect in
+	// the log before it places the task again.
 	placementRetryDelay = 2 * time.Second
 )
 
@@ -38,7 +38,8 @@
 	queued      []record.Message
 	writer      string
 	seq         uint64
-	sending     bool
+	// sending is set while an append is not acknowledged.
+	sending bool
 }
 
 func newEntry(w *world, name string) *entry {
@@ -47,6 +48,7 @@
 	return e
 }
 
+// start starts the entry's process without state.
 func (e *entry) start() {
 	e.state, e.responder, e.reclaimer = job.StateMachine{}, job.HeartbeatResponder{}, job.Reclaimer{}
 	e.responder.SetRules(e.w.rules.Responder)
@@ -60,8 +62,8 @@
 	e.process.after(e.w.randomUpTo(confirmInterval), e.confirmLost)
 }
 
-// restart replaces the entry. Half of the time the new one tries to start from a
-// snapshot of another entry's state, otherwise it reads the log from the start.
+// restart replaces the entry's process. Half of the time the new process tries to start
+// from a snapshot of another entry's state, otherwise it reads the log from the start.
 func (e *entry) restart() {
 	e.process.generation++
 	e.start()
@@ -91,23 +93,23 @@
 	e.sending = true
 	batch := e.queued
 	e.queued = nil
-	first := e.seq + 1
+	firstSeq := e.seq + 1
 	e.seq += uint64(len(batch))
-	e.append(batch, first)
+	e.append(batch, firstSeq)
 }
 
-// append appends a batch, and repeats it under the same sequence numbers until the
-// log acknowledges it.
-func (e *entry) append(batch []record.Message, first uint64) {
+// append appends a batch to the log, and repeats the append under the same sequence
+// numbers until the log acknowledges it.
+func (e *entry) append(batch []record.Message, firstSeq uint64) {
 	done := false
 	retry := func() {
 		if !done {
 			done = true
-			e.append(batch, first)
+			e.append(batch, firstSeq)
 		}
 	}
 	e.process.after(2*callTimeout, retry)
-	e.w.log.append(e.process.generationRef(), e.writer, first, batch, func(ok bool) {
+	e.w.log.append(e.process.generationRef(), e.writer, firstSeq, batch, func(ok bool) {
 		if done || !ok {
 			return
 		}
@@ -151,18 +153,18 @@
 	}
 }
 
-func (e *entry) handleHeartbeat(b *job.Heartbeat) lease.LogReading {
+func (e *entry) handleHeartbeat(heartbeat *job.Heartbeat) lease.LogReading {
 	now := e.process.clock()
-	e.lastContact[b.Worker] = now
-	e.reclaimer.NoteContact(b.Worker, now)
-	reading, records := e.responder.Respond(now, &e.state, b)
+	e.lastContact[heartbeat.Worker] = now
+	e.reclaimer.NoteContact(heartbeat.Worker, now)
+	reading, records := e.responder.Respond(now, &e.state, heartbeat)
 	if len(records) > 0 {
 		e.queue(records...)
 	}
 	return reading
 }
 
-// decide places pending tasks and reclaims those of lost workers.
+// decide places pending tasks and reclaims the tasks of lost workers.
 func (e *entry) decide() {
 	e.process.after(decideInterval, e.decide)
 	if e.responder.LastReadBegan().IsZero() {
@@ -175,8 +177,8 @@
 	e.place(now)
 }
 
-// place assigns every pending task to a random live worker, now and then to one on
-// which it does not fit.
+// place assigns every pending task to a random live worker, now and then to one whose
+// free resources are too small for the task.
 func (e *entry) place(now time.Time) {
 	var live []string
 	for _, m := range e.w.workers {
@@ -205,6 +207,8 @@
 	return ids
 }
 
+// placeJob assigns the pending tasks of a job to workers from live: in one record if the
+// job is a gang, otherwise in one record each.
 func (e *entry) placeJob(now time.Time, j *job.Job, live []string) {
 	var placements []record.Placement
 	for i := range j.Tasks() {
@@ -232,14 +236,15 @@
 	}
 }
 
+// freeResources returns the resources of a worker that no active assignment occupies.
 func (e *entry) freeResources(name string) worker.Resources {
 	free := machineSize
 	e.state.EachActive(name, func(_ record.AssignmentID, j *job.Job, _ *job.Task) { free = free.Minus(j.Spec().Size) })
 	return free
 }
 
-// confirmLost asks the other entries for their last contact with silent workers,
-// and confirms those as lost that none of them has heard from.
+// confirmLost asks the other entries for their last contact with silent workers, and
+// confirms as lost the workers that no entry has heard from lately.
 func (e *entry) confirmLost() {
 	e.process.after(confirmInterval, e.confirmLost)
 	suspects := e.reclaimer.Suspects(e.process.clock(), &e.state)
@@ -268,18 +273,19 @@
 			})
 		})
 	}
-	e.process.after(4*maxUsualDelay, func() {
+	e.process.after(4*maxUsualMessageDelay, func() {
 		now := e.process.clock()
 		for _, name := range suspects {
-			if e.reclaimer.Lost(now, name, answers >= entries-1, unconfirmedLostAfter) {
+			if e.reclaimer.Lost(now, name, answers >= entryCount-1, unconfirmedLostAfter) {
 				e.reclaimer.ConfirmLost(now, name)
 			}
 		}
 	})
 }
 
-// sinceLastContact returns how long ago the entry last heard from workers, without
-// those that it takes for silent. An entry that lags behind the log returns nothing.
+// sinceLastContact returns, by worker, how long ago the entry last heard from the named
+// workers. It omits workers that have been silent for longer than job.LostAfter. An entry
+// that lags behind the log returns nothing.
 func (e *entry) sinceLastContact(names []string) map[string]time.Duration {
 	out := make(map[string]time.Duration)
 	now := e.process.clock()
--- a/internal/explore/batch/history.go
+++ b/internal/explore/batch/history.go
@@ -12,7 +12,7 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// ErrViolation means that the history of a schedule violates an invariant.
+// ErrViolation means that the history of a simulated run violates an invariant.
 var ErrViolation = errors.New("invariant violated")
 
 // progressSpan is a span of time in which a task made progress on a machine.
@@ -29,8 +29,8 @@
 	incarnation int
 }
 
-// history records what happened in a schedule, in true time, and the invariants that
-// were violated.
+// history records what happened in a simulated run, in true time, and the invariants
+// that were violated.
 type history struct {
 	// state has applied every record of the log.
 	state       job.StateMachine
@@ -90,6 +90,8 @@
 	}
 }
 
+// noteStart notes the start of an assignment's task on a machine, of which there may be
+// only one in each incarnation of the machine.
 func (h *history) noteStart(id record.AssignmentID, m *machine) {
 	k := startKey{assignment: id, machine: m.name, incarnation: m.incarnation}
 	h.starts[k]++
@@ -98,6 +100,7 @@
 	}
 }
 
+// noteProgress notes a span of time in which a task made progress.
 func (h *history) noteProgress(id record.AssignmentID, m *machine, from, to time.Duration) {
 	s := progressSpan{epoch: id.Epoch, machine: m.name, from: from, to: to}
 	h.progress[id.Task] = append(h.progress[id.Task], s)
@@ -107,8 +110,9 @@
 	}
 }
 
-// checkStoppedInTime checks that a task that was revoked or cancelled did not run
-// longer than its takeover time after that.
+// checkStoppedInTime checks that a task that was revoked or cancelled did not run longer
+// than its takeover time after the revocation or cancellation. to is the end of a span
+// of time in which the task made progress.
 func (h *history) checkStoppedInTime(id record.AssignmentID, to time.Duration) {
 	j, ok := h.state.Job(id.Task.Job)
 	if !ok {
@@ -133,8 +137,8 @@
 	return all
 }
 
-// checkNoOverlap reports tasks that made progress in two assignments or on two
-// machines at once.
+// checkNoOverlap adds a violation for each task that made progress in two assignments or
+// on two machines at once.
 func (h *history) checkNoOverlap() {
 	for task, list := range h.progress {
 		slices.SortFunc(list, func(a, b progressSpan) int { return int(a.from - b.from) })
@@ -147,8 +151,8 @@
 	}
 }
 
-// check makes the final checks after the last fault, and returns an error with the
-// first violation and their number.
+// check makes the final checks at the end of the simulated run. It returns an error with
+// the number of violations and the first of them, or nil.
 func (w *world) check() error {
 	for _, m := range w.workers {
 		m.updateTasks()
--- a/internal/explore/batch/idle.go
+++ b/internal/explore/batch/idle.go
@@ -17,18 +17,22 @@
 // TakeoverCost is what a takeover time costs: a long one keeps the tasks of a lost worker
 // idle, a short one stops tasks early in an outage.
 type TakeoverCost struct {
-	// MaxIdle and Mean are how long a task is idle after its worker's VM and
-	// agent are lost for good.
+	// MaxIdle and MeanIdle are the longest and the mean time for which a task is idle
+	// after its worker's VM and agent are lost for good.
 	MaxIdle, MeanIdle time.Duration
-	// MinOutageRun is the shortest time for which a task continued to run after the log,
-	// or its worker's entries, became unreachable.
+	// MinOutageRun is the shortest time for which a task continued to run after the log
+	// became unreachable.
 	MinOutageRun time.Duration
 }
 
 // Durations of the measurement.
 const (
-	idleWarmUp     = 20 * time.Second
-	idleLimit      = 10 * time.Minute
+	// idleWarmUp is the shortest time from the start of the simulation to the fault. The task
+	// runs by then.
+	idleWarmUp = 20 * time.Second
+	// idleLimit is how long the measurement waits for the task to resume.
+	idleLimit = 10 * time.Minute
+	// idleResolution is how often the measurement checks whether the task has resumed.
 	idleResolution = 100 * time.Millisecond
 )
 
@@ -38,13 +42,13 @@
 	out := TakeoverCost{MinOutageRun: idleLimit}
 	var sum time.Duration
 	for seed := range seeds {
-		idle, err := idleAfterDeath(seed, takeoverAfter)
+		idle, err := idleAfterWorkerLoss(seed, takeoverAfter)
 		if err != nil {
 			return out, err
 		}
 		out.MaxIdle = max(out.MaxIdle, idle)
 		sum += idle
-		out.MinOutageRun = min(out.MinOutageRun, ranThroughOutage(seed, takeoverAfter))
+		out.MinOutageRun = min(out.MinOutageRun, runTimeInOutage(seed, takeoverAfter))
 	}
 	out.MeanIdle = sum / time.Duration(seeds)
 	return out, nil
@@ -63,8 +67,8 @@
 	return w
 }
 
-// newestProgress updates all tasks to the present and returns the newest span in
-// which one made progress.
+// newestProgress updates the progress of all tasks and returns the newest span of time in
+// which a task made progress.
 func (w *world) newestProgress() progressSpan {
 	var newest progressSpan
 	for _, m := range w.workers {
@@ -80,8 +84,8 @@
 	return newest
 }
 
-// idleAfterDeath returns how long the task is idle after the loss of its worker.
-func idleAfterDeath(seed uint64, takeoverAfter time.Duration) (time.Duration, error) {
+// idleAfterWorkerLoss returns how long the task is idle after the loss of its worker.
+func idleAfterWorkerLoss(seed uint64, takeoverAfter time.Duration) (time.Duration, error) {
 	w := newLongTaskWorld(seed, takeoverAfter)
 	ran := w.newestProgress()
 	for i, m := range w.workers {
@@ -99,8 +103,8 @@
 	return 0, errors.Wrapf(ErrNotResumed, "seed %d", seed)
 }
 
-// ranThroughOutage returns how long the task runs on during an outage of the log.
-func ranThroughOutage(seed uint64, takeoverAfter time.Duration) time.Duration {
+// runTimeInOutage returns how long the task continues to run during an outage of the log.
+func runTimeInOutage(seed uint64, takeoverAfter time.Duration) time.Duration {
 	w := newLongTaskWorld(seed, takeoverAfter)
 	outageBegan := w.now
 	w.log.downUntil = w.now + idleLimit
--- a/internal/explore/batch/machine.go
+++ b/internal/explore/batch/machine.go
@@ -15,16 +15,19 @@
 
 // machine simulates a worker of the platform, which runs tasks until their leases end.
 type machine struct {
-	w           *world
-	name        string
-	rate        float64
+	w    *world
+	name string
+	// rate is how fast the machine's clock runs, 1 being exact.
+	rate float64
+	// startedAt is when the present VM started, in true time; incarnation counts VMs.
 	startedAt   time.Duration
 	incarnation int
 	tasks       map[record.AssignmentID]*runningTask
 }
 
-// runningTask is a task on a machine. leaseEnd is on the machine's clock; updatedAt
-// is the true time up to which workDone is computed.
+// runningTask is a task on a machine. leaseEnd is when its lease ends on the machine's
+// clock. workDone is the work done up to updatedAt, in true time; checkpoint is the work
+// saved by its newest checkpoint.
 type runningTask struct {
 	order      lease.StartOrder
 	state      lease.State
@@ -45,7 +48,7 @@
 	return time.Duration(float64(m.w.now-m.startedAt) * m.rate)
 }
 
-// trueTime returns the true moment at which the worker's clock shows uptime.
+// trueTime returns the true time at which the worker's clock shows uptime.
 func (m *machine) trueTime(uptime time.Duration) time.Duration {
 	return m.startedAt + time.Duration(float64(uptime)/m.rate)
 }
@@ -77,15 +80,16 @@
 	if end <= from {
 		return
 	}
-	total := time.Duration(t.order.Spec.ExpectedMS) * time.Millisecond
-	if t.workDone+end-from >= total {
-		end = from + total - t.workDone
+	totalWork := time.Duration(t.order.Spec.ExpectedMS) * time.Millisecond
+	if t.workDone+end-from >= totalWork {
+		end = from + totalWork - t.workDone
 		t.state = lease.Succeeded
 	}
 	t.workDone += end - from
 	m.w.history.noteProgress(id, m, from, end)
 }
 
+// list returns the worker's listing of its tasks.
 func (m *machine) list() *lease.Listing {
 	m.updateTasks()
 	l := &lease.Listing{Incarnation: strconv.Itoa(m.incarnation), Uptime: m.uptime(), Total: machineSize}
@@ -99,14 +103,16 @@
 	return l
 }
 
-func checkpointRef(d time.Duration) string {
-	if d == 0 {
+// checkpointRef returns the reference of a checkpoint that saved the given work, which is
+// empty if there is none.
+func checkpointRef(work time.Duration) string {
+	if work == 0 {
 		return ""
 	}
-	return d.String()
+	return work.String()
 }
 
-// execute carries out an action, unless the machine's VM was replaced since the
+// execute carries out an agent's action, unless the machine's VM was replaced since the
 // incarnation for which the action was meant.
 func (m *machine) execute(a *lease.Action, incarnation int) {
 	if incarnation != m.incarnation {
@@ -144,7 +150,7 @@
 	}
 }
 
-// start starts a task unless it is already listed or its lease has ended.
+// start starts a task unless the machine already has it or its lease has ended.
 func (m *machine) start(a *lease.Action) {
 	if m.tasks[a.Assignment()] != nil || a.LeaseEnd() <= m.uptime() {
 		return
--- a/internal/explore/batch/mutant_test.go
+++ b/internal/explore/batch/mutant_test.go
@@ -8,7 +8,7 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// mutantSeeds is the number of schedules within which a wrong rule must cause a
+// mutantSeeds is the number of simulated runs within which a wrong rule must cause a
 // violation.
 const mutantSeeds = 600
 
--- a/internal/explore/batch/process.go
+++ b/internal/explore/batch/process.go
@@ -10,8 +10,8 @@
 // clockBase is what a local clock without an offset shows when the simulation starts.
 var clockBase = time.Unix(1_700_000_000, 0)
 
-// event is a function that runs at a moment of true time, the simulation's global
-// clock. Events of the same moment run in the order of seq.
+// event is a function that runs at a point of true time, the simulation's global clock.
+// Events of the same time run in the order of seq, that of their creation.
 type event struct {
 	at  time.Duration
 	seq int
@@ -35,10 +35,10 @@
 	return last
 }
 
-// schedule runs fn after d of true time.
-func (w *world) schedule(d time.Duration, fn func()) {
+// schedule runs fn after the given delay in true time.
+func (w *world) schedule(delay time.Duration, fn func()) {
 	w.seq++
-	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, fn: fn})
+	heap.Push(&w.events, event{at: w.now + delay, seq: w.seq, fn: fn})
 }
 
 // runUntil runs the events up to end in the order of their times.
@@ -56,12 +56,14 @@
 type process struct {
 	w *world
 	// generation counts restarts; callbacks of an earlier generation are dropped.
-	generation  int
+	generation int
+	// rate is how fast the process's clock runs, 1 being exact.
 	rate        float64
 	pausedUntil time.Duration
 	// pausedFor is the total time of all pauses.
 	pausedFor time.Duration
-	offset    time.Duration
+	// offset is what the clock shows beyond clockBase at the start.
+	offset time.Duration
 }
 
 func newProcess(w *world) process {
@@ -78,9 +80,9 @@
 	return clockBase.Add(p.offset + time.Duration(float64(p.w.now-p.pausedFor)*p.rate))
 }
 
-// pause stops the process and its clock for d.
-func (p *process) pause(d time.Duration) {
-	until := p.w.now + d
+// pause stops the process and its clock for a while.
+func (p *process) pause(duration time.Duration) {
+	until := p.w.now + duration
 	if until <= p.pausedUntil {
 		return
 	}
@@ -99,14 +101,16 @@
 	return processGeneration{process: p, generation: p.generation}
 }
 
-// after runs fn in the process after d, unless the process is replaced before.
-func (p *process) after(d time.Duration, fn func()) { p.generationRef().after(d, fn) }
+// after runs fn in the process after the given delay, unless the process is replaced
+// before.
+func (p *process) after(delay time.Duration, fn func()) { p.generationRef().after(delay, fn) }
 
-func (p processGeneration) after(d time.Duration, fn func()) {
-	p.process.w.schedule(d, func() { p.process.run(p.generation, fn) })
+func (p processGeneration) after(delay time.Duration, fn func()) {
+	p.process.w.schedule(delay, func() { p.process.run(p.generation, fn) })
 }
 
-// run calls fn, after the end of a pause, unless the process was replaced.
+// run calls fn, at the end of the pause if the process is paused, unless the process was
+// replaced since the given generation.
 func (p *process) run(generation int, fn func()) {
 	if p.generation != generation {
 		return
--- a/internal/explore/batch/world.go
+++ b/internal/explore/batch/world.go
@@ -1,5 +1,5 @@
 // Package batch simulates batch jobs under faults. It runs the decision code of
-// entries and agents through seeded schedules of pauses, drifting clocks, log
+// entries and agents through seeded simulated runs with pauses, drifting clocks, log
 // outages, lost, late and duplicated messages, partitions, crashes and waves of
 // cancellations, and checks invariants on the history that results.
 package batch
@@ -15,18 +15,18 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Size and duration of a schedule.
+// Size and duration of a simulated run.
 const (
-	entries = 3
-	workers = 3
+	entryCount  = 3
+	workerCount = 3
 	// faultDuration is how long faults are injected, and maxSettleTime how long jobs
 	// may take to end after the last fault.
 	faultDuration = 60 * time.Second
 	maxSettleTime = 150 * time.Second
 	// maxFaultGap is the longest time from one fault to the next.
 	maxFaultGap = 4 * time.Second
-	// settleCheckInterval is how often the end of all jobs is checked, and
-	// runAfterSettled how long the schedule continues after it.
+	// settleCheckInterval is how often the simulation checks whether all jobs have ended,
+	// and runAfterSettled how long it continues after that.
 	settleCheckInterval = 5 * time.Second
 	runAfterSettled     = 10 * time.Second
 )
@@ -42,12 +42,12 @@
 
 // Upper bounds of message delays.
 const (
-	maxUsualDelay = 40 * time.Millisecond
-	maxLateDelay  = 6 * time.Second
+	maxUsualMessageDelay = 40 * time.Millisecond
+	maxLateMessageDelay  = 6 * time.Second
 )
 
-// Rules are the rules of the protocol that a test can replace. The zero value plays
-// those of the product.
+// Rules are the rules of the protocol that a test can replace by wrong ones. The zero
+// value stands for the product's own rules.
 type Rules struct {
 	Holder    lease.Rules
 	Reclaimer job.ReclaimerRules
@@ -61,27 +61,29 @@
 	now    time.Duration
 	events events
 	seq    int
-	// faultless is set when no faults are injected, or no more.
+	// faultless is set once no more faults are injected, and from the start of a run that
+	// has none.
 	faultless bool
 	log       logService
 	entries   []*entry
 	agents    []*agent
 	workers   []*machine
-	cutUntil  map[[2]string]time.Duration
-	history   history
+	// cutUntil holds, by sender and receiver, until when messages are dropped.
+	cutUntil map[[2]string]time.Duration
+	history  history
 }
 
-// Run plays the schedule of a seed and returns the first violation found.
+// Run performs the simulated run of a seed and returns the first violation found.
 func Run(seed uint64) error { return run(seed, Rules{}) }
 
 func newWorld(random *rand.Rand, rules Rules) *world {
 	w := &world{random: random, rules: rules, cutUntil: make(map[[2]string]time.Duration)}
 	w.log.w = w
 	w.history.init()
-	for i := range entries {
+	for i := range entryCount {
 		w.entries = append(w.entries, newEntry(w, fmt.Sprintf("entry-%d", i)))
 	}
-	for i := range workers {
+	for i := range workerCount {
 		name := fmt.Sprintf("worker-%d", i)
 		m := newMachine(w, name)
 		w.workers = append(w.workers, m)
@@ -113,23 +115,25 @@
 	return w.history.allJobsEnded()
 }
 
-// randomUpTo returns a random duration from 0 to d.
-func (w *world) randomUpTo(d time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(d) + 1))
+// randomUpTo returns a random duration from 0 to limit, limit included.
+func (w *world) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(limit) + 1))
 }
 
-// chance reports true with probability p while faults are injected.
-func (w *world) chance(p float64) bool { return !w.faultless && w.random.Float64() < p }
+// chance returns true with the probability rate while faults are injected, and false
+// afterwards.
+func (w *world) chance(rate float64) bool { return !w.faultless && w.random.Float64() < rate }
 
-// delay returns the random delay of a message.
+// delay returns a random delay for a message.
 func (w *world) delay() time.Duration {
 	if w.chance(lateMessageRate) {
-		return w.randomUpTo(maxLateDelay)
+		return w.randomUpTo(maxLateMessageDelay)
 	}
-	return time.Millisecond + w.randomUpTo(maxUsualDelay)
+	return time.Millisecond + w.randomUpTo(maxUsualMessageDelay)
 }
 
-// send delivers a message, which is fn, once, twice or never.
+// send delivers a message once, twice or never, each time after a random delay. fn is how
+// its receiver handles the message.
 func (w *world) send(fn func()) {
 	if w.chance(messageLossRate) {
 		return
@@ -140,23 +144,26 @@
 	}
 }
 
-// reply delivers a response, which is fn, to the calling process unless it was
-// replaced, or the response is lost.
-func (w *world) reply(to processGeneration, fn func()) {
+// reply runs fn, the caller's handling of a response, after a random delay. It does not
+// run fn if the response is lost, or if the calling process has been replaced meanwhile.
+func (w *world) reply(caller processGeneration, fn func()) {
 	if w.chance(replyLossRate) {
 		return
 	}
-	to.after(w.delay(), fn)
+	caller.after(w.delay(), fn)
 }
 
-// isCut reports whether messages from one name to another are dropped.
-func (w *world) isCut(from, to string) bool { return w.now < w.cutUntil[[2]string{from, to}] }
+// isCut reports whether messages from one process to another are dropped. sender and
+// receiver are the names of the processes.
+func (w *world) isCut(sender, receiver string) bool {
+	return w.now < w.cutUntil[[2]string{sender, receiver}]
+}
 
 // scheduleJobs schedules submissions and waves of cancellations.
 func (w *world) scheduleJobs() {
-	const jobs = 10
+	const jobCount = 10
 	var ids []string
-	for i := range jobs {
+	for i := range jobCount {
 		id := fmt.Sprintf("job-%d", i)
 		ids = append(ids, id)
 		spec := record.Spec{
@@ -176,69 +183,69 @@
 
 func (w *world) randomEntry() *entry { return w.entries[w.random.IntN(len(w.entries))] }
 
-// injectFault injects one fault and schedules the next.
+// injectFault injects one random fault and schedules the next.
 func (w *world) injectFault() {
 	if w.faultless {
 		return
 	}
 	duration := w.randomUpTo(12 * time.Second)
-	e, a, m := w.randomEntry(), w.agents[w.random.IntN(workers)], w.workers[w.random.IntN(workers)]
+	e, a, m := w.randomEntry(), w.agents[w.random.IntN(workerCount)], w.workers[w.random.IntN(workerCount)]
 	switch w.random.IntN(15) {
-	case 0:
+	case 0: // an entry is paused
 		e.process.pause(duration)
-	case 1:
+	case 1: // an agent is paused
 		a.process.pause(duration)
-	case 2, 3:
+	case 2, 3: // an entry restarts
 		e.restart()
-	case 4, 5:
+	case 4, 5: // an agent restarts
 		a.restart()
-	case 6:
+	case 6: // a worker's VM is replaced
 		w.replaceVM(m)
-	case 7:
+	case 7: // the log is down
 		w.log.downUntil = w.now + duration
-	case 8, 9:
+	case 8, 9: // an agent is partitioned from one entry
 		w.partition(e.name, a.name, duration)
-	case 10:
+	case 10: // an agent is partitioned from all entries
 		for _, other := range w.entries {
 			w.partition(other.name, a.name, duration)
 		}
-	case 11:
+	case 11: // two entries are partitioned from each other
 		w.partition(e.name, w.randomEntry().name, duration)
-	case 12:
+	case 12: // appends to the log are slow
 		w.log.slowUntil = w.now + duration
-	case 13, 14:
+	case 13, 14: // an agent is partitioned twice in short succession
 		w.flap(a)
 	}
 	w.schedule(w.randomUpTo(maxFaultGap), w.injectFault)
 }
 
-// partition drops the messages between two processes for d, in one direction, both
-// or none.
-func (w *world) partition(a, b string, d time.Duration) {
+// partition drops the messages between two processes for a while, in one direction, both
+// or none. process and other are the names of the processes.
+func (w *world) partition(process, other string, duration time.Duration) {
 	if w.random.IntN(3) > 0 {
-		w.cutUntil[[2]string{a, b}] = w.now + d
+		w.cutUntil[[2]string{process, other}] = w.now + duration
 	}
 	if w.random.IntN(3) > 0 {
-		w.cutUntil[[2]string{b, a}] = w.now + d
+		w.cutUntil[[2]string{other, process}] = w.now + duration
 	}
 }
 
 // flap partitions an agent from all entries, reconnects it briefly, and partitions it
-// again, while the log fails appends.
+// again. Until shortly before the second partition, the log fails appends.
 func (w *world) flap(a *agent) {
-	first := job.LostAfter + w.randomUpTo(3*time.Second)
-	second := first + time.Second + w.randomUpTo(4*time.Second)
-	cut := func(d time.Duration) {
+	firstCut := job.LostAfter + w.randomUpTo(3*time.Second)
+	secondCutAt := firstCut + time.Second + w.randomUpTo(4*time.Second)
+	cut := func(duration time.Duration) {
 		for _, e := range w.entries {
-			w.cutUntil[[2]string{e.name, a.name}] = w.now + d
-			w.cutUntil[[2]string{a.name, e.name}] = w.now + d
+			w.cutUntil[[2]string{e.name, a.name}] = w.now + duration
+			w.cutUntil[[2]string{a.name, e.name}] = w.now + duration
 		}
 	}
-	cut(first)
-	w.log.readOnlyUntil = w.now + second - w.randomUpTo(time.Second)
-	w.schedule(second, func() {
+	cut(firstCut)
+	w.log.readOnlyUntil = w.now + secondCutAt - w.randomUpTo(time.Second)
+	w.schedule(secondCutAt, func() {
 		if !w.faultless {
-			cut(second)
+			cut(secondCutAt)
 		}
 	})
 }
