--- a/internal/agent/active_attempt.go
+++ b/internal/agent/active_attempt.go
@@ -25,7 +25,7 @@
 // activeAttempt is an attempt that waits for a slot or runs.
 type activeAttempt struct {
 	id         endpoint.AttemptID
-	ticket     *endpoint.Ticket
+	ticket     *endpoint.SlotRequest
 	repeatable bool
 	arrived    time.Time
 	// verdict receives the one verdict on the attempt.
@@ -77,7 +77,7 @@
 		}
 	}
 	mean, long := a.serviceTimes.Estimate(in.class, expected)
-	ticket := endpoint.NewTicket(in.class, in.team, priority, in.deadline, mean)
+	ticket := endpoint.NewSlotRequest(in.class, in.team, priority, in.deadline, mean)
 	ticket.SetLong(long)
 	att := &activeAttempt{
 		id: in.id, ticket: ticket, repeatable: in.repeatable,
@@ -89,7 +89,7 @@
 }
 
 // offer asks the gate for a slot; mu is held.
-func (a *Agent) offer(now time.Time, att *activeAttempt) (endpoint.Verdict, *endpoint.Ticket, string) {
+func (a *Agent) offer(now time.Time, att *activeAttempt) (endpoint.Verdict, *endpoint.SlotRequest, string) {
 	if a.draining {
 		return endpoint.Shed, nil, "the endpoint is draining"
 	}
@@ -110,7 +110,7 @@
 }
 
 // resolve passes the verdict to a waiting attempt; mu is held.
-func (a *Agent) resolve(now time.Time, t *endpoint.Ticket, v endpoint.Verdict) {
+func (a *Agent) resolve(now time.Time, t *endpoint.SlotRequest, v endpoint.Verdict) {
 	att := a.waitingAttempts[t]
 	delete(a.waitingAttempts, t)
 	if v == endpoint.Shed {
@@ -185,13 +185,13 @@
 
 // load returns the endpoint's load; mu is held.
 func (a *Agent) load() endpoint.Load {
-	long := a.gate.RunningLong()
+	long := a.gate.RunningLongCount()
 	for t := range a.waitingAttempts {
 		if t.Long() {
 			long++
 		}
 	}
-	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: long, Reserved: a.gate.ReservedSlots()}
+	return endpoint.Load{InFlight: a.gate.RunningCount() + a.gate.WaitingCount(), LongInFlight: long, ReservedSlots: a.gate.ReservedSlots()}
 }
 
 // runContext returns the context of the attempt's run. It does not end with the connection that
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -68,7 +68,7 @@
 	gate            endpoint.Gate
 	serviceTimes    endpoint.ServiceTimes
 	activeAttempts  map[endpoint.AttemptID]*activeAttempt
-	waitingAttempts map[*endpoint.Ticket]*activeAttempt
+	waitingAttempts map[*endpoint.SlotRequest]*activeAttempt
 	draining        bool
 	chain           *bundle.Chain
 	entrySelector   entrySelector
@@ -100,7 +100,7 @@
 		chain:           bundle.NewChain(s.Roots),
 		entrySelector:   entrySelector{name: s.Name, configured: s.Entries},
 		activeAttempts:  make(map[endpoint.AttemptID]*activeAttempt),
-		waitingAttempts: make(map[*endpoint.Ticket]*activeAttempt),
+		waitingAttempts: make(map[*endpoint.SlotRequest]*activeAttempt),
 	}
 	a.holder.Ledger().RequireListingSince(now.Add(predecessorStartGrace))
 	id.OnRefused(func(err error) { logger.Warn().Err(err).Str("decision", "refuse-peer").Msg("") })
--- a/internal/agent/guard_test.go
+++ b/internal/agent/guard_test.go
@@ -109,7 +109,7 @@
 	for range seconds {
 		g.now = g.now.Add(time.Second)
 		for range 30 {
-			f := &activeAttempt{ticket: endpoint.NewTicket(class, "", 0, g.now, 0), arrived: g.now.Add(-took)}
+			f := &activeAttempt{ticket: endpoint.NewSlotRequest(class, "", 0, g.now, 0), arrived: g.now.Add(-took)}
 			g.agent.noteLatency(g.now, f)
 		}
 		g.agent.runGuard(context.Background(), g.now, &g.listing)
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -210,7 +210,7 @@
 	a.mu.Lock()
 	h.Draining, h.BundleDigest, h.BundleVersion = a.draining, a.chain.Digest(), a.chain.Version()
 	load := a.load()
-	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.Long, load.Reserved, a.dedupTable.NextMark()
+	h.InFlight, h.InFlightLong, h.Reserved, h.Mark = load.InFlight, load.LongInFlight, load.ReservedSlots, a.dedupTable.NextMark()
 	if s, ok := a.service(); ok {
 		h.Slots = s.Slots
 	}
--- a/internal/bench/batch/place.go
+++ b/internal/bench/batch/place.go
@@ -227,7 +227,7 @@
 	d.submitted++
 	d.pending = append(d.pending, &record.Submit{Spec: record.Spec{
 		ID: fmt.Sprintf("%020x", d.submitted), Team: teamName(d.submitted), Class: class, Tasks: 1, Size: size, MaxFailures: 3, TakeoverMS: 10000,
-		ExpectedMS: 60000, SubmittedAt: d.now.UnixMilli() - d.random.Int64N(maxQueueAge.Milliseconds()), Payload: []byte(`{"run-ms":60000}`),
+		ExpectedMS: 60000, SubmittedAtMS: d.now.UnixMilli() - d.random.Int64N(maxQueueAge.Milliseconds()), Payload: []byte(`{"run-ms":60000}`),
 	}})
 }
 
--- a/internal/bench/batch/report.go
+++ b/internal/bench/batch/report.go
@@ -16,34 +16,34 @@
 // Report is the benchmark's output. A number at the end of a field's name is a number of
 // workers; None, Guard and Evict are the policies of a surge.
 type Report struct {
-	PlaceUS11          float64 `json:"place-us-11"`
-	PlaceUS200         float64 `json:"place-us-200"`
-	PlaceUS1400        float64 `json:"place-us-1400"`
-	PlaceUS1400Varied  float64 `json:"place-us-1400-varied-sizes"`
-	LongestTickMS1400  float64 `json:"longest-tick-ms-1400"`
-	MemoryMB11         float64 `json:"memory-mb-11"`
-	MemoryMB200        float64 `json:"memory-mb-200"`
-	MemoryMB1400       float64 `json:"memory-mb-1400"`
-	CPUPercentStarts   float64 `json:"cpu-percent-300-starts"`
-	CPUPercentOneEntry float64 `json:"cpu-percent-300-starts-one-entry"`
-	EvictionsNone      int     `json:"evictions-none"`
-	EvictionsGuard     int     `json:"evictions-guard"`
-	EvictionsEvict     int     `json:"evictions-evict-at-once"`
-	EvictionsRatio     float64 `json:"evictions-ratio-to-evict-at-once"`
-	ThroughputNone     float64 `json:"throughput-ratio-to-none"`
-	ThroughputRatio    float64 `json:"throughput-ratio-to-evict-at-once"`
-	LostHoursGuard     float64 `json:"lost-core-hours-guard"`
-	LostHoursEvict     float64 `json:"lost-core-hours-evict-at-once"`
-	TailNone           float64 `json:"tail-to-objective-none"`
-	TailGuard          float64 `json:"tail-to-objective-guard"`
-	TailEvict          float64 `json:"tail-to-objective-evict-at-once"`
-	PastNone           float64 `json:"past-objective-none"`
-	PastGuard          float64 `json:"past-objective-guard"`
-	PastEvict          float64 `json:"past-objective-evict-at-once"`
-	UrgentStart        float64 `json:"urgent-start-s-after-entry-death"`
-	UrgentStartFull    float64 `json:"urgent-start-s-after-entry-death-full"`
-	Explored           int     `json:"explored-schedules"`
-	Violations         int     `json:"violations"`
+	PlaceUS11              float64 `json:"place-us-11"`
+	PlaceUS200             float64 `json:"place-us-200"`
+	PlaceUS1400            float64 `json:"place-us-1400"`
+	PlaceUS1400Varied      float64 `json:"place-us-1400-varied-sizes"`
+	LongestTickMS1400      float64 `json:"longest-tick-ms-1400"`
+	MemoryMB11             float64 `json:"memory-mb-11"`
+	MemoryMB200            float64 `json:"memory-mb-200"`
+	MemoryMB1400           float64 `json:"memory-mb-1400"`
+	CPUPercent300Starts    float64 `json:"cpu-percent-300-starts"`
+	CPUPercentOneEntry     float64 `json:"cpu-percent-300-starts-one-entry"`
+	EvictionsNone          int     `json:"evictions-none"`
+	EvictionsGuard         int     `json:"evictions-guard"`
+	EvictionsEvict         int     `json:"evictions-evict-at-once"`
+	EvictionsRatioToEvict  float64 `json:"evictions-ratio-to-evict-at-once"`
+	ThroughputRatioToNone  float64 `json:"throughput-ratio-to-none"`
+	ThroughputRatioToEvict float64 `json:"throughput-ratio-to-evict-at-once"`
+	LostCoreHoursGuard     float64 `json:"lost-core-hours-guard"`
+	LostCoreHoursEvict     float64 `json:"lost-core-hours-evict-at-once"`
+	TailToObjectiveNone    float64 `json:"tail-to-objective-none"`
+	TailToObjectiveGuard   float64 `json:"tail-to-objective-guard"`
+	TailToObjectiveEvict   float64 `json:"tail-to-objective-evict-at-once"`
+	AboveObjectiveNone     float64 `json:"past-objective-none"`
+	AboveObjectiveGuard    float64 `json:"past-objective-guard"`
+	AboveObjectiveEvict    float64 `json:"past-objective-evict-at-once"`
+	UrgentStartSeconds     float64 `json:"urgent-start-s-after-entry-death"`
+	UrgentStartFullSeconds float64 `json:"urgent-start-s-after-entry-death-full"`
+	Explored               int     `json:"explored-schedules"`
+	Violations             int     `json:"violations"`
 }
 
 // placementSeconds is the measured virtual time of a placement run, in seconds.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.UrgentStart, r.UrgentStartFull = urgent.MaxWithRoom.Seconds(), urgent.MaxWithFullWorkers.Seconds()
+	r.UrgentStartSeconds, r.UrgentStartFullSeconds = urgent.MaxWithRoom.Seconds(), urgent.MaxWithFullWorkers.Seconds()
 	if max(urgent.MaxWithRoom, urgent.MaxWithFullWorkers) > urgentTarget {
 		return r, errors.Wrapf(ErrGuarantee, "urgent work started after %v", max(urgent.MaxWithRoom, urgent.MaxWithFullWorkers))
 	}
@@ -125,7 +125,7 @@
 		Workers: targetWorkers / targetDataCentres, Running: targetRunning / targetDataCentres, QueueLength: targetQueueLength / targetDataCentres,
 		StartsPerSecond: roundUp(targetStartsPerSecond/targetDataCentres, int(time.Second/tickInterval)), Seconds: 4 * placementSeconds,
 	})
-	r.CPUPercentStarts = p.Cores * 100
+	r.CPUPercent300Starts = p.Cores * 100
 	return r.countViolation(err)
 }
 
@@ -159,11 +159,11 @@
 	}
 	none, guard, evict := sums[PolicyNone], sums[PolicyGuard], sums[PolicyEvict]
 	r.EvictionsNone, r.EvictionsGuard, r.EvictionsEvict = none.Evictions, guard.Evictions, evict.Evictions
-	r.EvictionsRatio = float64(guard.Evictions) / float64(max(evict.Evictions, 1))
-	r.ThroughputNone = guard.SavedWork.Hours() / none.SavedWork.Hours()
-	r.ThroughputRatio = guard.SavedWork.Hours() / evict.SavedWork.Hours()
-	r.LostHoursGuard, r.LostHoursEvict = guard.LostWork.Hours(), evict.LostWork.Hours()
-	r.TailNone, r.TailGuard, r.TailEvict = none.PressureP99, guard.PressureP99, evict.PressureP99
-	r.PastNone, r.PastGuard, r.PastEvict = none.AboveObjective, guard.AboveObjective, evict.AboveObjective
+	r.EvictionsRatioToEvict = float64(guard.Evictions) / float64(max(evict.Evictions, 1))
+	r.ThroughputRatioToNone = guard.SavedWork.Hours() / none.SavedWork.Hours()
+	r.ThroughputRatioToEvict = guard.SavedWork.Hours() / evict.SavedWork.Hours()
+	r.LostCoreHoursGuard, r.LostCoreHoursEvict = guard.LostWork.Hours(), evict.LostWork.Hours()
+	r.TailToObjectiveNone, r.TailToObjectiveGuard, r.TailToObjectiveEvict = none.PressureP99, guard.PressureP99, evict.PressureP99
+	r.AboveObjectiveNone, r.AboveObjectiveGuard, r.AboveObjectiveEvict = none.AboveObjective, guard.AboveObjective, evict.AboveObjective
 	return nil
 }
--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -192,7 +192,7 @@
 	}
 	s.remaining[id] = length
 	s.apply(&record.Submit{Spec: record.Spec{
-		ID: id, Team: teamName(0), Class: class, Tasks: 1, Size: taskSizes[class], MaxFailures: 3, SubmittedAt: s.now.UnixMilli(),
+		ID: id, Team: teamName(0), Class: class, Tasks: 1, Size: taskSizes[class], MaxFailures: 3, SubmittedAtMS: s.now.UnixMilli(),
 	}})
 }
 
--- a/internal/bench/batch/urgent.go
+++ b/internal/bench/batch/urgent.go
@@ -105,7 +105,7 @@
 // submit appends the submission of a job of a class, whose team has the class's name.
 func (s *urgentRun) submit(id, class string, tasks uint32, size worker.Resources) {
 	s.append(&record.Submit{Spec: record.Spec{
-		ID: id, Team: class, Class: class, Tasks: tasks, Size: size, MaxFailures: 3, SubmittedAt: s.now.UnixMilli(), TakeoverMS: 10000,
+		ID: id, Team: class, Class: class, Tasks: tasks, Size: size, MaxFailures: 3, SubmittedAtMS: s.now.UnixMilli(), TakeoverMS: 10000,
 	}})
 }
 
--- a/internal/bench/capacity/appends.go
+++ b/internal/bench/capacity/appends.go
@@ -19,8 +19,8 @@
 
 // measureAppends measures the appends per second to one data centre's stream by the task
 // starts per second in that data centre. Each rate of starts is measured for a period.
-func measureAppends(ctx context.Context, period time.Duration) (Slope, error) {
-	out := Slope{Name: "appends-per-start", Unit: "appends a second"}
+func measureAppends(ctx context.Context, period time.Duration) (FittedCost, error) {
+	out := FittedCost{Name: "appends-per-start", Unit: "appends a second"}
 	for _, startsPerSecond := range []int{2, 10, targetStartsPerSecond / targetDataCentres, 2 * targetStartsPerSecond / targetDataCentres} {
 		appends, err := measureAppendRate(ctx, startsPerSecond, period)
 		if err != nil {
--- a/internal/bench/capacity/capacity.go
+++ b/internal/bench/capacity/capacity.go
@@ -18,16 +18,16 @@
 // Result holds the costs that were measured at several sizes, each with the line fitted
 // to it, and the costs at the target size that follow from these lines.
 type Result struct {
-	Slopes []Slope `json:"slopes"`
-	Lines  []Line  `json:"lines"`
+	FittedCosts []FittedCost `json:"slopes"`
+	TargetCosts []TargetCost `json:"lines"`
 }
 
 // fittedCosts holds all measured costs, each with the line fitted to it. The unit and the
 // kind of size of each are given where it is measured.
 type fittedCosts struct {
-	workerMemory, runningJobMemory, endedJobMemory, taskMemory, endpointMemory Slope
-	recordCPU, placementCPU, choiceCPU                                         Slope
-	bytesSent, bytesReceived, heartbeatCPU, appends                            Slope
+	workerMemory, runningJobMemory, endedJobMemory, taskMemory, endpointMemory FittedCost
+	recordCPU, placementCPU, choiceCPU                                         FittedCost
+	bytesSent, bytesReceived, heartbeatCPU, appends                            FittedCost
 }
 
 // Run measures all costs, fits a line to each, and computes the costs at the target size.
@@ -51,11 +51,11 @@
 		return nil, err
 	}
 	return &Result{
-		Slopes: []Slope{
+		FittedCosts: []FittedCost{
 			m.workerMemory, m.endpointMemory, m.runningJobMemory, m.endedJobMemory, m.taskMemory, m.recordCPU, m.placementCPU, m.choiceCPU,
 			m.bytesSent, m.bytesReceived, m.heartbeatCPU, m.appends,
 		},
-		Lines: m.targetCosts(),
+		TargetCosts: m.targetCosts(),
 	}, nil
 }
 
@@ -66,7 +66,7 @@
 )
 
 // targetCosts computes the costs of each role at the target size.
-func (m *fittedCosts) targetCosts() []Line {
+func (m *fittedCosts) targetCosts() []TargetCost {
 	workers := float64(targetWorkers) / targetDataCentres
 	tasks := float64(targetTasks) / targetDataCentres
 	endpoints := float64(targetEndpoints) / targetDataCentres
@@ -77,7 +77,7 @@
 	interval := lease.HeartbeatInterval(int(agentsPerEntry)).Seconds()
 	heartbeats := agentsPerEntry / interval
 	bytesPerHeartbeat := m.bytesSent.costAt(tasksPerWorker) + m.bytesReceived.costAt(tasksPerWorker)
-	return []Line{
+	return []TargetCost{
 		newTargetCost("agent", "heartbeats, both ways", "bytes a second", bytesPerHeartbeat*entriesPerAgent/interval, maxBytesPerSecond,
 			"bytes of a heartbeat at 5.4 tasks x 3 entries told, at the entries' pace"),
 		newTargetCost("entry", "live state of workers, endpoints, tasks and jobs kept a day", "bytes",
--- a/internal/bench/capacity/heartbeat.go
+++ b/internal/bench/capacity/heartbeat.go
@@ -118,15 +118,15 @@
 // measureHeartbeats measures, by the number of reported tasks, the bytes of a heartbeat
 // and of its reply, and the processor time of agent and entry together. It sends the given
 // number of heartbeats for each number of tasks.
-func measureHeartbeats(ctx context.Context, now time.Time, heartbeats int) (sent, received, processor Slope, err error) {
+func measureHeartbeats(ctx context.Context, now time.Time, heartbeats int) (sent, received, processor FittedCost, err error) {
 	w, err := newHeartbeatTestbed(now)
 	if err != nil {
 		return sent, received, processor, err
 	}
 	defer w.close()
-	sent = Slope{Name: "bytes-sent-per-heartbeat", Unit: "bytes"}
-	received = Slope{Name: "bytes-received-per-heartbeat", Unit: "bytes"}
-	processor = Slope{Name: "processor-per-heartbeat-both-sides", Unit: "microseconds"}
+	sent = FittedCost{Name: "bytes-sent-per-heartbeat", Unit: "bytes"}
+	received = FittedCost{Name: "bytes-received-per-heartbeat", Unit: "bytes"}
+	processor = FittedCost{Name: "processor-per-heartbeat-both-sides", Unit: "microseconds"}
 	round := uint64(0)
 	for _, tasks := range []int{0, 6, 12, 24} {
 		if err := w.sendHeartbeat(ctx, round, tasks); err != nil { // establishes the connection before the measurement
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -22,9 +22,9 @@
 	return strconv.AppendFloat(nil, float64(f), 'g', digits, 64), nil
 }
 
-// Slope is a cost measured at several sizes and the line fitted to it. According to the
+// FittedCost is a cost measured at several sizes and the line fitted to it. According to the
 // line, the cost at a size is Base + PerUnit * size.
-type Slope struct {
+type FittedCost struct {
 	Name    string    `json:"name"`
 	Unit    string    `json:"unit"`
 	Sizes   []float64 `json:"sizes"`
@@ -34,13 +34,13 @@
 }
 
 // addSample adds the cost measured at a size.
-func (s *Slope) addSample(size, cost float64) {
+func (s *FittedCost) addSample(size, cost float64) {
 	s.Sizes = append(s.Sizes, size)
 	s.Costs = append(s.Costs, Figure(cost))
 }
 
 // fit computes Base and PerUnit from the samples by least squares.
-func (s *Slope) fit() {
+func (s *FittedCost) fit() {
 	n := float64(len(s.Sizes))
 	var sumX, sumY, sumXX, sumXY float64
 	for i, x := range s.Sizes {
@@ -53,13 +53,13 @@
 }
 
 // costAt returns the cost at a size according to the fitted line.
-func (s *Slope) costAt(size float64) float64 { return float64(s.Base) + float64(s.PerUnit)*size }
+func (s *FittedCost) costAt(size float64) float64 { return float64(s.Base) + float64(s.PerUnit)*size }
 
 // maxCost returns the highest measured cost.
-func (s *Slope) maxCost() float64 { return float64(slices.Max(s.Costs)) }
+func (s *FittedCost) maxCost() float64 { return float64(slices.Max(s.Costs)) }
 
 // perUnit returns the additional cost per unit of size.
-func (s *Slope) perUnit() float64 { return float64(s.PerUnit) }
+func (s *FittedCost) perUnit() float64 { return float64(s.PerUnit) }
 
 // heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() float64 {
@@ -80,8 +80,8 @@
 }
 
 // measureCost measures the cost at each size and fits a line to it.
-func measureCost(name, unit string, sizes []int, cost func(size int) float64) Slope {
-	s := Slope{Name: name, Unit: unit}
+func measureCost(name, unit string, sizes []int, cost func(size int) float64) FittedCost {
+	s := FittedCost{Name: name, Unit: unit}
 	for _, size := range sizes {
 		s.addSample(float64(size), cost(size))
 	}
--- a/internal/bench/capacity/state.go
+++ b/internal/bench/capacity/state.go
@@ -86,7 +86,7 @@
 
 // measureWorkerMemory measures the live heap of a scheduler by the number of
 // workers.
-func measureWorkerMemory() Slope {
+func measureWorkerMemory() FittedCost {
 	return measureCost("entry-memory-per-worker", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
 		s := newBatchState(size)
@@ -98,7 +98,7 @@
 
 // measureJobMemory measures the live heap of state machine and scheduler by the number
 // of jobs with one task each. If running is set the tasks run, otherwise they have ended.
-func measureJobMemory(name string, running bool) Slope {
+func measureJobMemory(name string, running bool) FittedCost {
 	return measureCost(name, "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
 		s := newBatchState(200)
 		before := heapBytes()
@@ -116,7 +116,7 @@
 
 // measureTaskMemory measures the live heap of state machine and scheduler by the number
 // of running tasks, which belong to a few large jobs.
-func measureTaskMemory() Slope {
+func measureTaskMemory() FittedCost {
 	const jobCount = 10
 	return measureCost("entry-memory-per-running-task", "bytes", []int{2000, 4000, 8000}, func(size int) float64 {
 		s := newBatchState(200)
@@ -133,7 +133,7 @@
 // measureRecordCPU measures, by the number of known jobs, the processor time to apply one
 // record to state machine and scheduler: the processor time for all records of a task
 // from its submission to its end, divided by their number.
-func measureRecordCPU() Slope {
+func measureRecordCPU() FittedCost {
 	const taskCount = 4000
 	return measureCost("entry-processor-per-record", "microseconds", []int{1000, 4000, 16000}, func(size int) float64 {
 		s := newBatchState(200)
@@ -151,7 +151,7 @@
 
 // measurePlacementCPU measures the processor time to decide where a task runs by
 // the number of workers.
-func measurePlacementCPU() Slope {
+func measurePlacementCPU() FittedCost {
 	const taskCount = 500
 	return measureCost("entry-processor-per-placement", "microseconds", []int{100, 200, 400}, func(size int) float64 {
 		s := newBatchState(size)
@@ -169,7 +169,7 @@
 
 // measureEndpointMemory measures the live heap of a service's router by the number
 // of endpoints.
-func measureEndpointMemory() Slope {
+func measureEndpointMemory() FittedCost {
 	return measureCost("entry-memory-per-endpoint", "bytes", []int{200, 400, 800}, func(size int) float64 {
 		before := heapBytes()
 		r := newRouter(size)
@@ -193,7 +193,7 @@
 
 // measureChoiceCPU measures the processor time to choose an endpoint for a request
 // by the number of known endpoints.
-func measureChoiceCPU() Slope {
+func measureChoiceCPU() FittedCost {
 	const requestCount = 20000
 	return measureCost("entry-processor-per-choice", "microseconds", []int{100, 200, 400}, func(size int) float64 {
 		r := newRouter(size)
@@ -201,7 +201,7 @@
 		began := processorTime()
 		for i := range requestCount {
 			now := stateTime.Add(time.Duration(i) * time.Microsecond)
-			t := r.NewTicket(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
+			t := r.NewSlotRequest(now, "fit-check", "clinics", 9, now.Add(time.Second), 10*time.Millisecond)
 			if d := r.Offer(now, random, t, ""); d.Endpoint != nil {
 				r.Table().Done(d.Endpoint, t)
 			}
--- a/internal/bench/capacity/target.go
+++ b/internal/bench/capacity/target.go
@@ -34,9 +34,9 @@
 	maxAppendsPerSecond = 300
 )
 
-// Line is a cost at the target size, one line of the capacity page. Bound is the limit of
+// TargetCost is a cost at the target size, one line of the capacity page. Bound is the limit of
 // the cost, or 0 if there is none; Holds is set if the cost is within the limit.
-type Line struct {
+type TargetCost struct {
 	Role  string `json:"role"`
 	What  string `json:"what"`
 	Unit  string `json:"unit"`
@@ -49,8 +49,8 @@
 
 // newTargetCost returns the cost of a role at the target size, value, with its limit,
 // bound.
-func newTargetCost(role, what, unit string, value, bound float64, how string) Line {
-	return Line{
+func newTargetCost(role, what, unit string, value, bound float64, how string) TargetCost {
+	return TargetCost{
 		Role: role, What: what, Unit: unit, Value: Figure(value), Bound: Figure(bound),
 		Holds: bound == 0 || value <= bound, How: how,
 	}
--- a/internal/bench/request/decision.go
+++ b/internal/bench/request/decision.go
@@ -28,7 +28,7 @@
 			Name: fmt.Sprintf("worker-%d", i), Incarnation: 1, Slots: slotsPerEndpoint, Load: endpoint.Load{InFlight: random.IntN(slotsPerEndpoint)},
 		})
 	}
-	t := r.NewTicket(now, "preview", "team", 9, now.Add(time.Second), time.Millisecond)
+	t := r.NewSlotRequest(now, "preview", "team", 9, now.Add(time.Second), time.Millisecond)
 	fastest := time.Duration(1 << 62)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/bench/request/router.go
+++ b/internal/bench/request/router.go
@@ -13,7 +13,7 @@
 	s       *sim
 	routers []*endpoint.Router
 	// waiting holds, by entry, the requests that wait for an endpoint.
-	waiting []map[*endpoint.Ticket]*call
+	waiting []map[*endpoint.SlotRequest]*call
 	agents  [endpointCount]*simAgent
 }
 
@@ -26,7 +26,7 @@
 	serviceTimes endpoint.ServiceTimes
 	// waiting holds the attempts that wait for a slot. waitingLong counts the waiting
 	// attempts of long requests.
-	waiting     map[*endpoint.Ticket]*attempt
+	waiting     map[*endpoint.SlotRequest]*attempt
 	waitingLong int
 	// mark numbers the agent's reports.
 	mark uint64
@@ -36,8 +36,8 @@
 // reply, with the tickets that the entry's router and the agent's gate have for it.
 type attempt struct {
 	call        *call
-	entryTicket *endpoint.Ticket
-	agentTicket *endpoint.Ticket
+	entryTicket *endpoint.SlotRequest
+	agentTicket *endpoint.SlotRequest
 	target      *endpoint.Endpoint
 }
 
@@ -53,10 +53,10 @@
 	p := &routerPolicy{s: s}
 	for range s.deployment.entries {
 		p.routers = append(p.routers, &endpoint.Router{})
-		p.waiting = append(p.waiting, make(map[*endpoint.Ticket]*call))
+		p.waiting = append(p.waiting, make(map[*endpoint.SlotRequest]*call))
 	}
 	for i := range p.agents {
-		a := &simAgent{policy: p, index: i, name: fmt.Sprintf("worker-%d", i), waiting: make(map[*endpoint.Ticket]*attempt)}
+		a := &simAgent{policy: p, index: i, name: fmt.Sprintf("worker-%d", i), waiting: make(map[*endpoint.SlotRequest]*attempt)}
 		a.gate.SetLimits(slotsPerEndpoint, maxConnections)
 		p.agents[i] = a
 		for _, r := range p.routers {
@@ -68,7 +68,7 @@
 }
 
 func (a *simAgent) load() endpoint.Load {
-	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: a.gate.RunningLong() + a.waitingLong, Reserved: a.gate.ReservedSlots()}
+	return endpoint.Load{InFlight: a.gate.RunningCount() + a.gate.WaitingCount(), LongInFlight: a.gate.RunningLongCount() + a.waitingLong, ReservedSlots: a.gate.ReservedSlots()}
 }
 
 func (a *simAgent) report() endpoint.Report {
@@ -103,7 +103,7 @@
 	s := p.s
 	k := &s.deployment.classes[c.class]
 	r := p.routers[c.entry]
-	t := r.NewTicket(s.now, k.name, "team", k.priority, c.deadline, k.declaredServiceTime)
+	t := r.NewSlotRequest(s.now, k.name, "team", k.priority, c.deadline, k.declaredServiceTime)
 	excluded := ""
 	if c.excluded >= 0 {
 		excluded = p.agents[c.excluded].name
@@ -128,7 +128,7 @@
 }
 
 // refuseWaiting refuses a request that waits at an entry.
-func (p *routerPolicy) refuseWaiting(entry int, t *endpoint.Ticket) {
+func (p *routerPolicy) refuseWaiting(entry int, t *endpoint.SlotRequest) {
 	p.s.settle(p.waiting[entry][t], refused)
 	delete(p.waiting[entry], t)
 }
@@ -152,7 +152,7 @@
 }
 
 // send sends a request from its entry to an endpoint.
-func (p *routerPolicy) send(c *call, t *endpoint.Ticket, e *endpoint.Endpoint) {
+func (p *routerPolicy) send(c *call, t *endpoint.SlotRequest, e *endpoint.Endpoint) {
 	c.attempts++
 	var index int
 	for i, a := range p.agents {
@@ -168,7 +168,7 @@
 	s := a.policy.s
 	k := &s.deployment.classes[y.call.class]
 	mean, long := a.serviceTimes.Estimate(k.name, k.declaredServiceTime)
-	y.agentTicket = endpoint.NewTicket(k.name, "team", k.priority, y.call.deadline, mean)
+	y.agentTicket = endpoint.NewSlotRequest(k.name, "team", k.priority, y.call.deadline, mean)
 	y.agentTicket.SetLong(long)
 	verdict, victim, _ := a.gate.Offer(s.now, y.agentTicket)
 	if victim != nil {
@@ -193,11 +193,11 @@
 }
 
 // refuseWaiting refuses an attempt that waits for a slot.
-func (a *simAgent) refuseWaiting(t *endpoint.Ticket) {
+func (a *simAgent) refuseWaiting(t *endpoint.SlotRequest) {
 	a.respond(a.removeWaiting(t), reply{refused: true})
 }
 
-func (a *simAgent) removeWaiting(t *endpoint.Ticket) *attempt {
+func (a *simAgent) removeWaiting(t *endpoint.SlotRequest) *attempt {
 	y := a.waiting[t]
 	delete(a.waiting, t)
 	if t.Long() {
--- a/internal/command/bench_capacity.go
+++ b/internal/command/bench_capacity.go
@@ -37,12 +37,12 @@
 
 // printCapacity prints the measured slopes and the computed lines as readable text, then the whole result as one line of JSON.
 func printCapacity(w io.Writer, r *capacity.Result) error {
-	for i := range r.Slopes {
-		s := &r.Slopes[i]
+	for i := range r.FittedCosts {
+		s := &r.FittedCosts[i]
 		_, _ = fmt.Fprintf(w, "%-36s %10.3g + %10.3g per unit (%s), measured at %v\n", s.Name, s.Base, s.PerUnit, s.Unit, s.Sizes)
 	}
-	for i := range r.Lines {
-		l := &r.Lines[i]
+	for i := range r.TargetCosts {
+		l := &r.TargetCosts[i]
 		bound, holds := "no bound", ""
 		if l.Bound > 0 {
 			bound, holds = fmt.Sprintf("bound %.5g", l.Bound), "holds"
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -102,7 +102,7 @@
 	if err := c.storeRecord(ctx, workflow.CancellationRecord(id)); err != nil {
 		return err
 	}
-	c.notifyDispatcher(&peer.Message{CancellationStored: &peer.CancellationStored{ID: id}}, func(now time.Time) { c.cancelStored(now, id) })
+	c.notifyDispatcher(&peer.Message{CancellationStored: &peer.CancellationStored{JobID: id}}, func(now time.Time) { c.cancelStored(now, id) })
 	return nil
 }
 
@@ -238,7 +238,9 @@
 	} else if cc != nil {
 		ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 		defer cancel()
-		m, ok := cc.call(ctx, func(seq uint64) *peer.Message { return &peer.Message{PhaseQuery: &peer.PhaseQuery{Seq: seq, ID: id}} })
+		m, ok := cc.call(ctx, func(seq uint64) *peer.Message {
+			return &peer.Message{PhaseQuery: &peer.PhaseQuery{Seq: seq, JobID: id}}
+		})
 		if ok && m.PhaseAnswer.Known {
 			return m.PhaseAnswer.Phase, nil
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -149,9 +149,9 @@
 	<-ctx.Done()
 }
 
-// Leave begins the shutdown of this entry: it resigns its term as soon as another
+// BeginShutdown begins the shutdown of this entry: it resigns its term as soon as another
 // entry can take over. Until then it keeps dispatching, and it keeps answering callers.
-func (c *Coordinator) Leave() {
+func (c *Coordinator) BeginShutdown() {
 	c.mu.Lock()
 	c.draining = true
 	t := c.term
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -205,7 +205,7 @@
 	}
 	here, there := net.Pipe()
 	conn, other := peer.NewConn(here), peer.NewConn(there)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: "entry-b", Address: "b", Persistent: true}
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: "entry-b", PeerAddress: "b", Persistent: true}
 	var group sync.WaitGroup
 	group.Go(func() { _ = conn.Run(&group, func(m *peer.Message) { c.handleEntryMessage(ctx, conn, hello, m) }) })
 	stored := make(chan store.Record, 1)
--- a/internal/coordinator/follow.go
+++ b/internal/coordinator/follow.go
@@ -76,7 +76,7 @@
 	term := c.candidate.Claim().Term
 	c.mu.Unlock()
 	return &peer.Message{Hello: &peer.Hello{
-		Term: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, Address: c.settings.Listen, Zone: c.settings.Zone, Persistent: persistent,
+		NewestTerm: term, Role: peer.RoleEntry, Name: c.settings.Name, Incarnation: c.settings.Incarnation, PeerAddress: c.settings.Listen, Zone: c.settings.Zone, Persistent: persistent,
 	}}
 }
 
@@ -133,7 +133,7 @@
 	for seq := uint64(1); ; seq++ {
 		c.mu.Lock()
 		now := clock.Steady()
-		p := &peer.Ping{Seq: seq, Term: c.candidate.Claim().Term, StoreContactAgeMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Draining: c.draining}
+		p := &peer.Ping{Seq: seq, NewestTerm: c.candidate.Claim().Term, StoreContactAgeMS: now.Sub(c.lastStoreSuccess).Milliseconds(), Draining: c.draining}
 		if c.config != nil {
 			p.ConfigVersion = c.config.Version
 		}
@@ -156,11 +156,11 @@
 		c.handleWelcome(now, cc, claim, m.Welcome)
 	case m.Pong != nil:
 		c.mu.Lock()
-		if m.Pong.Term == claim.Term {
+		if m.Pong.DispatcherTerm == claim.Term {
 			c.candidate.NoteContact(now, claim.Term)
-			c.pendingByQueue = m.Pong.PendingByQueue
+			c.pendingByQueue = m.Pong.PendingJobsByQueue
 		}
-		c.addEntries(m.Pong.Entries)
+		c.addEntries(m.Pong.EntryAddresses)
 		if c.config != nil && m.Pong.ConfigVersion < c.config.Version {
 			cc.conn.Send(&peer.Message{Config: &peer.Config{Version: c.config.Version, Data: c.rawConfig}})
 		}
@@ -183,15 +183,15 @@
 func (c *Coordinator) handleWelcome(now time.Time, cc *callConn, claim leadership.Claim, w *peer.Welcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addEntries(w.Entries)
+	c.addEntries(w.EntryAddresses)
 	switch {
-	case w.IsDispatcher && w.Term == claim.Term:
+	case w.IsDispatcher && w.NewestTerm == claim.Term:
 		c.candidate.NoteContact(now, claim.Term)
 		c.dispatcherConn = cc
 		c.log.Info().Uint64("term", claim.Term).Str("dispatcher", claim.Entry).Msg("dispatcher connected")
-	case w.Term > claim.Term:
-		newer := w.Claim
-		newer.Term = w.Term
+	case w.NewestTerm > claim.Term:
+		newer := w.NewestClaim
+		newer.Term = w.NewestTerm
 		c.candidate.ObserveClaim(now, newer)
 		cc.conn.Close()
 	case w.Incarnation != claim.Incarnation:
@@ -275,14 +275,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if w.Term > claim.Term {
-				newer := w.Claim
-				newer.Term = w.Term
+			if w.NewestTerm > claim.Term {
+				newer := w.NewestClaim
+				newer.Term = w.NewestTerm
 				c.mu.Lock()
 				c.candidate.ObserveClaim(clock.Steady(), newer)
 				c.mu.Unlock()
 				withContact++
-			} else if w.Term == claim.Term && w.Term != 0 && !w.NoDispatcher && w.DispatcherContactAgeMS < leadership.ElectionTimeout.Milliseconds() {
+			} else if w.NewestTerm == claim.Term && w.NewestTerm != 0 && !w.NoDispatcher && w.DispatcherContactAgeMS < leadership.ElectionTimeout.Milliseconds() {
 				withContact++
 			}
 		})
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -88,7 +88,7 @@
 	for _, q := range orders.Questions() {
 		c.log.Info().Str("step", q.Step.String()).Uint64("question", q.Seq).Str("asker", q.Asker).Int("workers", len(q.Instances)).Msg("placement policy question sent")
 		o := ordersTo(q.Asker)
-		o.Questions = append(o.Questions, q)
+		o.PolicyQuestions = append(o.PolicyQuestions, q)
 	}
 	for w, o := range out {
 		if a := t.agents[w]; a != nil && a.conn != nil {
--- a/internal/coordinator/serve.go
+++ b/internal/coordinator/serve.go
@@ -71,18 +71,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Steady()
-	if h.Role == peer.RoleEntry && h.Address != "" {
-		c.entries[h.Address] = h.Name
+	if h.Role == peer.RoleEntry && h.PeerAddress != "" {
+		c.entries[h.PeerAddress] = h.Name
 		if h.Persistent {
-			c.links[h.Address] = &entryLink{conn: conn, name: h.Name, lastContact: now, storeContactAge: time.Hour, calls: newCallConn(conn)}
+			c.links[h.PeerAddress] = &entryLink{conn: conn, name: h.Name, lastContact: now, storeContactAge: time.Hour, calls: newCallConn(conn)}
 		}
 	}
-	c.endTermIfLater(h.Term, h.Name)
+	c.endTermIfLater(h.NewestTerm, h.Name)
 	w := &peer.Welcome{
-		Name: c.settings.Name, Incarnation: c.settings.Incarnation, Claim: c.candidate.Claim(), Term: c.candidate.Claim().Term,
-		IsDispatcher: c.term != nil, Entries: c.entryAddresses(),
+		Name: c.settings.Name, Incarnation: c.settings.Incarnation, NewestClaim: c.candidate.Claim(), NewestTerm: c.candidate.Claim().Term,
+		IsDispatcher: c.term != nil, EntryAddresses: c.entryAddresses(),
 	}
-	if c.term == nil && w.Term != 0 {
+	if c.term == nil && w.NewestTerm != 0 {
 		w.DispatcherContactAgeMS = now.Sub(c.candidate.LastContact()).Milliseconds()
 		w.NoDispatcher = c.candidate.NoDispatcher()
 	}
@@ -103,8 +103,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h.Role == peer.RoleEntry {
-		if l := c.links[h.Address]; l != nil && l.conn == conn {
-			delete(c.links, h.Address)
+		if l := c.links[h.PeerAddress]; l != nil && l.conn == conn {
+			delete(c.links, h.PeerAddress)
 			c.log.Info().Str("entry", h.Name).Err(err).Msg("entry disconnected")
 		}
 		return
@@ -127,7 +127,7 @@
 	defer c.mu.Unlock()
 	t := c.term
 	if t == nil {
-		conn.Send(&peer.Message{Pong: &peer.Pong{Entries: c.entryAddresses()}})
+		conn.Send(&peer.Message{Pong: &peer.Pong{EntryAddresses: c.entryAddresses()}})
 		return
 	}
 	a := t.agents[h.Name]
@@ -178,9 +178,9 @@
 		c.log.Warn().Str("step", step.String()).Bool("open", open).Uint64("question", a.Seq).Str("asker", asker).Msg("placement policy question not answered")
 		return
 	}
-	step, open := t.scheduler.PolicyAnswered(now, a.Seq, a.Tickets, time.Duration(a.ValidMS)*time.Millisecond)
+	step, open := t.scheduler.PolicyAnswered(now, a.Seq, a.Tickets, time.Duration(a.ValidForMS)*time.Millisecond)
 	c.log.Info().Str("step", step.String()).Bool("open", open).Uint64("question", a.Seq).Str("asker", asker).Int("allowed", len(a.Tickets)).
-		Int64("valid-ms", a.ValidMS).Msg("advice received")
+		Int64("valid-ms", a.ValidForMS).Msg("advice received")
 }
 
 // handleAgentPing answers the ping of an agent, and renews the worker lease while
@@ -193,7 +193,7 @@
 		a.conn.Close()
 		return
 	}
-	pong := &peer.Pong{Seq: p.Seq, Term: t.number, Entries: c.entryAddresses()}
+	pong := &peer.Pong{Seq: p.Seq, DispatcherTerm: t.number, EntryAddresses: c.entryAddresses()}
 	if t.leaderLease.Valid(now) {
 		a.lastContact, pong.WorkerLeaseRenewed = now, true
 	}
@@ -213,9 +213,9 @@
 	case m.SubmissionStored != nil:
 		c.admitStored(now, m.SubmissionStored)
 	case m.CancellationStored != nil:
-		c.cancelStored(now, m.CancellationStored.ID)
+		c.cancelStored(now, m.CancellationStored.JobID)
 	case m.PhaseQuery != nil:
-		phase, known := c.localPhase(m.PhaseQuery.ID)
+		phase, known := c.localPhase(m.PhaseQuery.JobID)
 		conn.Send(&peer.Message{PhaseAnswer: &peer.PhaseAnswer{Seq: m.PhaseQuery.Seq, Known: known, Phase: phase}})
 	case m.Config != nil:
 		c.applyConfig(m.Config.Data, "peer "+h.Name)
@@ -223,7 +223,7 @@
 		c.group.Go(func() { c.storeForPeer(ctx, conn, m.RelayAppend) })
 	case m.RelayResult != nil:
 		c.mu.Lock()
-		l := c.links[h.Address]
+		l := c.links[h.PeerAddress]
 		c.mu.Unlock()
 		if l != nil {
 			l.calls.deliver(m.RelayResult.Seq, m)
@@ -238,22 +238,22 @@
 func (c *Coordinator) handleEntryPing(now time.Time, conn *peer.Conn, h *peer.Hello, p *peer.Ping) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.links[h.Address]; l != nil {
+	if l := c.links[h.PeerAddress]; l != nil {
 		l.lastContact, l.draining, l.storeContactAge = now, p.Draining, time.Duration(p.StoreContactAgeMS)*time.Millisecond
 	}
-	pong := &peer.Pong{Seq: p.Seq, Entries: c.entryAddresses()}
+	pong := &peer.Pong{Seq: p.Seq, EntryAddresses: c.entryAddresses()}
 	if c.config != nil {
 		pong.ConfigVersion = c.config.Version
 	}
 	if c.term != nil {
-		pong.Term = c.term.number
-		pong.PendingByQueue = c.term.scheduler.PendingJobs()
+		pong.DispatcherTerm = c.term.number
+		pong.PendingJobsByQueue = c.term.scheduler.PendingJobs()
 	}
 	conn.Send(&peer.Message{Pong: pong})
 	if p.ConfigVersion < pong.ConfigVersion {
 		conn.Send(&peer.Message{Config: &peer.Config{Version: pong.ConfigVersion, Data: c.rawConfig}})
 	}
-	c.endTermIfLater(p.Term, h.Name)
+	c.endTermIfLater(p.NewestTerm, h.Name)
 }
 
 // endTermIfLater ends this entry's term if knownTerm is later. namedBy is the peer or the record
--- a/internal/coordinator/superseded_test.go
+++ b/internal/coordinator/superseded_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	c := newTestEntry(t, "entry-a", s)
 	current := &term{number: ownTerm, agents: make(map[string]*agentLink), registered: make(map[string]bool), unregistered: make(map[string]*peer.Report)}
-	current.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", Attempts: 2}})
+	current.scheduler.SetQueues(map[string]dispatch.Queue{"plans": {Service: "bench", FailedRunLimit: 2}})
 	current.scheduler.BeginTerm(ownTerm, []string{"unheard"})
 	current.leaderLease.Renew(clock.Steady())
 	c.candidate.ObserveClaim(clock.Steady(), leadership.Claim{Term: ownTerm, Entry: "entry-a"})
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -118,11 +118,11 @@
 func newSpec(now time.Time, team *bundle.Team, class *bundle.BatchClass, s *Submission) record.Spec {
 	spec := record.Spec{
 		Team: team.Name, Class: s.Class, Tasks: max(s.Tasks, 1), Gang: s.Gang, Size: s.Size,
-		ExpectedMS: s.ExpectedMS, SubmittedAt: now.UnixMilli(), Payload: s.Payload,
+		ExpectedMS: s.ExpectedMS, SubmittedAtMS: now.UnixMilli(), Payload: s.Payload,
 		MaxFailures: uint32(class.MaxFailures), TakeoverMS: class.TakeoverAfter.Std().Milliseconds(),
 	}
 	if !s.NeededBy.IsZero() {
-		spec.NeededBy = s.NeededBy.UnixMilli()
+		spec.NeededByMS = s.NeededBy.UnixMilli()
 	}
 	return spec
 }
@@ -244,7 +244,7 @@
 	if !withTasks {
 		return v
 	}
-	for i := range j.Tasks() {
+	for i := range j.TaskCount() {
 		t := j.Task(i)
 		v.Tasks = append(v.Tasks, TaskView{
 			Phase: t.Phase().String(), Worker: t.Worker(), Attempts: t.Attempt(), Checkpoint: t.Checkpoint(), Detail: t.Detail(),
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -20,14 +20,14 @@
 type routes struct {
 	mu      sync.Mutex
 	routers map[string]*endpoint.Router
-	waiters map[*endpoint.Ticket]chan endpoint.Decision
+	waiters map[*endpoint.SlotRequest]chan endpoint.Decision
 	random  *mathrand.Rand
 }
 
 // target is a chosen endpoint, with a copy of the attributes that an attempt needs.
 type target struct {
 	endpoint    *endpoint.Endpoint
-	ticket      *endpoint.Ticket
+	ticket      *endpoint.SlotRequest
 	name        string
 	address     string
 	incarnation uint64
@@ -43,7 +43,7 @@
 	if !ok {
 		if r.routers == nil {
 			r.routers = make(map[string]*endpoint.Router)
-			r.waiters = make(map[*endpoint.Ticket]chan endpoint.Decision)
+			r.waiters = make(map[*endpoint.SlotRequest]chan endpoint.Decision)
 		}
 		p = &endpoint.Router{}
 		r.routers[service] = p
@@ -69,7 +69,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	p := r.router(q.service.Name)
-	ticket := p.NewTicket(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.ExpectedServiceTime.Std())
+	ticket := p.NewSlotRequest(now, q.class.Name, q.team, q.class.Priority, deadline, q.class.ExpectedServiceTime.Std())
 	d := p.Offer(now, r.random, ticket, skip)
 	if d.Victim != nil {
 		r.resolveWaiter(d.Victim, endpoint.Decision{Verdict: endpoint.Shed, Reason: "a request with higher precedence took its place in the queue", RetryAfter: time.Second})
@@ -95,7 +95,7 @@
 }
 
 // newTarget copies the attributes of a chosen endpoint; mu is held.
-func newTarget(ticket *endpoint.Ticket, d endpoint.Decision) target {
+func newTarget(ticket *endpoint.SlotRequest, d endpoint.Decision) target {
 	e := d.Endpoint
 	if e == nil {
 		return target{}
@@ -107,7 +107,7 @@
 }
 
 // waitForDecision blocks until a queued request may start or is refused.
-func (r *routes) waitForDecision(ctx context.Context, p *endpoint.Router, ticket *endpoint.Ticket, decided chan endpoint.Decision) endpoint.Decision {
+func (r *routes) waitForDecision(ctx context.Context, p *endpoint.Router, ticket *endpoint.SlotRequest, decided chan endpoint.Decision) endpoint.Decision {
 	timer := time.NewTimer(time.Until(ticket.LatestStart()))
 	defer timer.Stop()
 	select {
@@ -126,7 +126,7 @@
 }
 
 // resolveWaiter passes the decision to a waiting request; mu is held.
-func (r *routes) resolveWaiter(t *endpoint.Ticket, d endpoint.Decision) {
+func (r *routes) resolveWaiter(t *endpoint.SlotRequest, d endpoint.Decision) {
 	decided, ok := r.waiters[t]
 	if !ok {
 		return
@@ -137,7 +137,7 @@
 
 // startWaiting starts waiting requests on endpoints that have room; mu is held.
 func (r *routes) startWaiting(now time.Time, p *endpoint.Router) {
-	for p.Waiting() > 0 {
+	for p.WaitingCount() > 0 {
 		t, d := p.Next(now, r.random)
 		if t == nil {
 			return
@@ -217,7 +217,7 @@
 	p.Table().Observe(now, endpoint.Report{
 		Name: h.Worker, DataCentre: dataCentre, Service: h.Service, Address: h.Address,
 		Incarnation: h.Incarnation, Mark: h.Mark, Slots: h.Slots, Draining: h.Draining,
-		Load: endpoint.Load{InFlight: h.InFlight, Long: h.InFlightLong, Reserved: h.Reserved},
+		Load: endpoint.Load{InFlight: h.InFlight, LongInFlight: h.InFlightLong, ReservedSlots: h.Reserved},
 	})
 	p.Table().Prune(now)
 	r.startWaiting(now, p)
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -179,7 +179,7 @@
 func (e *Entry) updateQueueGauges() {
 	q := e.jobs.scheduler.Queue()
 	gometrics.GetOrRegisterGauge("queue-waiting", e.registry).Update(int64(q.Len()))
-	gometrics.GetOrRegisterGauge("queue-parked", e.registry).Update(int64(q.Parked()))
+	gometrics.GetOrRegisterGauge("queue-parked", e.registry).Update(int64(q.ParkedCount()))
 	gometrics.GetOrRegisterGauge("tasks-held", e.registry).Update(int64(e.jobs.scheduler.Fleet().AllocationCount()))
 }
 
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -45,7 +45,7 @@
 	s := Status{Entry: e.settings.Name, DataCentre: e.settings.DataCentre, Tasks: make(map[string]int)}
 	e.jobs.mu.Lock()
 	e.jobs.state.Each(func(j *job.Job) bool {
-		for i := range j.Tasks() {
+		for i := range j.TaskCount() {
 			s.Tasks[j.Task(i).Phase().String()]++
 		}
 		return true
--- a/internal/explore/batch/entry.go
+++ b/internal/explore/batch/entry.go
@@ -211,7 +211,7 @@
 // job is a gang, otherwise in one record each.
 func (e *entry) placeJob(now time.Time, j *job.Job, live []string) {
 	var placements []record.Placement
-	for i := range j.Tasks() {
+	for i := range j.TaskCount() {
 		t := j.Task(i)
 		id := record.TaskID{Job: j.Spec().ID, Index: uint32(i)}
 		if t.Phase() != job.Pending || now.Sub(e.placedAt[id]) < placementRetryDelay {
--- a/internal/explore/request/agent.go
+++ b/internal/explore/request/agent.go
@@ -25,7 +25,7 @@
 	dedup       *endpoint.DedupTable
 	gate        *endpoint.Gate
 	pending     map[endpoint.AttemptID]*pendingAttempt
-	tickets     map[*endpoint.Ticket]*pendingAttempt
+	tickets     map[*endpoint.SlotRequest]*pendingAttempt
 	running     int
 }
 
@@ -33,7 +33,7 @@
 // send a reply to it.
 type pendingAttempt struct {
 	attempt attempt
-	ticket  *endpoint.Ticket
+	ticket  *endpoint.SlotRequest
 	replyTo []func(reply)
 }
 
@@ -53,7 +53,7 @@
 	a.gate = &endpoint.Gate{}
 	a.gate.SetLimits(slotsPerAgent, connectionsPerAgent)
 	a.pending = make(map[endpoint.AttemptID]*pendingAttempt)
-	a.tickets = make(map[*endpoint.Ticket]*pendingAttempt)
+	a.tickets = make(map[*endpoint.SlotRequest]*pendingAttempt)
 	a.running = 0
 }
 
@@ -94,7 +94,7 @@
 // queueOrRun offers an attempt to the gate, which starts it, queues it or sheds it.
 func (a *agent) queueOrRun(sent attempt, replyTo func(reply)) {
 	p := &pendingAttempt{attempt: sent, replyTo: []func(reply){replyTo}}
-	p.ticket = endpoint.NewTicket("class", "team", a.w.random.IntN(3), sent.deadline, maxRunDuration/4)
+	p.ticket = endpoint.NewSlotRequest("class", "team", a.w.random.IntN(3), sent.deadline, maxRunDuration/4)
 	p.ticket.SetLong(a.w.random.IntN(4) == 0)
 	a.pending[sent.id] = p
 	a.tickets[p.ticket] = p
--- a/internal/explore/term/agent.go
+++ b/internal/explore/term/agent.go
@@ -202,7 +202,7 @@
 	if life := a.runner.StartedAtMS(); life != a.life {
 		a.life, a.reportedEnd, a.ackedEnd, a.sameLifeUntil = life, 0, 0, time.Time{}
 		clear(a.fenceAt)
-		if !a.w.rules.SkipStopInNewLife {
+		if !a.w.rules.SkipFencingInNewLife {
 			for k := range a.unlistedStarts {
 				a.runner.Stop(k.task.String(), k.run)
 			}
--- a/internal/explore/term/entry.go
+++ b/internal/explore/term/entry.go
@@ -192,7 +192,7 @@
 		t.storedWorkers[r.Key] = true
 	}
 	t.scheduler.BeginTerm(t.number, workerNames)
-	t.scheduler.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", Attempts: 3, Stretch: 2, TargetLatency: time.Second}})
+	t.scheduler.SetQueues(map[string]dispatch.Queue{"q": {Service: "s", FailedRunLimit: 3, Stretch: 2, TargetLatency: time.Second}})
 	jobTable.Each(func(_ string, j *workflow.Job) {
 		if j.Submission() != nil {
 			t.scheduler.Admit(now, e.wallMS(), j.Submission(), j.Progress(), true)
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -63,9 +63,9 @@
 	// IgnoreRunnerLife makes agents acknowledge ends and extend leases at a runner that
 	// may have restarted since it was last listed.
 	IgnoreRunnerLife bool
-	// SkipStopInNewLife makes agents report a restarted runner to the dispatcher before
+	// SkipFencingInNewLife makes agents report a restarted runner to the dispatcher before
 	// they have fenced, in its new life, the starts sent to its earlier one.
-	SkipStopInNewLife bool
+	SkipFencingInNewLife bool
 	// SkipStoringWorkers starts tasks on workers whose names are not in the store.
 	// SkipWriteUnderTerm starts tasks on a worker after its name was stored, without the
 	// write under the term that shows that the term was still the newest by then.
--- a/internal/explore/term/term_test.go
+++ b/internal/explore/term/term_test.go
@@ -44,7 +44,7 @@
 		}}, 0},
 		{"ends of runs are acknowledged before they are stored", Rules{AckBeforeStore: true}, 0},
 		{"a start whose call was not answered is not fenced", Rules{SkipFencing: true}, 0},
-		{"a restarted runner is reported before earlier starts are fenced", Rules{SkipStopInNewLife: true}, 130},
+		{"a restarted runner is reported before earlier starts are fenced", Rules{SkipFencingInNewLife: true}, 130},
 		{"a worker runs tasks before its name is stored", Rules{SkipStoringWorkers: true}, 0},
 		{"a worker's name is stored without a write under the term", Rules{SkipWriteUnderTerm: true}, 6220},
 		{"a job that an earlier dispatcher may have read is taken for new", Rules{TreatAllJobsAsNew: true}, 100},
--- a/internal/link/load.go
+++ b/internal/link/load.go
@@ -15,9 +15,9 @@
 	b := make([]byte, 0, 16)
 	b = strconv.AppendInt(b, int64(l.InFlight), 10)
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, int64(l.Long), 10)
+	b = strconv.AppendInt(b, int64(l.LongInFlight), 10)
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, int64(l.Reserved), 10)
+	b = strconv.AppendInt(b, int64(l.ReservedSlots), 10)
 	return string(b)
 }
 
@@ -28,7 +28,7 @@
 	n, err1 := strconv.Atoi(inFlight)
 	l, err2 := strconv.Atoi(long)
 	r, err3 := strconv.Atoi(reserved)
-	return endpoint.Load{InFlight: n, Long: l, Reserved: r}, err1 == nil && err2 == nil && err3 == nil
+	return endpoint.Load{InFlight: n, LongInFlight: l, ReservedSlots: r}, err1 == nil && err2 == nil && err3 == nil
 }
 
 // internalHeaders lists the headers that only entries and agents use.
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -50,28 +50,28 @@
 	Name string `cbor:"2,keyasint"`
 	// Incarnation distinguishes the process from earlier processes of the same name.
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// Address is the address at which peers reach the sender; agents have none.
-	Address string `cbor:"4,keyasint,omitempty"`
-	Zone    string `cbor:"5,keyasint,omitempty"`
+	// PeerAddress is the address at which peers reach the sender; agents have none.
+	PeerAddress string `cbor:"4,keyasint,omitempty"`
+	Zone        string `cbor:"5,keyasint,omitempty"`
 	// Persistent is set if the sender keeps the connection open after the Welcome; a probe
 	// closes it.
 	Persistent bool `cbor:"6,keyasint,omitempty"`
-	// Term is the newest leadership term that the sender knows.
-	Term uint64 `cbor:"7,keyasint,omitempty"`
+	// NewestTerm is the newest leadership term that the sender knows.
+	NewestTerm uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Welcome is the answer of an entry to a Hello.
 type Welcome struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Term is the term of Claim, since the encoding of a claim leaves its term out.
-	Term uint64 `cbor:"3,keyasint,omitempty"`
-	// Claim is the newest leadership claim that the sender knows.
-	Claim leadership.Claim `cbor:"4,keyasint,omitempty"`
+	// NewestTerm is the term of Claim, since the encoding of a claim leaves its term out.
+	NewestTerm uint64 `cbor:"3,keyasint,omitempty"`
+	// NewestClaim is the newest leadership claim that the sender knows.
+	NewestClaim leadership.Claim `cbor:"4,keyasint,omitempty"`
 	// IsDispatcher is set if the sender is the dispatcher and accepts reports.
 	IsDispatcher bool `cbor:"5,keyasint,omitempty"`
-	// Entries are the peer addresses of all entries that the sender knows, including its own.
-	Entries []string `cbor:"6,keyasint,omitempty"`
+	// EntryAddresses are the peer addresses of all entries that the sender knows, including its own.
+	EntryAddresses []string `cbor:"6,keyasint,omitempty"`
 	// DispatcherContactAgeMS is the time since the sender's last contact with the dispatcher, in
 	// milliseconds; 0 if the sender is the dispatcher or knows no claim.
 	DispatcherContactAgeMS int64 `cbor:"7,keyasint,omitempty"`
@@ -88,9 +88,9 @@
 	Worker *dispatch.Worker `cbor:"2,keyasint,omitempty"`
 	// Runs are the runs at that worker, as of the runner's latest listing.
 	Runs []dispatch.RunStatus `cbor:"3,keyasint,omitempty"`
-	// Term is the newest leadership term that an entry knows; pings of agents leave out this
+	// NewestTerm is the newest leadership term that an entry knows; pings of agents leave out this
 	// field and those below.
-	Term uint64 `cbor:"4,keyasint,omitempty"`
+	NewestTerm uint64 `cbor:"4,keyasint,omitempty"`
 	// StoreContactAgeMS is the time since the store last answered the entry, in milliseconds.
 	StoreContactAgeMS int64 `cbor:"5,keyasint,omitempty"`
 	// ConfigVersion is the version of the configuration that is in force at the entry.
@@ -102,15 +102,15 @@
 // Pong answers the Ping with the same Seq.
 type Pong struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Term is the leadership term of the sender; 0 if it is not the dispatcher.
-	Term uint64 `cbor:"2,keyasint,omitempty"`
-	// Entries are the peer addresses of all entries that the sender knows, including its own.
-	Entries []string `cbor:"3,keyasint,omitempty"`
+	// DispatcherTerm is the leadership term of the sender; 0 if it is not the dispatcher.
+	DispatcherTerm uint64 `cbor:"2,keyasint,omitempty"`
+	// EntryAddresses are the peer addresses of all entries that the sender knows, including its own.
+	EntryAddresses []string `cbor:"3,keyasint,omitempty"`
 	// ConfigVersion is the version of the configuration that is in force at the sender.
 	ConfigVersion uint64 `cbor:"4,keyasint,omitempty"`
-	// PendingByQueue is the number of jobs without a started task, by queue; only the dispatcher
+	// PendingJobsByQueue is the number of jobs without a started task, by queue; only the dispatcher
 	// sends it, and only to entries.
-	PendingByQueue map[string]int `cbor:"5,keyasint,omitempty"`
+	PendingJobsByQueue map[string]int `cbor:"5,keyasint,omitempty"`
 	// WorkerLeaseRenewed is set if the ping renews the worker lease of the agent.
 	WorkerLeaseRenewed bool `cbor:"6,keyasint,omitempty"`
 }
@@ -152,8 +152,8 @@
 	// GuardedTasks tells the agent's latency guard the latency targets and the interference of
 	// tasks that run already.
 	GuardedTasks []dispatch.GuardedTask `cbor:"4,keyasint,omitempty"`
-	// Questions are the questions that the agent forwards to the placement policy service.
-	Questions []dispatch.Question `cbor:"5,keyasint,omitempty"`
+	// PolicyQuestions are the questions that the agent forwards to the placement policy service.
+	PolicyQuestions []dispatch.Question `cbor:"5,keyasint,omitempty"`
 }
 
 // PolicyAnswer is the answer of the placement policy service to the question with the same Seq.
@@ -162,8 +162,8 @@
 	// Tickets maps the instance IDs of the runners that may run the step to the tickets that
 	// starts at these runners must carry; nil if there was no answer.
 	Tickets map[string]string `cbor:"2,keyasint,omitempty"`
-	// ValidMS is how long the tickets are valid, in milliseconds.
-	ValidMS int64 `cbor:"3,keyasint,omitempty"`
+	// ValidForMS is how long the tickets are valid, in milliseconds.
+	ValidForMS int64 `cbor:"3,keyasint,omitempty"`
 	// Failed is set if the service refused the question or did not answer it.
 	Failed bool `cbor:"4,keyasint,omitempty"`
 }
@@ -193,16 +193,16 @@
 
 // CancellationStored tells the dispatcher that the cancellation of a job has been stored.
 type CancellationStored struct {
-	// ID is the ID of the job.
-	ID string `cbor:"1,keyasint"`
+	// JobID is the ID of the job.
+	JobID string `cbor:"1,keyasint"`
 }
 
 // PhaseQuery asks the dispatcher for the phase of a job.
 type PhaseQuery struct {
 	// Seq identifies the query in its answer.
 	Seq uint64 `cbor:"1,keyasint"`
-	// ID is the ID of the job.
-	ID string `cbor:"2,keyasint"`
+	// JobID is the ID of the job.
+	JobID string `cbor:"2,keyasint"`
 }
 
 // PhaseAnswer answers the query with the same Seq.
--- a/internal/runneragent/agent.go
+++ b/internal/runneragent/agent.go
@@ -272,7 +272,7 @@
 		// and counts its clock from the beginning. Given the values of an earlier life, the
 		// runner would forget run ends that were never reported, and the run leases would
 		// exceed the worker lease.
-		request.AckedEnd, request.LeaseEndMS, request.MaxWait = a.lastAckedEnd, a.runLeaseEndMS(now), wait
+		request.LastAckedEnd, request.LeaseEndMS, request.MaxWait = a.lastAckedEnd, a.runLeaseEndMS(now), wait
 	}
 	if request.LeaseEndMS > 0 {
 		a.extendLastRunLeaseEnd(now)
@@ -424,7 +424,7 @@
 
 // describeWorker returns what the agent knows of its worker. The caller holds mu.
 func (a *Agent) describeWorker() dispatch.Worker {
-	w := dispatch.Worker{Name: a.settings.Name, Life: a.life, Draining: true, PacePercent: a.guard.pacer.Percent()}
+	w := dispatch.Worker{Name: a.settings.Name, Life: a.life, Draining: true, PacePercent: a.guard.pacer.PacePercent()}
 	if b := &a.heartbeat; b.StartedAtMS == a.life {
 		w.Service, w.Capacity, w.Labels, w.Draining, w.Instance = b.Service, b.Capacity, b.Labels, b.Draining, b.Instance
 	}
--- a/internal/runneragent/agent_test.go
+++ b/internal/runneragent/agent_test.go
@@ -342,7 +342,7 @@
 	if err := s.agent.poll(context.Background(), 0); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.runner.renewals[len(s.runner.renewals)-1].AckedEnd; got != 1 {
+	if got := s.runner.renewals[len(s.runner.renewals)-1].LastAckedEnd; got != 1 {
 		t.Errorf("acknowledged: got %d, want 1", got)
 	}
 	select {
--- a/internal/runneragent/ask.go
+++ b/internal/runneragent/ask.go
@@ -18,7 +18,7 @@
 		answer.Failed = true
 	} else {
 		a.count("questions")
-		answer.Tickets, answer.ValidMS = advice.Tickets, advice.ValidFor.Milliseconds()
+		answer.Tickets, answer.ValidForMS = advice.Tickets, advice.ValidFor.Milliseconds()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/runneragent/ask_test.go
+++ b/internal/runneragent/ask_test.go
@@ -36,7 +36,7 @@
 			s := newFixture(t)
 			s.agent.settings.AskPolicy = tc.advise
 			q := dispatch.Question{Seq: 4, Step: workflow.StepID{Job: "a", Step: 1}, Instances: []string{"i-1"}, Timeout: 10 * time.Millisecond}
-			s.agent.handleOrders(context.Background(), &peer.Orders{Term: 3, Questions: []dispatch.Question{q}})
+			s.agent.handleOrders(context.Background(), &peer.Orders{Term: 3, PolicyQuestions: []dispatch.Question{q}})
 			m := s.next(t, func(m *peer.Message) bool { return m.PolicyAnswer != nil }).PolicyAnswer
 			if m.Seq != 4 || m.Failed != tc.failed || m.Tickets["i-1"] != tc.ticket {
 				t.Errorf("got %+v, want answer 4, failed %v, ticket %q", m, tc.failed, tc.ticket)
--- a/internal/runneragent/link.go
+++ b/internal/runneragent/link.go
@@ -94,18 +94,18 @@
 	term := a.term
 	a.mu.Unlock()
 	conn.Send(&peer.Message{Hello: &peer.Hello{
-		Role: peer.RoleAgent, Name: a.settings.Name, Incarnation: a.settings.Incarnation, Zone: a.settings.Zone, Persistent: true, Term: term,
+		Role: peer.RoleAgent, Name: a.settings.Name, Incarnation: a.settings.Incarnation, Zone: a.settings.Zone, Persistent: true, NewestTerm: term,
 	}})
 	err = conn.Run(&a.group, func(m *peer.Message) {
 		switch {
 		case m.Welcome != nil:
-			a.AddEntries(m.Welcome.Entries)
-			if m.Welcome.IsDispatcher && a.joinTerm(live, conn, m.Welcome.Term) {
+			a.AddEntries(m.Welcome.EntryAddresses)
+			if m.Welcome.IsDispatcher && a.joinTerm(live, conn, m.Welcome.NewestTerm) {
 				stayed = true
-				a.log.Info().Str("dispatcher", m.Welcome.Name).Uint64("term", m.Welcome.Term).Msg("dispatcher connected")
+				a.log.Info().Str("dispatcher", m.Welcome.Name).Uint64("term", m.Welcome.NewestTerm).Msg("dispatcher connected")
 				return
 			}
-			hint = m.Welcome.Claim.Address
+			hint = m.Welcome.NewestClaim.Address
 			conn.Close()
 		case m.Pong != nil:
 			a.handlePong(conn, m.Pong)
@@ -221,10 +221,10 @@
 
 // handlePong handles the answer to a ping, which may renew the worker lease.
 func (a *Agent) handlePong(conn *peer.Conn, p *peer.Pong) {
-	a.AddEntries(p.Entries)
+	a.AddEntries(p.EntryAddresses)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if p.Term != a.term || a.conn != conn {
+	if p.DispatcherTerm != a.term || a.conn != conn {
 		conn.Close()
 		return
 	}
--- a/internal/runneragent/lives_test.go
+++ b/internal/runneragent/lives_test.go
@@ -67,7 +67,7 @@
 		if got := h.LeaseEndMS > 0; got != want {
 			t.Errorf("poll %d renews a lease: got %v, want %v", i, got, want)
 		}
-		if got := h.AckedEnd > 0; got != want {
+		if got := h.LastAckedEnd > 0; got != want {
 			t.Errorf("poll %d acknowledges run ends: got %v, want %v", i, got, want)
 		}
 	}
@@ -105,7 +105,7 @@
 	last := func() uint64 {
 		s.runner.mu.Lock()
 		defer s.runner.mu.Unlock()
-		return s.runner.renewals[len(s.runner.renewals)-1].AckedEnd
+		return s.runner.renewals[len(s.runner.renewals)-1].LastAckedEnd
 	}
 	poll := func(gone bool) {
 		s.runner.mu.Lock()
--- a/internal/runneragent/orders.go
+++ b/internal/runneragent/orders.go
@@ -40,7 +40,7 @@
 		c := a.newCall()
 		a.group.Go(func() { a.startRun(ctx, c, &s, leaseEndMS) })
 	}
-	for _, q := range orders.Questions {
+	for _, q := range orders.PolicyQuestions {
 		a.group.Go(func() { a.answerQuestion(ctx, &q) })
 	}
 	for i := range orders.Stops {
--- a/internal/runneragent/runner.go
+++ b/internal/runneragent/runner.go
@@ -36,9 +36,9 @@
 // RenewRequest is a call that renews the leases of all runs.
 type RenewRequest struct {
 	Call
-	// AckedEnd is the number of the last run end that the dispatcher has stored; the runner may
+	// LastAckedEnd is the number of the last run end that the dispatcher has stored; the runner may
 	// forget the run ends up to it.
-	AckedEnd uint64
+	LastAckedEnd uint64
 	// LeaseEndMS is the new end of the leases, in milliseconds on the runner's clock; 0 renews
 	// no lease.
 	LeaseEndMS int64
--- a/pkg/dispatch/board_test.go
+++ b/pkg/dispatch/board_test.go
@@ -92,11 +92,11 @@
 }
 
 var testQueues = map[string]Queue{
-	"fits":   {Service: "bench", Priority: 0, Attempts: 2, Stretch: 1.5, TargetLatency: 300 * time.Millisecond},
-	"shapes": {Service: "bench", Priority: 2, Attempts: 2, Stretch: 2, TargetLatency: time.Second},
-	"lasts":  {Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, TargetLatency: time.Second},
+	"fits":   {Service: "bench", Priority: 0, FailedRunLimit: 2, Stretch: 1.5, TargetLatency: 300 * time.Millisecond},
+	"shapes": {Service: "bench", Priority: 2, FailedRunLimit: 2, Stretch: 2, TargetLatency: time.Second},
+	"lasts":  {Service: "bench", Priority: 0, FailedRunLimit: 2, Stretch: 2, TargetLatency: time.Second},
 	"advised": {
-		Service: "bench", Priority: 0, Attempts: 2, Stretch: 2, TargetLatency: time.Second,
+		Service: "bench", Priority: 0, FailedRunLimit: 2, Stretch: 2, TargetLatency: time.Second,
 		Policy: &PlacementPolicy{Decision: 300 * time.Millisecond, PerWorker: 2 * time.Millisecond},
 	},
 }
--- a/pkg/dispatch/report.go
+++ b/pkg/dispatch/report.go
@@ -362,7 +362,7 @@
 	t.failedRuns = append(t.failedRuns, runNumber)
 	t.failedWorker = w.name
 	sc.changedJobs[j] = struct{}{}
-	if q := sc.queues[j.submission.Queue]; !s.spec.LongRunning && q.Attempts > 0 && len(t.failedRuns) >= q.Attempts {
+	if q := sc.queues[j.submission.Queue]; !s.spec.LongRunning && q.FailedRunLimit > 0 && len(t.failedRuns) >= q.FailedRunLimit {
 		sc.endJob(now, wallMS, j, workflow.PhaseFailed)
 		return
 	}
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -18,9 +18,9 @@
 	Service string
 	// Priority 0 is the highest; long-running tasks may preempt tasks of lower priority.
 	Priority int
-	// Attempts is the number of failed runs of one task with which its job fails; 0 means no
+	// FailedRunLimit is the number of failed runs of one task with which its job fails; 0 means no
 	// limit. Failures of long-running tasks do not count.
-	Attempts int
+	FailedRunLimit int
 	// Stretch and TargetLatency set the latency objective of a job: the estimated run time of
 	// its critical path times Stretch, plus TargetLatency.
 	Stretch       float64
--- a/pkg/endpoint/choose.go
+++ b/pkg/endpoint/choose.go
@@ -45,7 +45,7 @@
 
 // pick returns the endpoint with the lowest cost and the reason for the choice. skip
 // names an endpoint to avoid, or is "".
-func (t *Table) pick(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
+func (t *Table) pick(now time.Time, random *rand.Rand, request *SlotRequest, skip string) (*Endpoint, string, error) {
 	n := len(t.list)
 	if n == 0 {
 		return nil, "", ErrNoEndpoint
@@ -72,7 +72,7 @@
 // scan compares count endpoints, starting from a random one. It returns the one
 // with the lowest cost that has room, or nil, and how many of those compared take
 // requests at all.
-func (t *Table) scan(now time.Time, random *rand.Rand, request *Ticket, skip string, count int) (*Endpoint, int) {
+func (t *Table) scan(now time.Time, random *rand.Rand, request *SlotRequest, skip string, count int) (*Endpoint, int) {
 	n := len(t.list)
 	i := int(random.Uint64N(uint64(n)))
 	step := 1
@@ -112,7 +112,7 @@
 
 // lastResort returns an endpoint that is ejected or was to be skipped, for use if no
 // other endpoint takes requests.
-func (t *Table) lastResort(now time.Time, request *Ticket, skip string) (*Endpoint, string, error) {
+func (t *Table) lastResort(now time.Time, request *SlotRequest, skip string) (*Endpoint, string, error) {
 	var best *Endpoint
 	known := false
 	for _, e := range t.list {
@@ -162,7 +162,7 @@
 
 // maxInFlightFor returns how many requests the endpoint may have in flight once the
 // given one is sent. Long work may not wait at an endpoint.
-func (e *Endpoint) maxInFlightFor(request *Ticket) int {
+func (e *Endpoint) maxInFlightFor(request *SlotRequest) int {
 	if request.long {
 		return min(e.report.Slots, int(e.maxInFlight()))
 	}
@@ -170,12 +170,12 @@
 }
 
 // hasRoom reports whether the endpoint can take the request now.
-func (e *Endpoint) hasRoom(request *Ticket) bool {
+func (e *Endpoint) hasRoom(request *SlotRequest) bool {
 	n := e.InFlight()
 	if e.Probing() {
 		return e.ownInFlight == 0
 	}
-	if request.long && e.ownLong+e.otherLong >= e.report.Slots-e.report.Load.Reserved {
+	if request.long && e.ownLong+e.otherLong >= e.report.Slots-e.report.Load.ReservedSlots {
 		return false
 	}
 	return n < e.maxInFlightFor(request) || e.ownInFlight == 0 && !request.long
--- a/pkg/endpoint/gate.go
+++ b/pkg/endpoint/gate.go
@@ -52,14 +52,14 @@
 // time.
 func (g *Gate) SetLimits(slots, maxRequests int) { g.slots, g.maxRequests = slots, maxRequests }
 
-// Running returns the number of slots in use.
-func (g *Gate) Running() int { return g.running }
+// RunningCount returns the number of slots in use.
+func (g *Gate) RunningCount() int { return g.running }
 
-// RunningLong returns the number of slots in use by long work.
-func (g *Gate) RunningLong() int { return g.runningLong }
+// RunningLongCount returns the number of slots in use by long work.
+func (g *Gate) RunningLongCount() int { return g.runningLong }
 
-// Waiting returns the number of requests that wait.
-func (g *Gate) Waiting() int { return g.queue.Len() }
+// WaitingCount returns the number of requests that wait.
+func (g *Gate) WaitingCount() int { return g.queue.Len() }
 
 // ReservedSlots returns the number of slots that long work may not use.
 func (g *Gate) ReservedSlots() int {
@@ -71,7 +71,7 @@
 
 // Offer starts, queues or refuses a request. A less important waiting request that was
 // removed from the queue to make room for it is returned as the victim.
-func (g *Gate) Offer(now time.Time, request *Ticket) (verdict Verdict, victim *Ticket, reason string) {
+func (g *Gate) Offer(now time.Time, request *SlotRequest) (verdict Verdict, victim *SlotRequest, reason string) {
 	g.updateDemand(now)
 	if request.tooLate(now) && now.After(request.deadline) {
 		return Shed, nil, "the deadline has passed"
@@ -95,12 +95,12 @@
 }
 
 // Cancel removes a waiting request and reports whether it was waiting.
-func (g *Gate) Cancel(now time.Time, request *Ticket) bool {
+func (g *Gate) Cancel(now time.Time, request *SlotRequest) bool {
 	g.updateDemand(now)
 	return g.remove(request)
 }
 
-func (g *Gate) remove(request *Ticket) bool {
+func (g *Gate) remove(request *SlotRequest) bool {
 	if !g.queue.Remove(request) {
 		return false
 	}
@@ -111,7 +111,7 @@
 }
 
 // Release frees the slot of a request that has ended.
-func (g *Gate) Release(now time.Time, request *Ticket) {
+func (g *Gate) Release(now time.Time, request *SlotRequest) {
 	g.updateDemand(now)
 	g.running--
 	if request.long {
@@ -122,7 +122,7 @@
 // Next returns the waiting request to start now, or one that can no longer meet its
 // deadline and must be refused. It returns nil if there is neither; the caller must
 // call Next until then.
-func (g *Gate) Next(now time.Time) (*Ticket, Verdict) {
+func (g *Gate) Next(now time.Time) (*SlotRequest, Verdict) {
 	request := g.queue.Peek(false)
 	if request != nil && !g.slotFree(request) {
 		request = g.queue.Peek(true)
@@ -143,14 +143,14 @@
 }
 
 // slotFree reports whether a slot is free that the request may use.
-func (g *Gate) slotFree(request *Ticket) bool {
+func (g *Gate) slotFree(request *SlotRequest) bool {
 	if g.running >= g.slots {
 		return false
 	}
 	return !request.long || g.runningLong < g.slots-g.ReservedSlots()
 }
 
-func (g *Gate) start(request *Ticket) {
+func (g *Gate) start(request *SlotRequest) {
 	g.running++
 	if request.long {
 		g.runningLong++
--- a/pkg/endpoint/gate_test.go
+++ b/pkg/endpoint/gate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func newShortRequest(now time.Time, priority int) *Ticket {
-	return NewTicket("short", "team", priority, now.Add(time.Second), time.Millisecond)
+func newShortRequest(now time.Time, priority int) *SlotRequest {
+	return NewSlotRequest("short", "team", priority, now.Add(time.Second), time.Millisecond)
 }
 
 // TestGateKeepsLimits offers and ends requests in a random order.
@@ -18,7 +18,7 @@
 		var g Gate
 		g.SetLimits(limit, connections)
 		now := time.Unix(1, 0)
-		var running []*Ticket
+		var running []*SlotRequest
 		for range 500 {
 			now = now.Add(time.Duration(random.IntN(5)) * time.Millisecond)
 			if random.IntN(2) == 0 {
@@ -41,10 +41,10 @@
 					running = append(running, request)
 				}
 			}
-			if got := len(running); got > limit || got != g.Running() {
-				t.Fatalf("seed %d: running: got %d, want %d and at most %d", seed, got, g.Running(), limit)
+			if got := len(running); got > limit || got != g.RunningCount() {
+				t.Fatalf("seed %d: running: got %d, want %d and at most %d", seed, got, g.RunningCount(), limit)
 			}
-			if got := g.Running() + g.Waiting(); got > connections {
+			if got := g.RunningCount() + g.WaitingCount(); got > connections {
 				t.Fatalf("seed %d: requests: got %d, want at most %d", seed, got, connections)
 			}
 		}
@@ -77,7 +77,7 @@
 	now := time.Unix(1, 0)
 	started := 0
 	for range 20 {
-		long := NewTicket("long", "team", 5, now.Add(time.Minute), time.Second)
+		long := NewSlotRequest("long", "team", 5, now.Add(time.Minute), time.Second)
 		long.SetLong(true)
 		if v, _, _ := g.Offer(now, long); v == Start {
 			started++
@@ -95,10 +95,10 @@
 	var q Queue
 	now := time.Unix(1, 0)
 	for i := range 30 {
-		q.Push(NewTicket("short", "greedy", 5, now.Add(time.Duration(i)), time.Millisecond))
+		q.Push(NewSlotRequest("short", "greedy", 5, now.Add(time.Duration(i)), time.Millisecond))
 	}
 	for i := range 5 {
-		q.Push(NewTicket("short", "modest", 5, now.Add(time.Hour+time.Duration(i)), time.Millisecond))
+		q.Push(NewSlotRequest("short", "modest", 5, now.Add(time.Hour+time.Duration(i)), time.Millisecond))
 	}
 	got := make(map[string]int)
 	for range 10 {
--- a/pkg/endpoint/load.go
+++ b/pkg/endpoint/load.go
@@ -14,7 +14,7 @@
 		return 0, true
 	}
 	mean, long := r.times.Estimate(class, declared)
-	request := NewTicket(class, team, priority, deadline, mean)
+	request := NewSlotRequest(class, team, priority, deadline, mean)
 	request.long = long
 	return r.queueWait(now, request), true
 }
--- a/pkg/endpoint/queue.go
+++ b/pkg/endpoint/queue.go
@@ -8,9 +8,9 @@
 // maxPriority is the highest priority of a class.
 const maxPriority = 9
 
-// Ticket is a request for a slot of an endpoint: the scheduling properties of a request
+// SlotRequest is a request for a slot of an endpoint: the scheduling properties of a request
 // that waits for a slot or holds one.
-type Ticket struct {
+type SlotRequest struct {
 	class       string
 	team        string
 	priority    int
@@ -26,39 +26,39 @@
 	heapIndex int
 }
 
-// NewTicket returns the slot request of a request that is expected to hold a slot for
+// NewSlotRequest returns the slot request of a request that is expected to hold a slot for
 // serviceTime and whose response is of no use after the deadline.
-func NewTicket(class, team string, priority int, deadline time.Time, serviceTime time.Duration) *Ticket {
-	return &Ticket{class: class, team: team, priority: min(max(priority, 0), maxPriority), deadline: deadline, serviceTime: serviceTime, startMargin: serviceTime}
+func NewSlotRequest(class, team string, priority int, deadline time.Time, serviceTime time.Duration) *SlotRequest {
+	return &SlotRequest{class: class, team: team, priority: min(max(priority, 0), maxPriority), deadline: deadline, serviceTime: serviceTime, startMargin: serviceTime}
 }
 
 // Class returns the request's class.
-func (s *Ticket) Class() string { return s.class }
+func (s *SlotRequest) Class() string { return s.class }
 
 // ServiceTime returns how long the request is expected to hold a slot.
-func (s *Ticket) ServiceTime() time.Duration { return s.serviceTime }
+func (s *SlotRequest) ServiceTime() time.Duration { return s.serviceTime }
 
 // Long reports whether the request is long work.
-func (s *Ticket) Long() bool { return s.long }
+func (s *SlotRequest) Long() bool { return s.long }
 
 // SetLong marks the request as long work. It must be called before the request
 // is offered to a Gate or Router, or pushed to a Queue.
-func (s *Ticket) SetLong(long bool) { s.long = long }
+func (s *SlotRequest) SetLong(long bool) { s.long = long }
 
 // SetStartMargin sets how long before its deadline the request must start, if this
 // differs from its expected service time.
-func (s *Ticket) SetStartMargin(margin time.Duration) { s.startMargin = margin }
+func (s *SlotRequest) SetStartMargin(margin time.Duration) { s.startMargin = margin }
 
 // LatestStart returns the latest time at which the request can start and still end
 // before its deadline. A request that is still waiting after that is refused when its
 // turn comes.
-func (s *Ticket) LatestStart() time.Time { return s.deadline.Add(-s.startMargin) }
+func (s *SlotRequest) LatestStart() time.Time { return s.deadline.Add(-s.startMargin) }
 
 // Deadline returns the time after which the response is of no use.
-func (s *Ticket) Deadline() time.Time { return s.deadline }
+func (s *SlotRequest) Deadline() time.Time { return s.deadline }
 
 // tooLate reports whether the request can no longer end before its deadline.
-func (s *Ticket) tooLate(now time.Time) bool { return now.After(s.LatestStart()) }
+func (s *SlotRequest) tooLate(now time.Time) bool { return now.After(s.LatestStart()) }
 
 // Queue orders waiting requests by priority, then short before long work, then by
 // fair sharing among teams according to the work that each was given, and within
@@ -88,7 +88,7 @@
 	requests    requestHeap
 }
 
-type requestHeap []*Ticket
+type requestHeap []*SlotRequest
 
 func (h requestHeap) Len() int           { return len(h) }
 func (h requestHeap) Less(i, j int) bool { return h[i].deadline.Before(h[j].deadline) }
@@ -99,7 +99,7 @@
 
 // Push appends an element, for package heap.
 func (h *requestHeap) Push(x any) {
-	request := x.(*Ticket)
+	request := x.(*SlotRequest)
 	request.heapIndex = len(*h)
 	*h = append(*h, request)
 }
@@ -115,7 +115,7 @@
 
 // levelOf returns the index in Queue.levels of the level of a request: levels of higher
 // priority come first, and of one priority short work comes before long work.
-func levelOf(request *Ticket) int {
+func levelOf(request *SlotRequest) int {
 	l := 2 * (maxPriority - request.priority)
 	if request.long {
 		l++
@@ -128,7 +128,7 @@
 
 // WorkAhead returns the sum of the expected service times of the waiting requests of
 // the request's level and of all more important ones.
-func (q *Queue) WorkAhead(request *Ticket) time.Duration {
+func (q *Queue) WorkAhead(request *SlotRequest) time.Duration {
 	var sum time.Duration
 	for i := 0; i <= levelOf(request); i++ {
 		sum += q.levels[i].queuedWork
@@ -137,7 +137,7 @@
 }
 
 // Push adds a request.
-func (q *Queue) Push(request *Ticket) {
+func (q *Queue) Push(request *SlotRequest) {
 	l := &q.levels[levelOf(request)]
 	tq := l.teamQueue(request.team)
 	if len(tq.requests) == 0 {
@@ -162,7 +162,7 @@
 }
 
 // Remove removes a request and reports whether it was waiting.
-func (q *Queue) Remove(request *Ticket) bool {
+func (q *Queue) Remove(request *SlotRequest) bool {
 	if !request.waiting {
 		return false
 	}
@@ -173,7 +173,7 @@
 }
 
 // removed updates the totals after a request was removed from its level.
-func (q *Queue) removed(l *level, request *Ticket) {
+func (q *Queue) removed(l *level, request *SlotRequest) {
 	request.waiting = false
 	l.queuedWork -= request.serviceTime
 	q.size--
@@ -181,7 +181,7 @@
 
 // Peek returns the request to serve next, or nil. If shortOnly is set, it passes over
 // long work.
-func (q *Queue) Peek(shortOnly bool) *Ticket {
+func (q *Queue) Peek(shortOnly bool) *SlotRequest {
 	for i := range q.levels {
 		if shortOnly && i%2 == 1 {
 			continue
@@ -195,7 +195,7 @@
 
 // Take removes a request that is about to be served and counts its work
 // against its team's share.
-func (q *Queue) Take(request *Ticket) {
+func (q *Queue) Take(request *SlotRequest) {
 	l := &q.levels[levelOf(request)]
 	tq := l.teamQueue(request.team)
 	heap.Remove(&tq.requests, request.heapIndex)
@@ -227,7 +227,7 @@
 
 // ShedCandidate returns the request to shed first, or nil: one of the lowest level, of
 // the team that was given the most work.
-func (q *Queue) ShedCandidate() *Ticket {
+func (q *Queue) ShedCandidate() *SlotRequest {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		var worst *teamQueue
 		for _, tq := range q.levels[i].teams {
--- a/pkg/endpoint/router.go
+++ b/pkg/endpoint/router.go
@@ -41,7 +41,7 @@
 	// tries again.
 	RetryAfter time.Duration
 	// Victim is a request that was waiting and is now refused to make room, or nil.
-	Victim *Ticket
+	Victim *SlotRequest
 }
 
 // Table returns the endpoints.
@@ -50,14 +50,14 @@
 // RetryBudget returns the limit on retries.
 func (r *Router) RetryBudget() *RetryBudget { return &r.budget }
 
-// Waiting returns the number of waiting requests.
-func (r *Router) Waiting() int { return r.queue.Len() }
+// WaitingCount returns the number of waiting requests.
+func (r *Router) WaitingCount() int { return r.queue.Len() }
 
-// NewTicket returns the slot request of a request with these properties; declared is the
+// NewSlotRequest returns the slot request of a request with these properties; declared is the
 // service time that is declared for its class.
-func (r *Router) NewTicket(now time.Time, class, team string, priority int, deadline time.Time, declared time.Duration) *Ticket {
+func (r *Router) NewSlotRequest(now time.Time, class, team string, priority int, deadline time.Time, declared time.Duration) *SlotRequest {
 	mean, long := r.times.Estimate(class, declared)
-	request := NewTicket(class, team, priority, deadline, mean)
+	request := NewSlotRequest(class, team, priority, deadline, mean)
 	request.long = long
 	request.startMargin = max(mean, min(r.times.StartMargin(class), request.deadline.Sub(now)/2))
 	return request
@@ -65,7 +65,7 @@
 
 // Offer decides whether to send, queue or refuse a request; skip names an endpoint to
 // avoid, or is "".
-func (r *Router) Offer(now time.Time, random *rand.Rand, request *Ticket, skip string) Decision {
+func (r *Router) Offer(now time.Time, random *rand.Rand, request *SlotRequest, skip string) Decision {
 	if r.queue.Peek(!request.long) == nil {
 		e, reason, err := r.place(now, random, request, skip)
 		if err == nil {
@@ -83,7 +83,7 @@
 	if wait > request.LatestStart().Sub(now)/maxWaitDivisor {
 		return Decision{Verdict: Shed, Reason: "the expected wait is too long for the deadline", RetryAfter: max(wait, minRetryAfter)}
 	}
-	var victim *Ticket
+	var victim *SlotRequest
 	if r.queue.Len() >= maxQueuedPerEndpoint*r.table.Len() {
 		victim = r.queue.ShedCandidate()
 		if levelOf(victim) <= levelOf(request) {
@@ -96,11 +96,11 @@
 }
 
 // Cancel removes a waiting request and reports whether it was waiting.
-func (r *Router) Cancel(request *Ticket) bool { return r.queue.Remove(request) }
+func (r *Router) Cancel(request *SlotRequest) bool { return r.queue.Remove(request) }
 
 // Next returns the waiting request to send now and its endpoint, or one to refuse. It
 // returns a nil request if there is neither; the caller must call Next until then.
-func (r *Router) Next(now time.Time, random *rand.Rand) (*Ticket, Decision) {
+func (r *Router) Next(now time.Time, random *rand.Rand) (*SlotRequest, Decision) {
 	request := r.queue.Peek(false)
 	if request == nil {
 		return nil, Decision{Verdict: Wait}
@@ -130,7 +130,7 @@
 // place chooses an endpoint for a request; skip names an endpoint to avoid, or is "".
 // It returns ErrBusy instead of a slow endpoint if short work is expected to end sooner
 // by waiting for another one.
-func (r *Router) place(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
+func (r *Router) place(now time.Time, random *rand.Rand, request *SlotRequest, skip string) (*Endpoint, string, error) {
 	e, reason, err := r.table.Choose(now, random, request, skip)
 	if err != nil || request.long {
 		return e, reason, err
@@ -150,7 +150,7 @@
 // queueWait estimates how long a request waits in the queue: the work of
 // more important levels is served by all slots, the work of the request's
 // own level at the rate at which work of that level was started recently.
-func (r *Router) queueWait(now time.Time, request *Ticket) time.Duration {
+func (r *Router) queueWait(now time.Time, request *SlotRequest) time.Duration {
 	capacity := max(r.effectiveSlots(now), 1)
 	l := levelOf(request)
 	own := r.queue.levels[l].queuedWork + request.serviceTime
@@ -184,7 +184,7 @@
 }
 
 // Done records that a request sent to the endpoint e has ended.
-func (r *Router) Done(e *Endpoint, request *Ticket) { r.table.Done(e, request) }
+func (r *Router) Done(e *Endpoint, request *SlotRequest) { r.table.Done(e, request) }
 
 // RecordServiceTime records the service time of a request at an endpoint.
 func (r *Router) RecordServiceTime(now time.Time, e *Endpoint, class string, serviceTime time.Duration) {
--- a/pkg/endpoint/router_test.go
+++ b/pkg/endpoint/router_test.go
@@ -37,20 +37,20 @@
 	random   *rand.Rand
 	now      time.Time
 	mark     uint64
-	inFlight map[string][]*Ticket
+	inFlight map[string][]*SlotRequest
 }
 
 func TestRouter(t *testing.T) {
 	eachScript(t, "route", func(t *testing.T, s *routeScript) {
 		t.Helper()
-		w := &routeRunner{t: t, random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1, 0), inFlight: make(map[string][]*Ticket)}
+		w := &routeRunner{t: t, random: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1, 0), inFlight: make(map[string][]*SlotRequest)}
 		for i, step := range s.Steps {
 			switch step.Do {
 			case "report":
 				w.mark++
 				w.router.Table().Observe(w.now, Report{
 					Name: step.Endpoint, Incarnation: max(step.Incarnation, 1), Mark: w.mark, Slots: 8, Draining: step.Leaving,
-					Load: Load{InFlight: step.InFlight, Reserved: step.Reserved},
+					Load: Load{InFlight: step.InFlight, ReservedSlots: step.Reserved},
 				})
 			case "pass":
 				w.now = w.now.Add(time.Duration(step.For))
@@ -86,7 +86,7 @@
 	}
 	got := make(map[string]int)
 	for range times {
-		request := w.router.NewTicket(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
+		request := w.router.NewSlotRequest(w.now, class, "team", 5, w.now.Add(time.Minute), declared)
 		d := w.router.Offer(w.now, w.random, request, "")
 		if d.Verdict.String() != want {
 			w.t.Errorf("step %d: got %v (%s), want %s", step, d.Verdict, d.Reason, want)
--- a/pkg/endpoint/table.go
+++ b/pkg/endpoint/table.go
@@ -29,10 +29,10 @@
 type Load struct {
 	// InFlight is the number of requests that run or wait at the endpoint.
 	InFlight int
-	// Long is how many of these are long work.
-	Long int
-	// Reserved is the number of slots that long work may not use.
-	Reserved int
+	// LongInFlight is how many of these are long work.
+	LongInFlight int
+	// ReservedSlots is the number of slots that long work may not use.
+	ReservedSlots int
 }
 
 // Report is an agent's report on its endpoint.
@@ -172,7 +172,7 @@
 // updateLoad computes how many requests of other processes are in flight.
 func (e *Endpoint) updateLoad(load Load) {
 	e.otherInFlight = max(0, load.InFlight-e.ownInFlight)
-	e.otherLong = max(0, load.Long-e.ownLong)
+	e.otherLong = max(0, load.LongInFlight-e.ownLong)
 	e.report.Load = load
 }
 
@@ -211,7 +211,7 @@
 // Choose returns the endpoint to which the request should be sent and the reason for
 // the choice. skip names an endpoint to avoid, or is "". The request then counts as in
 // flight at the endpoint until the caller calls t.Done.
-func (t *Table) Choose(now time.Time, random *rand.Rand, request *Ticket, skip string) (*Endpoint, string, error) {
+func (t *Table) Choose(now time.Time, random *rand.Rand, request *SlotRequest, skip string) (*Endpoint, string, error) {
 	e, reason, err := t.pick(now, random, request, skip)
 	if err != nil {
 		return nil, reason, err
@@ -224,7 +224,7 @@
 }
 
 // Done records that the request, for which Choose returned e, has ended.
-func (t *Table) Done(e *Endpoint, request *Ticket) {
+func (t *Table) Done(e *Endpoint, request *SlotRequest) {
 	e.ownInFlight--
 	if request.long {
 		e.ownLong--
--- a/pkg/job/failover.go
+++ b/pkg/job/failover.go
@@ -68,7 +68,7 @@
 			delete(o.lastQueued, id)
 		}
 	}
-	slices.SortFunc(submits, func(a, b *record.Submit) int { return cmp.Compare(a.Spec.SubmittedAt, b.Spec.SubmittedAt) })
+	slices.SortFunc(submits, func(a, b *record.Submit) int { return cmp.Compare(a.Spec.SubmittedAtMS, b.Spec.SubmittedAtMS) })
 	return lostRecords, submits
 }
 
--- a/pkg/job/reclaimer.go
+++ b/pkg/job/reclaimer.go
@@ -175,7 +175,7 @@
 			return
 		}
 		if rc.requeue.allow(now, assignment, record.KindReleased) {
-			due = append(due, &record.Released{Assignment: assignment, Reason: reasonTakeover, Revoked: task.RevokedAt(), AtMS: now.UnixMilli()})
+			due = append(due, &record.Released{Assignment: assignment, Reason: reasonTakeover, Revoked: task.RevokePosition(), AtMS: now.UnixMilli()})
 		}
 	})
 	slices.SortFunc(due, func(a, b *record.Released) int { return a.Assignment.Compare(b.Assignment) })
--- a/pkg/job/state.go
+++ b/pkg/job/state.go
@@ -71,9 +71,9 @@
 // Epoch returns the position of the last Assign record that took effect.
 func (t *Task) Epoch() record.Position { return t.epoch }
 
-// RevokedAt returns the position of the Revoke or Cancel record that has withdrawn
+// RevokePosition returns the position of the Revoke or Cancel record that has withdrawn
 // the assignment in effect, or 0.
-func (t *Task) RevokedAt() record.Position { return t.revokePosition }
+func (t *Task) RevokePosition() record.Position { return t.revokePosition }
 
 // Worker returns the worker that the task was last assigned to.
 func (t *Task) Worker() string { return t.worker }
@@ -104,14 +104,14 @@
 // Spec returns the specification that the team submitted.
 func (j *Job) Spec() *record.Spec { return &j.spec }
 
-// Submitted returns the position of the Submit record.
-func (j *Job) Submitted() record.Position { return j.submitPosition }
+// SubmitPosition returns the position of the Submit record.
+func (j *Job) SubmitPosition() record.Position { return j.submitPosition }
 
 // Cancelled reports whether the job's team has cancelled it.
 func (j *Job) Cancelled() bool { return j.cancelled }
 
-// Tasks returns the number of the job's tasks.
-func (j *Job) Tasks() int { return len(j.tasks) }
+// TaskCount returns the number of the job's tasks.
+func (j *Job) TaskCount() int { return len(j.tasks) }
 
 // Task returns the task at index.
 func (j *Job) Task(index int) *Task { return &j.tasks[index] }
@@ -122,7 +122,7 @@
 // EndedMS returns when the job ended, in Unix milliseconds on the clock of the
 // entry that recorded the end. If that time was not recorded, EndedMS returns the time
 // of the submission, or 0 if this is not known either.
-func (j *Job) EndedMS() int64 { return max(j.endedMS, j.spec.SubmittedAt) }
+func (j *Job) EndedMS() int64 { return max(j.endedMS, j.spec.SubmittedAtMS) }
 
 // Phase returns the job's phase: Cancelled if the job was cancelled and has ended,
 // else Failed or Moved if a task is in that phase, else the phase of its least
--- a/pkg/queue/change.go
+++ b/pkg/queue/change.go
@@ -59,8 +59,8 @@
 	if t.Phase() == job.Succeeded {
 		if allocation, ok := s.fleet.Allocation(taskKey(id)); ok && !allocation.Tentative {
 			s.fleet.Health(t.Worker()).RecordSuccess()
-			if !allocation.Since.IsZero() {
-				s.stats.addRun(allocation.Team, allocation.Class, now.Sub(allocation.Since))
+			if !allocation.AssignedAt.IsZero() {
+				s.stats.addRun(allocation.Team, allocation.Class, now.Sub(allocation.AssignedAt))
 			}
 		}
 		return
@@ -102,11 +102,11 @@
 	class := s.class(spec.Class)
 	d := Demand{
 		Team: spec.Team, Size: spec.Size, Count: count, Urgent: class.Urgent, Priority: class.Priority,
-		Submitted: time.UnixMilli(spec.SubmittedAt),
+		SubmittedAt: time.UnixMilli(spec.SubmittedAtMS),
 	}
-	if spec.NeededBy != 0 {
+	if spec.NeededByMS != 0 {
 		expected := time.Duration(spec.ExpectedMS) * time.Millisecond
-		d.LatestStart = time.UnixMilli(spec.NeededBy).Add(-s.stats.runTime(spec.Team, spec.Class, expected))
+		d.LatestStart = time.UnixMilli(spec.NeededByMS).Add(-s.stats.runTime(spec.Team, spec.Class, expected))
 	}
 	return d
 }
@@ -174,13 +174,13 @@
 		since = time.Time{} // replayed from the log before the first decision: the actual start time is unknown
 	}
 	if allocation, ok := s.fleet.Allocation(key); ok && !allocation.Tentative {
-		since = allocation.Since
+		since = allocation.AssignedAt
 	}
 	s.release(id)
 	spec := j.Spec()
 	s.fleet.Allocate(key, worker.Allocation{
 		Worker: t.Worker(), Team: spec.Team, Size: spec.Size, Class: spec.Class, Urgent: s.class(spec.Class).Urgent,
-		Epoch: uint64(t.Epoch()), Since: since, Ending: t.Phase() == job.Revoked,
+		Epoch: uint64(t.Epoch()), AssignedAt: since, Ending: t.Phase() == job.Revoked,
 	})
 	s.queue.Charge(spec.Team, spec.Size)
 }
--- a/pkg/queue/decision.go
+++ b/pkg/queue/decision.go
@@ -74,7 +74,7 @@
 		id := taskID(tasks[i].Key)
 		s.fleet.Allocate(tasks[i].Key, worker.Allocation{
 			Worker: choices[i].Worker(), Team: item.demand.Team, Size: item.demand.Size, Class: owner.Spec().Class,
-			Urgent: item.demand.Urgent, Since: now, Tentative: true,
+			Urgent: item.demand.Urgent, AssignedAt: now, Tentative: true,
 		})
 		s.queue.Charge(item.demand.Team, item.demand.Size)
 		placements[i] = record.Placement{Task: id, Worker: choices[i].Worker(), Attempt: owner.Task(int(id.Index)).Attempt()}
@@ -108,7 +108,7 @@
 	}
 	out := make([]worker.Task, 0, item.demand.Count)
 	g := s.gangs[item.key.Job]
-	for i := range owner.Tasks() {
+	for i := range owner.TaskCount() {
 		if _, ok := g.pending[uint32(i)]; ok {
 			base.Key.Index = uint32(i)
 			out = append(out, base)
@@ -124,11 +124,11 @@
 // tasksPerRack counts the job's placed tasks in each rack. It returns nil for
 // jobs that are not spread.
 func (s *Scheduler) tasksPerRack(owner *job.Job) map[string]int {
-	if owner.Tasks() < 2 || owner.Tasks() > maxSpreadTasks {
+	if owner.TaskCount() < 2 || owner.TaskCount() > maxSpreadTasks {
 		return nil
 	}
 	out := make(map[string]int)
-	for i := range owner.Tasks() {
+	for i := range owner.TaskCount() {
 		if allocation, ok := s.fleet.Allocation(worker.TaskKey{Job: owner.Spec().ID, Index: uint32(i)}); ok {
 			out[s.fleet.Rack(allocation.Worker)]++
 		}
--- a/pkg/queue/item.go
+++ b/pkg/queue/item.go
@@ -31,8 +31,8 @@
 	Urgent bool
 	// Priority is the priority of the batch class, from 0 to MaxPriority.
 	Priority int
-	// Submitted is when the job was accepted.
-	Submitted time.Time
+	// SubmittedAt is when the job was accepted.
+	SubmittedAt time.Time
 	// LatestStart is the latest start time that meets the job's deadline; zero if
 	// the job has no deadline.
 	LatestStart time.Time
@@ -50,7 +50,7 @@
 // newer items cannot overtake an older one for ever.
 func (d *Demand) dueMS() int64 {
 	priority := min(max(d.Priority, 0), MaxPriority)
-	due := d.Submitted.Add(time.Duration(MaxPriority+1-priority) * waitPerPriority)
+	due := d.SubmittedAt.Add(time.Duration(MaxPriority+1-priority) * waitPerPriority)
 	if !d.LatestStart.IsZero() && d.LatestStart.Before(due) {
 		due = d.LatestStart
 	}
--- a/pkg/queue/queue.go
+++ b/pkg/queue/queue.go
@@ -27,8 +27,8 @@
 // Len returns the number of items in the queue.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Parked returns the number of items that exceed every known worker.
-func (q *Queue) Parked() int { return len(q.parked) }
+// ParkedCount returns the number of items that exceed every known worker.
+func (q *Queue) ParkedCount() int { return len(q.parked) }
 
 // Add adds an item to the queue or replaces the item with the same key. If
 // until is after now, the item is delayed until then for the given reason.
--- a/pkg/queue/queue_test.go
+++ b/pkg/queue/queue_test.go
@@ -18,7 +18,7 @@
 func key(id string) queue.Key { return queue.Key{Job: id} }
 
 func demand(team string, size worker.Resources) queue.Demand {
-	return queue.Demand{Team: team, Size: size, Count: 1, Priority: 5, Submitted: epoch}
+	return queue.Demand{Team: team, Size: size, Count: 1, Priority: 5, SubmittedAt: epoch}
 }
 
 // drain removes the ready items in the order of Next and returns their job IDs.
@@ -35,7 +35,7 @@
 }
 
 func TestQueueOrder(t *testing.T) {
-	late := func(d queue.Demand) queue.Demand { d.Submitted = epoch.Add(time.Minute); return d }
+	late := func(d queue.Demand) queue.Demand { d.SubmittedAt = epoch.Add(time.Minute); return d }
 	needed := func(d queue.Demand) queue.Demand { d.LatestStart = epoch.Add(time.Hour); return d }
 	urgent := func(d queue.Demand) queue.Demand { d.Urgent = true; return d }
 	a, b := demand("a", cpu(100)), demand("b", cpu(100))
@@ -97,7 +97,7 @@
 	for i := range 10_000 {
 		now = now.Add(time.Hour)
 		d := demand("other", cpu(1))
-		d.Submitted = now
+		d.SubmittedAt = now
 		q.Add(now, key(fmt.Sprint(i)), d, now, queue.ReasonQueued)
 		item, _ := q.Next(now)
 		if item.Key().Job == "old" {
--- a/pkg/queue/scheduler.go
+++ b/pkg/queue/scheduler.go
@@ -111,7 +111,7 @@
 		if j.Ended() {
 			return true
 		}
-		for i := range j.Tasks() {
+		for i := range j.TaskCount() {
 			if t := j.Task(i); t.Phase() == job.Pending {
 				s.enqueue(now, record.TaskID{Job: j.Spec().ID, Index: uint32(i)}, j, t)
 			}
--- a/pkg/queue/scheduler_test.go
+++ b/pkg/queue/scheduler_test.go
@@ -60,7 +60,7 @@
 // submit adds a job of the given batch class with tasks of the given size.
 func (s *testScheduler) submit(id, class string, tasks uint32, gang bool, size worker.Resources) {
 	s.apply(&record.Submit{Spec: record.Spec{
-		ID: id, Team: "clinics", Class: class, Tasks: tasks, Gang: gang, Size: size, MaxFailures: 100, SubmittedAt: s.now.UnixMilli(),
+		ID: id, Team: "clinics", Class: class, Tasks: tasks, Gang: gang, Size: size, MaxFailures: 100, SubmittedAtMS: s.now.UnixMilli(),
 	}})
 }
 
@@ -236,7 +236,7 @@
 	add := func(id string, neededMS, expectedMS int64) {
 		s.apply(&record.Submit{Spec: record.Spec{
 			ID: id, Team: "clinics", Class: "shaping", Tasks: 1, Size: cpu(1000), MaxFailures: 3,
-			SubmittedAt: now, NeededBy: now + neededMS, ExpectedMS: expectedMS,
+			SubmittedAtMS: now, NeededByMS: now + neededMS, ExpectedMS: expectedMS,
 		}})
 	}
 	add("short", 60_000, 1000)
--- a/pkg/record/messages.go
+++ b/pkg/record/messages.go
@@ -103,13 +103,13 @@
 	Size worker.Resources `cbor:"6,keyasint"           json:"size"`
 	// ExpectedMS is the declared run time of a task in milliseconds.
 	ExpectedMS int64 `cbor:"7,keyasint,omitempty" json:"expected-ms,omitempty"`
-	// NeededBy is when the result is needed, in Unix milliseconds; 0 means that it is
+	// NeededByMS is when the result is needed, in Unix milliseconds; 0 means that it is
 	// needed at no particular time.
-	NeededBy int64 `cbor:"8,keyasint,omitempty" json:"needed-by,omitempty"`
-	// SubmittedAt is in Unix milliseconds on the clock of the entry that accepted
+	NeededByMS int64 `cbor:"8,keyasint,omitempty" json:"needed-by,omitempty"`
+	// SubmittedAtMS is in Unix milliseconds on the clock of the entry that accepted
 	// the job.
-	SubmittedAt int64  `cbor:"9,keyasint,omitempty"  json:"submitted-at,omitempty"`
-	Payload     []byte `cbor:"10,keyasint,omitempty" json:"payload,omitempty"`
+	SubmittedAtMS int64  `cbor:"9,keyasint,omitempty"  json:"submitted-at,omitempty"`
+	Payload       []byte `cbor:"10,keyasint,omitempty" json:"payload,omitempty"`
 	// MaxFailures is the number of failed runs after which a task fails for good.
 	// The number is copied from the batch class at submission, so that all readers of the
 	// stream agree.
--- a/pkg/worker/fleet.go
+++ b/pkg/worker/fleet.go
@@ -48,8 +48,8 @@
 	Urgent bool
 	// Epoch is the log position of the record that assigned the task.
 	Epoch uint64
-	// Since is when the task was assigned; zero if unknown.
-	Since time.Time
+	// AssignedAt is when the task was assigned; zero if unknown.
+	AssignedAt time.Time
 	// Tentative is set while the assignment has been decided but has not yet
 	// been read back from the log.
 	Tentative bool
--- a/pkg/worker/gang.go
+++ b/pkg/worker/gang.go
@@ -22,7 +22,7 @@
 			}
 			return nil, err
 		}
-		f.Allocate(t.Key, Allocation{Worker: c.worker, Size: t.Size, Class: t.Class, Since: now, Tentative: true})
+		f.Allocate(t.Key, Allocation{Worker: c.worker, Size: t.Size, Class: t.Class, AssignedAt: now, Tentative: true})
 		racks[f.Rack(c.worker)]++
 		out = append(out, c)
 	}
--- a/pkg/worker/health.go
+++ b/pkg/worker/health.go
@@ -88,14 +88,14 @@
 // failed on minWorkersForBadJob workers.
 func (f *JobFailures) RecordFailure(worker string) bool {
 	blameWorker := len(f.workers) < minWorkersForBadJob
-	if !f.On(worker) {
+	if !f.FailedOn(worker) {
 		f.workers = append(f.workers, worker)
 	}
 	return blameWorker
 }
 
-// On reports whether the job has failed on worker.
-func (f *JobFailures) On(worker string) bool {
+// FailedOn reports whether the job has failed on worker.
+func (f *JobFailures) FailedOn(worker string) bool {
 	for _, w := range f.workers {
 		if w == worker {
 			return true
--- a/pkg/worker/pacer.go
+++ b/pkg/worker/pacer.go
@@ -33,9 +33,9 @@
 	missedSince time.Time
 }
 
-// Percent returns the current speed of best-effort tasks, as a percentage: 100 if
+// PacePercent returns the current speed of best-effort tasks, as a percentage: 100 if
 // they run, 0 if they are stopped.
-func (p *Pacer) Percent() int {
+func (p *Pacer) PacePercent() int {
 	if p.stopped {
 		return 0
 	}
@@ -65,5 +65,5 @@
 		p.stopped = !p.stopped
 		p.changedAt = now
 	}
-	return p.Percent()
+	return p.PacePercent()
 }
--- a/pkg/worker/place.go
+++ b/pkg/worker/place.go
@@ -147,7 +147,7 @@
 	if len(t.TasksPerRack) > 0 {
 		score += weightRack * float64(t.TasksPerRack[r.Rack])
 	}
-	if t.Failures != nil && t.Failures.On(r.Name) {
+	if t.Failures != nil && t.Failures.FailedOn(r.Name) {
 		score += weightJobFailedHere
 	}
 	return score
@@ -171,7 +171,7 @@
 		return reasonProbe
 	case workersScored == 1:
 		return reasonOnly
-	case w.report.Pressure > 1 || (t.Failures != nil && t.Failures.On(w.report.Name)):
+	case w.report.Pressure > 1 || (t.Failures != nil && t.Failures.FailedOn(w.report.Name)):
 		return reasonLeastBad
 	case w.report.Service != "" && w.report.Load > 0:
 		return reasonInterference
--- a/pkg/worker/preempt.go
+++ b/pkg/worker/preempt.go
@@ -52,8 +52,8 @@
 	}
 	sort.Slice(keys, func(a, b int) bool {
 		x, y := f.allocations[keys[a]], f.allocations[keys[b]]
-		if !x.Since.Equal(y.Since) {
-			return x.Since.After(y.Since)
+		if !x.AssignedAt.Equal(y.AssignedAt) {
+			return x.AssignedAt.After(y.AssignedAt)
 		}
 		return keys[a].Job < keys[b].Job || (keys[a].Job == keys[b].Job && keys[a].Index < keys[b].Index)
 	})
