--- a/internal/bench/batch/surge.go
+++ b/internal/bench/batch/surge.go
@@ -144,7 +144,7 @@
 	return s.result, nil
 }
 
-// step advances the simulation by surgeTick.
+// step advances the simulation by the tick.
 func (s *surgeRun) step() error {
 	s.now = s.now.Add(surgeTickInterval)
 	for i, w := range s.workers {
