--- a/internal/entry/bundle.go
+++ b/internal/entry/bundle.go
@@ -28,14 +28,15 @@
 
 // bundleState is what an entry knows of bundles.
 type bundleState struct {
+	// chain holds the bundle in force and decides which bundles follow it.
 	chain *bundle.Chain
 	// contents are the encoded documents of the newest versions, newest last.
 	contents []bundleContent
 	// replies caches the reply to a bundle query by the digest of the base it is
 	// compressed against; an empty digest means no base.
 	replies map[string]*link.BundleReply
-	// publishing counts the publications in progress.
-	publishing int
+	// publishCount is the number of publications in progress.
+	publishCount int
 }
 
 type bundleContent struct {
@@ -43,7 +44,7 @@
 	content []byte
 }
 
-// recordChange stores the contents of a bundle that has just come in force and empties the
+// recordChange stores the content of the bundle that has just come in force and empties the
 // cache of replies; bundleMu is held.
 func (b *bundleState) recordChange() {
 	b.replies = make(map[string]*link.BundleReply)
@@ -53,6 +54,7 @@
 	}
 }
 
+// content returns the content of a recent bundle by its digest, or nil if it is not kept.
 func (b *bundleState) content(digest string) []byte {
 	for _, c := range b.contents {
 		if c.digest == digest {
@@ -62,17 +64,18 @@
 	return nil
 }
 
-// reply returns the reply to a peer that has the bundle with digest have.
-func (b *bundleState) reply(have string) (*link.BundleReply, error) {
+// reply returns the reply to a peer that has the bundle with digest haveDigest; bundleMu is
+// held. The reply is empty if that bundle, or none, is in force.
+func (b *bundleState) reply(haveDigest string) (*link.BundleReply, error) {
 	proof := b.chain.Proof()
-	if proof == nil || have == b.chain.Digest() {
+	if proof == nil || haveDigest == b.chain.Digest() {
 		return &link.BundleReply{}, nil
 	}
-	base := b.content(have)
+	base := b.content(haveDigest)
 	if base == nil {
-		have = ""
+		haveDigest = ""
 	}
-	if r, ok := b.replies[have]; ok {
+	if r, ok := b.replies[haveDigest]; ok {
 		return r, nil
 	}
 	signed, operatorChanges, err := proof.Encode()
@@ -83,8 +86,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &link.BundleReply{Packed: packed, BaseDigest: have, OperatorChanges: operatorChanges, EndOffset: proof.EndOffset()}
-	b.replies[have] = r
+	r := &link.BundleReply{Packed: packed, BaseDigest: haveDigest, OperatorChanges: operatorChanges, EndOffset: proof.EndOffset()}
+	b.replies[haveDigest] = r
 	return r, nil
 }
 
@@ -94,8 +97,9 @@
 	return e.bundle.reply(q.HaveDigest)
 }
 
-// deliverBundles processes records read from the bundles stream.
-func (e *Entry) deliverBundles(records []record.Record, next uint64, _ time.Time) {
+// applyBundles applies records that were read from the bundles stream; next is the offset of
+// the next batch to read.
+func (e *Entry) applyBundles(records []record.Record, next uint64, _ time.Time) {
 	now := time.Now()
 	for _, r := range records {
 		m, ok := r.Message().(*record.Bundle)
@@ -115,9 +119,9 @@
 	e.bundleMu.Unlock()
 }
 
-// bundlesExpired is called when the next bundles to read have been dropped by the log's
-// retention. Which bundle is in force is then known from the next one that was carried
-// forward.
+// bundlesExpired is called when the log's retention has dropped the next bundles to read. It
+// returns the offset to continue at. The entry learns which bundle is in force from the next
+// bundle that was carried forward.
 func (e *Entry) bundlesExpired(_ context.Context, page record.Page) uint64 {
 	e.bundleMu.Lock()
 	e.bundle.chain.NoteGap(page.FirstOffset)
@@ -126,6 +130,7 @@
 	return page.FirstOffset
 }
 
+// writtenAt returns the time of a record's WrittenMS, which is zero if the record has none.
 func writtenAt(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -133,15 +138,15 @@
 	return time.UnixMilli(ms)
 }
 
-// applyBundle offers the bundle in a record to the chain and returns its digest, or "" if
-// it cannot be decoded.
-func (e *Entry) applyBundle(at uint64, m *record.Bundle) string {
+// applyBundle offers the bundle of the record at an offset to the chain and returns the bundle's
+// digest, or "" if the bundle cannot be decoded.
+func (e *Entry) applyBundle(offset uint64, m *record.Bundle) string {
 	proof, err := bundle.DecodeProof(m.Signed, m.OperatorChanges, m.EndOffset)
 	if err != nil {
 		e.log.Warn().Err(err).Str("decision", "refuse-bundle").Msg("")
 		return ""
 	}
-	offer := func(c *bundle.Chain) error { return c.OfferAt(at, proof.Signed()) }
+	offer := func(c *bundle.Chain) error { return c.OfferAt(offset, proof.Signed()) }
 	if m.CarriedForward {
 		offer = func(c *bundle.Chain) error { return c.Adopt(proof) }
 	}
@@ -149,7 +154,8 @@
 	return bundle.Digest(proof.Signed().Content())
 }
 
-// offerBundle calls offer on the chain of bundles and logs whether the bundle was accepted.
+// offerBundle calls offer, which offers a bundle to the chain, and logs whether the chain has
+// accepted the bundle. source says where the bundle comes from: "log" or an agent's address.
 func (e *Entry) offerBundle(offer func(*bundle.Chain) error, source string) {
 	e.bundleMu.Lock()
 	err := offer(e.bundle.chain)
@@ -181,9 +187,12 @@
 // publishTimeout bounds the wait until a published bundle has been read back from the log.
 const publishTimeout = 10 * time.Second
 
-// publishPollInterval is how often the chain of bundles is polled meanwhile.
+// publishPollInterval is the time between two checks of the chain of bundles while a
+// publication waits.
 const publishPollInterval = 50 * time.Millisecond
 
+// servePublish publishes a signed bundle: it appends the bundle to the log and responds once the
+// result is known.
 func (e *Entry) servePublish(w http.ResponseWriter, r *http.Request) {
 	if !e.beginPublish() {
 		p := problem.New(http.StatusTooManyRequests, "", "too many bundles are being published")
@@ -223,25 +232,27 @@
 	e.awaitVersion(w, r, signed, d)
 }
 
+// beginPublish counts a publication in progress, or returns false if there are
+// maxConcurrentPublishes already.
 func (e *Entry) beginPublish() bool {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
-	if e.bundle.publishing >= maxConcurrentPublishes {
+	if e.bundle.publishCount >= maxConcurrentPublishes {
 		return false
 	}
-	e.bundle.publishing++
+	e.bundle.publishCount++
 	return true
 }
 
 func (e *Entry) endPublish() {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
-	e.bundle.publishing--
+	e.bundle.publishCount--
 }
 
-// respondWithoutAppend responds and returns true if a bundle need not be appended: its
-// result is known already, or it cannot come in force. While the bundle's parent is not in
-// force yet, it waits up to publishTimeout for it.
+// respondWithoutAppend responds and returns true if a bundle need not be appended: the result of
+// publishing it is known already, or it cannot come in force. If the bundle's parent is not in
+// force yet, respondWithoutAppend first waits up to publishTimeout for the parent.
 func (e *Entry) respondWithoutAppend(w http.ResponseWriter, r *http.Request, s *bundle.Signed, d *bundle.Document) bool {
 	for waited := time.Duration(0); ; waited += publishPollInterval {
 		if result, known := e.publishResult(s, d); known {
@@ -261,7 +272,7 @@
 	}
 }
 
-// publishResult returns the result of publishing a bundle, if it is known.
+// publishResult returns the result of publishing a bundle and whether that result is known yet.
 func (e *Entry) publishResult(s *bundle.Signed, d *bundle.Document) (BundleResult, bool) {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
--- a/internal/entry/bundle_fetch.go
+++ b/internal/entry/bundle_fetch.go
@@ -18,11 +18,12 @@
 	minBundleFetchInterval = 500 * time.Millisecond
 )
 
-// noteNewerBundle queues a fetch from an agent that has a newer bundle in force than this
-// entry. Agents can be ahead while the log is down, and after the entry's start until it has
-// read the bundles stream.
-func (e *Entry) noteNewerBundle(h *link.Heartbeat, version uint64) {
-	if h.BundleVersion <= version {
+// noteNewerBundle queues a fetch of the bundle from the agent that sent heartbeat h, if the agent
+// has a newer bundle in force than this entry, whose bundle has version ownVersion. Agents can
+// have a newer one while the log is down, and after the entry's start until the entry has read
+// the bundles stream.
+func (e *Entry) noteNewerBundle(h *link.Heartbeat, ownVersion uint64) {
+	if h.BundleVersion <= ownVersion {
 		return
 	}
 	select {
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -22,10 +22,10 @@
 // CancellationResult is the JSON form of the response to a Cancellation.
 type CancellationResult struct {
 	Accepted []string `json:"accepted"`
-	// Unknown are ids of jobs that the team does not have.
+	// Unknown are ids that belong to no job of the team.
 	Unknown []string `json:"unknown,omitempty"`
-	// Repeat are jobs whose data centre did not answer or whose cancellation is not known
-	// to be in the log. Cancelling them again is safe.
+	// Repeat are ids of jobs whose data centre did not answer or whose cancellation is not
+	// known to be in the log. Cancelling them again is safe.
 	Repeat []string `json:"repeat,omitempty"`
 }
 
@@ -58,8 +58,9 @@
 	writeJSON(w, http.StatusAccepted, result)
 }
 
-// groupByDataCentre groups jobs by the data centre that has them. Jobs that are not found
-// are reported as unknown, or as to be repeated if some data centre did not answer.
+// groupByDataCentre groups the ids of a team's jobs by the data centre that has the job. An id
+// that is not found goes to the result's Unknown or, if some data centre did not answer, to its
+// Repeat.
 func (e *Entry) groupByDataCentre(ctx context.Context, dataCentres []string, team string, ids []string) (CancellationResult, map[string][]string) {
 	dataCentreOf := make(map[string]string)
 	complete := true
--- a/internal/entry/carry_forward.go
+++ b/internal/entry/carry_forward.go
@@ -15,28 +15,30 @@
 
 // Times and sizes of carrying content forward before the log's retention drops it.
 const (
-	// carryForwardInterval is how often an entry checks whether something is due.
+	// carryForwardInterval is the time between two checks whether a copy is due.
 	carryForwardInterval = time.Second
-	// maxCarryForwardJitter is the longest random wait of an entry before it writes what is
-	// due, so that usually one entry writes and the others see its record in time.
+	// maxCarryForwardJitter is the longest random wait of an entry before it writes a copy that
+	// is due, so that usually one entry writes and the others see its record in time.
 	maxCarryForwardJitter = 5 * time.Second
-	// readBackTimeout is how long an entry waits to read back what it wrote before it writes
-	// again.
+	// readBackTimeout is how long an entry waits to read back a copy that it wrote before it
+	// writes another.
 	readBackTimeout = 20 * time.Second
-	// maxBatchesAfterSnapshot is the most batches that a reader should have to read after the
-	// newest snapshot.
+	// maxBatchesAfterSnapshot is the most batches that may follow the newest snapshot before
+	// another one is due. It bounds what an entry reads at its start.
 	maxBatchesAfterSnapshot = 8192
 	// maxSnapshotPartBytes is the most bytes of a snapshot in one record.
 	maxSnapshotPartBytes = 256 << 10
-	// StreamAppendInterval is the time between two appends to one stream under load, counting the
-	// appends of all entries of a data centre.
+	// StreamAppendInterval is the average time between two appends to one stream under load. To
+	// the jobs stream, the entries of a data centre keep it together: each of n entries appends
+	// every n times this interval.
 	StreamAppendInterval = 28 * time.Millisecond
 )
 
 // carryForwardItem schedules the copies of one kind of content that must outlive the log's
-// retention.
+// retention: the bundle in force or the state of the jobs.
 type carryForwardItem struct {
-	schedule   record.CarryForwardSchedule
+	schedule record.CarryForwardSchedule
+	// nextOffset is the offset of the next append to the stream.
 	nextOffset uint64
 	// writeAt is when this entry writes the copy that is due; zero if none is.
 	writeAt time.Time
@@ -49,9 +51,9 @@
 	jobs   carryForwardItem
 }
 
-// noteBundleCopy records that a bundle was carried forward that takes the stream up to
-// endOffset into account. The copy is of use as long as the log keeps the bundles from
-// endOffset on.
+// noteBundleCopy records that a copy of a bundle was carried forward. The copy takes the stream
+// up to endOffset into account and is of use as long as the log keeps the bundles from endOffset
+// on.
 func (c *carryForwardState) noteBundleCopy(now, written time.Time, endOffset uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +61,8 @@
 	c.bundle.writeAt = time.Time{}
 }
 
-// noteSnapshot records that a snapshot was written that takes the stream up to endOffset
-// into account.
+// noteSnapshot records that a snapshot of the jobs was written. The snapshot takes the stream up
+// to endOffset into account.
 func (c *carryForwardState) noteSnapshot(now, written time.Time, endOffset uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,8 @@
 	c.jobs.writeAt = time.Time{}
 }
 
-// observer returns a function that records which offsets a stream keeps.
+// observer returns a function that records, for item, the first retained offset of its stream
+// and the offset of the next append.
 func (c *carryForwardState) observer(item *carryForwardItem) func(first, next uint64) {
 	return func(first, next uint64) {
 		c.mu.Lock()
@@ -78,8 +81,8 @@
 	}
 }
 
-// takeDue reports whether this entry should write item now, and why. If limitBatches is set, a
-// copy is also due when more than maxBatchesAfterSnapshot batches follow the last one.
+// takeDue reports whether this entry should write a copy of item now, and why. If limitBatches
+// is set, a copy is also due when more than maxBatchesAfterSnapshot batches follow the last one.
 func (c *carryForwardState) takeDue(now time.Time, item *carryForwardItem, limitBatches bool) (reason string, write bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,6 +119,7 @@
 	}
 }
 
+// carryBundleForward queues a copy of the bundle in force if one is due.
 func (e *Entry) carryBundleForward(now time.Time) {
 	e.bundleMu.Lock()
 	proof, inSync := e.bundle.chain.Proof(), e.bundle.chain.InSync()
@@ -137,6 +141,7 @@
 	})
 }
 
+// carryJobsForward queues a snapshot of the jobs if one is due.
 func (e *Entry) carryJobsForward(now time.Time) {
 	e.jobs.mu.Lock()
 	empty := e.jobs.state.NextOffset() == 0 || e.jobs.lastReadBegan.IsZero()
@@ -161,6 +166,8 @@
 	}
 }
 
+// enqueueCarriedForward queues a record that carries content forward. what names the content in
+// log lines, reason says why its copy is due.
 func (e *Entry) enqueueCarriedForward(w *services.Writer, what, reason string, m record.Message) {
 	if err := w.Enqueue(m); err != nil {
 		e.log.Warn().Err(err).Str("what", what).Msg("record to carry forward not queued")
--- a/internal/entry/data_centre.go
+++ b/internal/entry/data_centre.go
@@ -10,25 +10,30 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// lostAfterRefreshes is how many of its own membership records an entry reads back from
-// the log, without reading one of another data centre, before that data centre counts as
-// lost. Counting records in the log's order, not time, keeps a log outage from making any
-// data centre count as lost.
-const lostAfterRefreshes = 3
+// lostAfterOwnRecords is the number of its own membership records that an entry reads back
+// from the log before another data centre of which it read none in between counts as lost.
+// The entry counts records in the log's order and not time, because an outage of the log
+// must not make any data centre count as lost.
+const lostAfterOwnRecords = 3
 
-// maxHomeTries bounds the attempts to generate a job id whose home is this data centre.
+// maxHomeTries bounds how many random job ids are generated to find one whose home is this
+// data centre.
 const maxHomeTries = 256
 
 // remoteJobsWriters holds the writers to other data centres' jobs streams.
 type remoteJobsWriters struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// writers are the writers created so far, by data centre.
 	writers map[string]*services.Writer
-	group   sync.WaitGroup
-	run     func(w *services.Writer)
+	// group waits for the goroutines of the writers.
+	group sync.WaitGroup
+	// run runs a writer until the context given to setContext ends.
+	run func(w *services.Writer)
 }
 
-// start sets the context in which writers run.
-func (f *remoteJobsWriters) start(ctx context.Context) {
+// setContext sets the context in which the writers run. It must be called before the first
+// writer is created.
+func (f *remoteJobsWriters) setContext(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.run = func(w *services.Writer) { w.Run(ctx, flushTimeout) }
@@ -55,14 +60,15 @@
 	return w
 }
 
-// homeDataCentre returns the data centre to whose stream a job is submitted. It depends
-// only on the id and the bundle, so that a submission repeated through an entry of another
-// data centre is the same job.
+// homeDataCentre returns the data centre to whose jobs stream the job with this id is
+// submitted. The result depends only on the id and the bundle, so that a submission that is
+// repeated through an entry of another data centre creates no second job.
 func (e *Entry) homeDataCentre(d *bundle.Document, id string) string {
 	return rendezvous(id, e.dataCentres(d))
 }
 
-// dataCentres returns the names of all data centres in the bundle; without any, of this one.
+// dataCentres returns the names of all data centres in the bundle, or only that of this
+// entry's data centre if the bundle has none.
 func (e *Entry) dataCentres(d *bundle.Document) []string {
 	if len(d.DataCentres) == 0 {
 		return []string{e.settings.DataCentre}
@@ -74,8 +80,8 @@
 	return out
 }
 
-// rendezvous returns the name with the highest rendezvous weight for key, or "" if there
-// are no names.
+// rendezvous returns the name with the highest weight for key in rendezvous hashing, or ""
+// if there are no names.
 func rendezvous(key string, names []string) string {
 	best, maxWeight := "", uint64(0)
 	for _, name := range names {
@@ -86,17 +92,18 @@
 	return best
 }
 
-// lostDataCentres returns the data centres that count as lost by lostAfterRefreshes, and
-// the remaining ones.
+// lostDataCentres returns the data centres that count as lost, and the remaining ones. A
+// data centre is lost if this entry has read back lostAfterOwnRecords of its own membership
+// records since it last read one of that data centre. The caller must not hold memberMu.
 func (e *Entry) lostDataCentres(d *bundle.Document) (lost, remaining []string) {
 	e.memberMu.Lock()
 	defer e.memberMu.Unlock()
-	lastRefresh := make(map[string]uint64)
+	lastRead := make(map[string]uint64) // by data centre, the highest member.ownRecordsRead
 	for _, m := range e.knownMembers {
-		lastRefresh[m.record.DataCentre] = max(lastRefresh[m.record.DataCentre], m.ownRefreshes)
+		lastRead[m.record.DataCentre] = max(lastRead[m.record.DataCentre], m.ownRecordsRead)
 	}
 	for _, name := range e.dataCentres(d) {
-		if name != e.settings.DataCentre && lastRefresh[name]+lostAfterRefreshes <= e.ownRefreshes {
+		if name != e.settings.DataCentre && lastRead[name]+lostAfterOwnRecords <= e.ownRecordsRead {
 			lost = append(lost, name)
 			continue
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 	// DrainDelay is how long the entry goes on serving after it has announced that it is
 	// draining.
 	DrainDelay time.Duration
-	// AnnounceEvery is the time between two membership records; 0 means
+	// AnnounceEvery is the time between two membership records of the entry; 0 means
 	// defaultAnnounceInterval.
 	AnnounceEvery time.Duration
 	// AllowUnauthenticated accepts callers without a token; HeaderTeam then names their team.
@@ -72,27 +72,35 @@
 	localJobsWriter *services.Writer
 	bundlesWriter   *services.Writer
 	membersWriter   *services.Writer
-	writerID        string
-	draining        atomic.Bool
+	// writerID is the name that this entry's batches in the log carry.
+	writerID string
+	draining atomic.Bool
 	// requestTimer measures the latency of callers' requests.
 	requestTimer gometrics.Timer
 
 	// Lock order: jobs.mu, routes.mu, bundleMu, memberMu, carriedForward.mu. No lock is
 	// held during a call to another process.
-	jobs         jobState
-	routes       routes
-	bundleMu     sync.Mutex
-	bundle       bundleState
-	memberMu     sync.Mutex
+
+	// jobs holds all batch jobs of this data centre and their scheduling.
+	jobs batchState
+	// routes holds the endpoints and the waiting requests of each service.
+	routes routes
+	// bundleMu guards bundle.
+	bundleMu sync.Mutex
+	bundle   bundleState
+	// memberMu guards knownMembers and ownRecordsRead.
+	memberMu sync.Mutex
+	// knownMembers holds the entries of all data centres by name, this one included.
 	knownMembers map[string]member
-	// ownRefreshes counts this entry's own membership records that were read back from the log.
-	ownRefreshes      uint64
+	// ownRecordsRead is the number of this entry's own membership records that it has read
+	// back from the log.
+	ownRecordsRead    uint64
 	remoteWriters     remoteJobsWriters
 	remoteLoad        remoteLoad
 	carriedForward    carryForwardState
 	heartbeatReceiver link.HeartbeatReceiver
-	// newerBundleAgents holds the address of an agent that has a newer bundle in force than
-	// this entry.
+	// newerBundleAgents passes the address of an agent that has a newer bundle in force than
+	// this entry to fetchNewerBundles.
 	newerBundleAgents chan string
 }
 
@@ -159,7 +167,7 @@
 	var group sync.WaitGroup
 	live, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	e.remoteWriters.start(live)
+	e.remoteWriters.setContext(live)
 	for _, w := range []*services.Writer{e.localJobsWriter, e.bundlesWriter, e.membersWriter} {
 		group.Go(func() { w.Run(live, flushTimeout) })
 	}
@@ -185,14 +193,16 @@
 	return errors.CombineErrors(e.agentClient.Close(), e.entryClient.Close())
 }
 
-func (e *Entry) serveUntilClosed(what string, fn func() error) {
-	if err := fn(); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		e.log.Error().Err(err).Msg("serving " + what + " failed")
+// serveUntilClosed calls serve, which blocks until its server is closed, and logs any other
+// error. clients names who is served.
+func (e *Entry) serveUntilClosed(clients string, serve func() error) {
+	if err := serve(); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		e.log.Error().Err(err).Msg("serving " + clients + " failed")
 	}
 }
 
-// drain makes the entry unready, waits so that load balancers and agents notice it,
-// and returns when the requests in flight have ended.
+// drain makes the entry unready, waits for DrainDelay so that load balancers and agents
+// notice, shuts the servers down and returns when the requests in flight have ended.
 func (e *Entry) drain(ctx context.Context) {
 	e.draining.Store(true)
 	e.log.Info().Msg("entry is draining")
@@ -208,15 +218,16 @@
 
 // Bounds of the time from its start until an entry is ready.
 const (
-	// minWarmUp gives every agent time to send a heartbeat, so that requests do not all go to the
-	// first agents known.
+	// minWarmUp is the least time from the start until an entry is ready. It gives every agent
+	// time to send a heartbeat, so that requests do not all go to the first agents known.
 	minWarmUp = 1500 * time.Millisecond
 	// maxWarmUp is the time after which an entry is ready even if some service has no endpoint.
 	maxWarmUp = 10 * time.Second
 )
 
-// Ready reports whether the entry can serve callers: a bundle is in force, the
-// jobs stream has been read, and the endpoints of every service are known.
+// Ready reports whether the entry can serve callers: a bundle is in force, the jobs stream
+// has been read to its end, the entry is not draining, and either minWarmUp has passed and
+// every service has an endpoint that takes requests, or maxWarmUp has passed.
 func (e *Entry) Ready(now time.Time) bool {
 	e.jobs.mu.Lock()
 	caughtUp := !e.jobs.lastReadBegan.IsZero()
@@ -229,6 +240,7 @@
 	return age > maxWarmUp || (age > minWarmUp && e.routes.allServicesUsable(now, d))
 }
 
+// document returns the document of the bundle in force, or nil if there is none.
 func (e *Entry) document() *bundle.Document {
 	e.bundleMu.Lock()
 	defer e.bundleMu.Unlock()
--- a/internal/entry/forget.go
+++ b/internal/entry/forget.go
@@ -10,7 +10,7 @@
 const (
 	// endedJobRetention is how long an ended job can still be queried.
 	endedJobRetention = 24 * time.Hour
-	// forgetInterval is how often an entry looks for jobs to drop.
+	// forgetInterval is the time between two searches of an entry for ended jobs to drop.
 	forgetInterval = time.Minute
 	// maxForgottenPerRecord is the most jobs that one record drops.
 	maxForgottenPerRecord = 1000
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -16,7 +16,7 @@
 func (e *Entry) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+link.PathHeartbeat, link.Handle(e.handleHeartbeat))
-	mux.Handle("POST "+link.PathLastContact, link.Handle(e.handleSilenceQuery))
+	mux.Handle("POST "+link.PathLastContact, link.Handle(e.handleLastContactQuery))
 	mux.Handle("POST "+link.PathBundle, link.Handle(e.handleBundleQuery))
 	mux.Handle("POST "+link.PathJobs, link.Handle(e.handleJobsQuery))
 	mux.Handle("POST "+link.PathDataCentreLoad, link.Handle(e.handleLoadQuery))
@@ -24,6 +24,7 @@
 	return mux
 }
 
+// handleHeartbeat takes in an agent's heartbeat and returns the reply.
 func (e *Entry) handleHeartbeat(_ context.Context, peer link.Peer, sent *link.Heartbeat) (*link.HeartbeatReply, error) {
 	if peer.Role() != link.RoleAgent || peer.Name() != sent.Worker || peer.DataCentre() != e.settings.DataCentre {
 		return nil, errors.Wrapf(link.ErrPeerRejected, "certificate of %s in %s does not match heartbeat of %s", peer.Name(), peer.DataCentre(), sent.Worker)
@@ -45,8 +46,9 @@
 	return reply, nil
 }
 
-// heartbeatReply returns the reply to a heartbeat, without what the log says about the
-// worker's tasks. It omits what the agent knows already.
+// heartbeatReply returns the reply to a heartbeat, except for the log reading and the heartbeat
+// interval, which batchState.applyHeartbeat sets. The reply leaves out what the agent knows
+// already.
 func (e *Entry) heartbeatReply(now time.Time, h *link.Heartbeat) *link.HeartbeatReply {
 	reply := &link.HeartbeatReply{Draining: e.draining.Load(), AcceptsCompact: true}
 	e.bundleMu.Lock()
@@ -71,10 +73,10 @@
 	return e.localJobsWriter.Enqueue(messages...)
 }
 
-// applyHeartbeat updates the state from a heartbeat, sets in reply what the log says about
-// the worker and how often to send heartbeats, and returns the records to append for the
-// heartbeat's reports.
-func (j *jobState) applyHeartbeat(now time.Time, h *link.Heartbeat, reply *link.HeartbeatReply) []record.Message {
+// applyHeartbeat updates the state from a heartbeat and returns the records to append for the
+// heartbeat's task reports. In reply it sets the log reading about the worker and the interval
+// at which the agent should send heartbeats.
+func (j *batchState) applyHeartbeat(now time.Time, h *link.Heartbeat, reply *link.HeartbeatReply) []record.Message {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.workers == nil {
@@ -84,7 +86,7 @@
 	workerReport, uses := schedulerReport(h)
 	j.scheduler.ApplyReport(now, workerReport, uses)
 	j.reclaimer.NoteContact(h.Worker, now)
-	reply.HeartbeatIntervalMS = lease.HeartbeatInterval(j.liveWorkers(now)).Milliseconds()
+	reply.HeartbeatIntervalMS = lease.HeartbeatInterval(j.countLiveWorkers(now)).Milliseconds()
 	logReading, records := j.responder.Respond(now, &j.state, &job.Heartbeat{
 		Worker: h.Worker, Incarnation: h.Incarnation, Round: h.Round,
 		Ready: h.Ready, Primary: h.Primary, Reports: h.Tasks,
@@ -93,9 +95,9 @@
 	return records
 }
 
-// liveWorkers counts the workers whose last contact is recent. The count is renewed at most
-// once a second; mu is held.
-func (j *jobState) liveWorkers(now time.Time) int {
+// countLiveWorkers returns the number of workers whose last contact was at most workerLostAfter
+// ago. The workers are counted again at most once a second; mu is held.
+func (j *batchState) countLiveWorkers(now time.Time) int {
 	if now.Sub(j.liveCountedAt) < time.Second {
 		return j.liveCount
 	}
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -24,7 +24,8 @@
 const (
 	maxJobBodyBytes = 1 << 20
 	maxTasks        = 10000
-	// submitTimeout bounds the wait until a record is in the log.
+	// submitTimeout bounds the wait until the record of a caller's submission or cancellation
+	// is in the log.
 	submitTimeout = 5 * time.Second
 	// jobIDLength is the number of hex digits of a job id.
 	jobIDLength = 20
@@ -115,6 +116,7 @@
 	return class, "", ""
 }
 
+// newSpec returns the specification of a submitted job, without its id.
 func newSpec(now time.Time, team *bundle.Team, class *bundle.BatchClass, s *Submission) record.Spec {
 	spec := record.Spec{
 		Team: team.Name, Class: s.Class, Tasks: max(s.Tasks, 1), Gang: s.Gang, Size: s.Size,
@@ -127,18 +129,18 @@
 	return spec
 }
 
-// jobID returns the job id for a team's idempotency key: repeated submissions get the same
-// id.
-func jobID(team, key string) string {
-	sum := sha256.Sum256([]byte(team + "\x00" + key))
+// jobID returns the job id for a team's idempotency key: submissions with the same key get the
+// same id.
+func jobID(team, idempotencyKey string) string {
+	sum := sha256.Sum256([]byte(team + "\x00" + idempotencyKey))
 	return hex.EncodeToString(sum[:])[:jobIDLength]
 }
 
-// newJobID returns the id of a submission. Without an idempotency key it is random, and its
-// home is this data centre unless none such is found in maxHomeTries.
-func (e *Entry) newJobID(d *bundle.Document, team, key string) string {
-	if key != "" {
-		return jobID(team, key)
+// newJobID returns the id of a submitted job. Without an idempotency key the id is random and
+// chosen so that its home is this data centre, unless maxHomeTries ids gave none.
+func (e *Entry) newJobID(d *bundle.Document, team, idempotencyKey string) string {
+	if idempotencyKey != "" {
+		return jobID(team, idempotencyKey)
 	}
 	id := jobID(team, rand.Text())
 	for range maxHomeTries {
@@ -150,7 +152,8 @@
 	return id
 }
 
-// appendRecord appends a record on a caller's behalf and waits until it is in the log.
+// appendRecord appends a record on a caller's behalf and waits until the record is in the log.
+// If that fails, it returns the error response for the caller.
 func appendRecord(ctx context.Context, w *services.Writer, m record.Message) *problem.Problem {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -229,7 +232,7 @@
 	return f, true
 }
 
-// explainWaiting sets why pending tasks are waiting; jobs.mu is held.
+// explainWaiting sets Waiting of the job's tasks that wait to be started; jobs.mu is held.
 func (e *Entry) explainWaiting(j *job.Job, v *JobView) {
 	for i := range v.Tasks {
 		if reason, ok := e.jobs.scheduler.WaitReason(j, uint32(i)); ok {
--- a/internal/entry/member.go
+++ b/internal/entry/member.go
@@ -16,10 +16,11 @@
 
 // Times of membership.
 const (
-	// defaultAnnounceInterval is how often an entry refreshes its membership record
-	// unless Settings.AnnounceEvery is set.
+	// defaultAnnounceInterval is the time between two membership records of an entry unless
+	// Settings.AnnounceEvery is set.
 	defaultAnnounceInterval = 10 * time.Second
-	// forgetMemberAfter is how long an entry counts as a member after its last refresh.
+	// forgetMemberAfter is how long an entry counts as a member after its newest membership
+	// record was read.
 	forgetMemberAfter = 3 * time.Minute
 )
 
@@ -27,10 +28,11 @@
 type member struct {
 	record     record.Member
 	lastReadAt time.Time
-	// ownRefreshes is Entry.ownRefreshes at the time when the record was read.
-	ownRefreshes uint64
+	// ownRecordsRead is the value of Entry.ownRecordsRead when the record was read.
+	ownRecordsRead uint64
 }
 
+// announce appends this entry's membership record regularly until ctx ends.
 func (e *Entry) announce(ctx context.Context) {
 	for {
 		e.appendMembership(ctx, false)
@@ -40,6 +42,8 @@
 	}
 }
 
+// appendMembership appends this entry's membership record. leaving means that the entry is
+// draining.
 func (e *Entry) appendMembership(ctx context.Context, leaving bool) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -59,7 +63,9 @@
 	}
 }
 
-func (e *Entry) deliverMembers(records []record.Record, _ uint64, _ time.Time) {
+// applyMembers updates the known entries from membership records that were read from the
+// log.
+func (e *Entry) applyMembers(records []record.Record, _ uint64, _ time.Time) {
 	now := time.Now()
 	e.memberMu.Lock()
 	defer e.memberMu.Unlock()
@@ -69,9 +75,9 @@
 			continue
 		}
 		if m.Name == e.settings.Name && m.Incarnation == uint64(e.jobs.startedAt.UnixNano()) {
-			e.ownRefreshes++
+			e.ownRecordsRead++
 		}
-		e.knownMembers[m.Name] = member{record: *m, lastReadAt: now, ownRefreshes: e.ownRefreshes}
+		e.knownMembers[m.Name] = member{record: *m, lastReadAt: now, ownRecordsRead: e.ownRecordsRead}
 	}
 }
 
@@ -91,24 +97,25 @@
 	sort.Slice(members, func(i, k int) bool { return members[i].Name < members[k].Name })
 }
 
-// rendezvousRank returns the rank of the entry self among entries for a job, by rendezvous
-// hashing: the entry with rank 0 schedules the job, and the others take over in the order of
-// their ranks.
-func rendezvousRank(self, job string, entries []record.Member) int {
-	own := rendezvousWeight(self, job)
+// rendezvousRank returns the rank of the entry self among entries for key, by rendezvous
+// hashing. The entry with rank 0 is responsible for what the key stands for: for a job id it
+// schedules the job, and the others take over in the order of their ranks.
+func rendezvousRank(self, key string, entries []record.Member) int {
+	own := rendezvousWeight(self, key)
 	n := 0
 	for _, m := range entries {
-		if m.Name != self && rendezvousWeight(m.Name, job) > own {
+		if m.Name != self && rendezvousWeight(m.Name, key) > own {
 			n++
 		}
 	}
 	return n
 }
 
-func rendezvousWeight(name, job string) uint64 {
+// rendezvousWeight returns the weight of a name for key in rendezvous hashing.
+func rendezvousWeight(name, key string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(name)
 	_, _ = d.WriteString("/")
-	_, _ = d.WriteString(job)
+	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
--- a/internal/entry/reclaim.go
+++ b/internal/entry/reclaim.go
@@ -7,11 +7,12 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// workerLostAfter is how long a worker is silent before it gets no new tasks here.
+// workerLostAfter is how long a worker is silent before this entry's scheduler assigns it no new
+// tasks.
 const workerLostAfter = job.LostAfter
 
-// reclaimTasks returns the records that revoke the tasks of lost workers and release those
-// whose takeover time has passed; jobs.mu is held.
+// reclaimTasks returns the records that revoke the tasks of lost workers and release the revoked
+// tasks whose takeover time has passed; jobs.mu is held.
 func (e *Entry) reclaimTasks(now time.Time) []record.Message {
 	out := e.jobs.reclaimer.Decide(now, &e.jobs.state)
 	for _, m := range out {
--- a/internal/entry/recover.go
+++ b/internal/entry/recover.go
@@ -29,8 +29,9 @@
 	})
 }
 
-// recoverStream calls restore with the newest usable snapshot of a jobs stream and returns
-// the offset at which to go on reading.
+// recoverStream calls restore with the newest usable snapshot of a jobs stream and returns the
+// offset at which to go on reading. page gives the first retained offset of the stream and the
+// offset of the next append.
 func (e *Entry) recoverStream(ctx context.Context, stream string, page record.Page, restore func([]*record.Snapshot) error) uint64 {
 	snapshots, err := e.findSnapshot(ctx, stream, page.FirstOffset, page.NextOffset)
 	if err != nil {
@@ -53,30 +54,31 @@
 	return endOffset
 }
 
-// findSnapshot returns the parts of the newest snapshot for which all following batches are
-// kept, or nil. It searches windows before the stream's end, each four times as large as the
-// one before.
+// findSnapshot returns the parts of the newest snapshot whose following batches the log all
+// retains, or nil if there is none. first is the first retained offset, next the offset of the
+// next append. findSnapshot searches windows that end at the stream's end, each four times as
+// large as the one before.
 func (e *Entry) findSnapshot(ctx context.Context, stream string, first, next uint64) ([]*record.Snapshot, error) {
 	for window := uint64(maxBatchesAfterSnapshot / 4); ; window *= 4 {
-		from := first
+		start := first
 		if next > first+window {
-			from = next - window
+			start = next - window
 		}
-		found, err := e.newestSnapshot(ctx, stream, from, first)
-		if err != nil || found != nil || from == first {
+		found, err := e.newestSnapshot(ctx, stream, start, first)
+		if err != nil || found != nil || start == first {
 			return found, err
 		}
 	}
 }
 
-// newestSnapshot reads the stream from an offset on and returns the newest complete snapshot
-// whose end offset is at least first, or nil.
-func (e *Entry) newestSnapshot(ctx context.Context, stream string, from, first uint64) ([]*record.Snapshot, error) {
+// newestSnapshot reads the stream from the offset start on and returns the newest complete
+// snapshot whose end offset is at least minEndOffset, or nil if there is none.
+func (e *Entry) newestSnapshot(ctx context.Context, stream string, start, minEndOffset uint64) ([]*record.Snapshot, error) {
 	var assembler job.SnapshotAssembler
 	var newest []*record.Snapshot
-	err := services.Scan(ctx, e.logService, stream, from, func(r record.Record) {
+	err := services.Scan(ctx, e.logService, stream, start, func(r record.Record) {
 		part, ok := r.Message().(*record.Snapshot)
-		if !ok || part.EndOffset < first {
+		if !ok || part.EndOffset < minEndOffset {
 			return
 		}
 		parts := assembler.Add(part)
--- a/internal/entry/remote.go
+++ b/internal/entry/remote.go
@@ -20,7 +20,7 @@
 // Limits on queries to other data centres.
 const (
 	remoteQueryTimeout = 2 * time.Second
-	// maxMovesFollowed is how many moves of a job between data centres are followed.
+	// maxMovesFollowed bounds how many data centres are asked for a job that was moved.
 	maxMovesFollowed = 8
 )
 
@@ -32,18 +32,18 @@
 
 // findJob looks for a team's job in its home data centre and follows its moves from there.
 func (e *Entry) findJob(ctx context.Context, d *bundle.Document, team, id string) (locatedJob, *problem.Problem) {
-	at := e.homeDataCentre(d, id)
+	dataCentre := e.homeDataCentre(d, id)
 	for range maxMovesFollowed {
-		views, movedTo, p := e.queryJobs(ctx, at, team, id)
+		views, movedTo, p := e.queryJobs(ctx, dataCentre, team, id)
 		if p != nil {
 			return locatedJob{}, p
 		}
 		if movedTo != "" {
-			at = movedTo
+			dataCentre = movedTo
 			continue
 		}
 		if len(views) == 1 {
-			return locatedJob{view: views[0], dataCentre: at}, nil
+			return locatedJob{view: views[0], dataCentre: dataCentre}, nil
 		}
 		break
 	}
@@ -51,8 +51,9 @@
 	return locatedJob{}, &p
 }
 
-// queryJobs returns a team's jobs in a data centre: the one with the given id, or all if id
-// is empty.
+// queryJobs returns a team's jobs in a data centre: the one with the given id and the data centre
+// that it was moved to, or all that were not moved if id is empty. The problem is set if no entry
+// of the data centre answered.
 func (e *Entry) queryJobs(ctx context.Context, dataCentre, team, id string) (views []JobView, movedTo string, p *problem.Problem) {
 	if dataCentre == e.settings.DataCentre {
 		views, movedTo = e.localJobs(team, id)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -28,6 +28,8 @@
 	tracker endpoint.AttemptTracker
 }
 
+// serveRequest serves a request to a service, from a caller or from an entry of another data
+// centre: it makes attempts at endpoints until one has a response or none may follow.
 func (e *Entry) serveRequest(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	defer func() { e.requestTimer.UpdateSince(start) }()
@@ -44,18 +46,18 @@
 	e.routes.recordFirstAttempt(q.service.Name)
 	skip := ""
 	for {
-		n := q.tracker.BeginAttempt()
+		attempt := q.tracker.BeginAttempt()
 		t, d, err := e.routes.chooseEndpoint(ctx, q, deadline, skip)
 		if err != nil {
 			q.tracker.RecordRefusal(endpoint.AttemptNotRun)
 			p := problem.New(http.StatusServiceUnavailable, "", d.Reason)
 			p.RetryAfter = d.RetryAfter
 			p.Outcome = outcomeOf(q.tracker.State())
-			e.logRefused(q, n, d.Reason)
+			e.logRefused(q, attempt, d.Reason)
 			p.Write(w)
 			return
 		}
-		e.logRoute(q, t, n)
+		e.logRoute(q, t, attempt)
 		out := e.makeAttempt(ctx, r, q, t)
 		if out.response != nil {
 			out.response.forward(w, func() { e.finishAttempt(q, t, out) })
@@ -70,17 +72,18 @@
 	}
 }
 
-// awaitRetry waits out the backoff and reports true if another attempt is safe and the retry
-// budget allows it.
+// awaitRetry decides whether another attempt may follow the failed one at t: that must be safe
+// and the retry budget must allow it. If so, awaitRetry waits for the backoff and returns true,
+// or false if ctx ends first.
 func (e *Entry) awaitRetry(ctx context.Context, q *request, t target, out *attemptOutcome) bool {
-	n := q.tracker.Attempt()
+	attempt := q.tracker.Attempt()
 	safe := q.tracker.MayRetry(ctx.Err() != nil)
 	var backoff time.Duration
 	allowed := false
 	if safe {
-		backoff, allowed = e.routes.takeRetry(time.Now(), q.service.Name, int(n))
+		backoff, allowed = e.routes.takeRetry(time.Now(), q.service.Name, int(attempt))
 	}
-	e.log.Info().Str("decision", "judge-attempt").Str("request-id", q.id).Uint32("attempt", n).Str("endpoint", t.name).
+	e.log.Info().Str("decision", "judge-attempt").Str("request-id", q.id).Uint32("attempt", attempt).Str("endpoint", t.name).
 		Str("outcome", string(out.problem.Outcome)).Bool("again", allowed).Bool("safe", safe).Err(out.err).Msg("")
 	if !allowed {
 		return false
@@ -89,6 +92,8 @@
 	return delay.For(ctx, backoff)
 }
 
+// finishAttempt records the result of an attempt for the choice of endpoints, and logs and
+// counts an ejection of the endpoint.
 func (e *Entry) finishAttempt(q *request, t target, out attemptOutcome) {
 	if e.routes.finishAttempt(time.Now(), q.service.Name, t, out.result) {
 		e.countEvent("endpoints-ejected")
@@ -96,22 +101,23 @@
 	}
 }
 
-func (e *Entry) logRoute(q *request, t target, n uint32) {
-	e.log.Info().Str("decision", "route-request").Str("request-id", q.id).Uint32("attempt", n).Str("class", q.class.Name).
+func (e *Entry) logRoute(q *request, t target, attempt uint32) {
+	e.log.Info().Str("decision", "route-request").Str("request-id", q.id).Uint32("attempt", attempt).Str("class", q.class.Name).
 		Str("endpoint", t.name).Int("in-flight", t.inFlight).Bool("waited", t.waited).Str("reason", t.reason).Msg("")
 }
 
 // countEvent increments the counter of a rare event.
 func (e *Entry) countEvent(name string) { gometrics.GetOrRegisterCounter(name, e.registry).Inc(1) }
 
-func (e *Entry) logRefused(q *request, n uint32, reason string) {
+func (e *Entry) logRefused(q *request, attempt uint32, reason string) {
 	e.countEvent("requests-refused")
-	e.log.Info().Str("decision", "refuse-request").Str("request-id", q.id).Uint32("attempt", n).
+	e.log.Info().Str("decision", "refuse-request").Str("request-id", q.id).Uint32("attempt", attempt).
 		Str("class", q.class.Name).Str("reason", reason).Msg("")
 }
 
-// acceptRequest checks a request, reads its body and returns it with the time until its
-// deadline. If the request is invalid, it responds with an error and returns false.
+// acceptRequest checks a request, reads its body and returns the request with the time until
+// its deadline. If the request is invalid, acceptRequest responds with an error and returns
+// false.
 func (e *Entry) acceptRequest(w http.ResponseWriter, r *http.Request) (*request, time.Duration, bool) {
 	d := e.document()
 	if d == nil {
@@ -153,16 +159,18 @@
 	return q, deadline, true
 }
 
-// readBody reads a request's whole body.
-func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
-	if r.ContentLength < 0 || r.ContentLength > limit {
-		return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+// readBody reads a request's whole body; one of more than limitBytes is an error.
+func readBody(w http.ResponseWriter, r *http.Request, limitBytes int64) ([]byte, error) {
+	if r.ContentLength < 0 || r.ContentLength > limitBytes {
+		return io.ReadAll(http.MaxBytesReader(w, r.Body, limitBytes))
 	}
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
 	return body, err
 }
 
+// parseDeadline parses the value of link.HeaderDeadline, the time until the deadline. An empty
+// text gives defaultDeadline.
 func parseDeadline(text string, defaultDeadline time.Duration) (time.Duration, error) {
 	if text == "" {
 		return defaultDeadline, nil
--- a/internal/entry/request_attempt.go
+++ b/internal/entry/request_attempt.go
@@ -22,8 +22,8 @@
 
 // Errors of an exchange with an agent.
 var (
-	// errStalled means that a connection made no progress although the agent no longer
-	// had the attempt running, or the agent did not answer queries.
+	// errStalled means that no response arrived on a connection although the attempt no longer
+	// ran at the agent, or that the agent did not answer queries.
 	errStalled = errors.New("the connection to the agent is stalled")
 	// errSlow means that an attempt of a repeatable request takes so much longer than
 	// expected that another endpoint is tried.
@@ -33,45 +33,58 @@
 )
 
 const (
-	// stallTimeout is how long an exchange may take before the agent is queried about the
-	// attempt. The time to the next query doubles up to maxStallQueryInterval.
-	stallTimeout          = 500 * time.Millisecond
-	maxStallQueryInterval = 4 * time.Second
-	// slowAttemptFactor is how many times its expected service time an attempt of a
-	// repeatable request may take, if that is longer than stallTimeout.
+	// firstAttemptQueryDelay is the time from the start of an exchange to the first query of the
+	// agent for the attempt's state. Each further query follows after twice the interval of the
+	// one before, at most after maxAttemptQueryInterval.
+	firstAttemptQueryDelay  = 500 * time.Millisecond
+	maxAttemptQueryInterval = 4 * time.Second
+	// slowAttemptFactor is how many times its expected service time an attempt of a repeatable
+	// request may take before it is abandoned. An attempt is abandoned only after a query, so
+	// not before firstAttemptQueryDelay.
 	slowAttemptFactor = 10
-	// responseGrace is the time for a response to arrive that the agent has sent already.
+	// responseGrace is the time allowed for the arrival of a response that the agent has
+	// already sent.
 	responseGrace = 100 * time.Millisecond
 	// attemptQueryTimeout bounds one query about an attempt.
 	attemptQueryTimeout = 500 * time.Millisecond
-	// maxAttemptQueries is how often a query about an attempt is tried.
+	// maxAttemptQueries is how often the agent is queried for an attempt's state, if it does not
+	// answer, after an exchange has failed. While an exchange runs, that many failed queries in
+	// a row are tolerated.
 	maxAttemptQueries = 2
 )
 
-// attemptOutcome is the outcome of one attempt: a response to forward, or a problem to report.
+// attemptOutcome is the outcome of one attempt: a response to forward to the caller or, if
+// response is nil, a problem to send instead.
 type attemptOutcome struct {
 	response *agentResponse
 	problem  problem.Problem
-	err      error
-	result   attemptResult
+	// err is why the exchange failed, if it did.
+	err error
+	// result is what the attempt revealed about its endpoint.
+	result attemptResult
 }
 
-// exchange is one HTTP exchange with the agent for an attempt. An attempt may need several.
+// exchange is one HTTP exchange with the agent for an attempt. An attempt may need several
+// exchanges.
 type exchange struct {
+	// connected says whether there was a connection to send the request on.
 	connected atomic.Bool
+	// responded says whether a valid response has arrived.
 	responded atomic.Bool
 	// mayAbandon says whether the attempt may be abandoned while it runs.
 	mayAbandon bool
-	cancel     context.CancelCauseFunc
+	// cancel ends the exchange with the given cause.
+	cancel context.CancelCauseFunc
 }
 
-// makeAttempt makes one attempt. If a connection fails or stalls, it queries the agent over a
-// new one for the state of the attempt, and resends the request to get the response.
+// makeAttempt makes one attempt. If a connection fails or stalls, makeAttempt queries the agent
+// for the state of the attempt over a new connection and, if the attempt may still end with a
+// response, resends the request under the same attempt number to get that response.
 func (e *Entry) makeAttempt(ctx context.Context, r *http.Request, q *request, t target) attemptOutcome {
 	transport := e.agentClient.RequestTransport()
-	n := q.tracker.Attempt()
+	attempt := q.tracker.Attempt()
 	for {
-		a, connected, err := e.exchange(ctx, transport, r, q, t, n)
+		a, connected, err := e.exchange(ctx, transport, r, q, t, attempt)
 		if err == nil {
 			return e.interpretResponse(q, a)
 		}
@@ -81,7 +94,7 @@
 		}
 		step := q.tracker.RecordNoResponse(connected)
 		if step == endpoint.StepQuery {
-			step = q.tracker.RecordQueryResult(e.queryAttempt(ctx, q, t, n), ctx.Err() != nil)
+			step = q.tracker.RecordQueryResult(e.queryAttempt(ctx, q, t, attempt), ctx.Err() != nil)
 		}
 		if step == endpoint.StepEnd {
 			return e.interpretNoResponse(ctx, q.tracker.State(), err)
@@ -90,15 +103,15 @@
 	}
 }
 
-// exchange sends the attempt and reads the response. It reports whether it had a connection to
-// send it on.
-func (e *Entry) exchange(ctx context.Context, transport http.RoundTripper, r *http.Request, q *request, t target, n uint32) (*agentResponse, bool, error) {
+// exchange sends the attempt to the agent and reads the response. The bool returned says whether
+// there was a connection to send the attempt on.
+func (e *Entry) exchange(ctx context.Context, transport http.RoundTripper, r *http.Request, q *request, t target, attempt uint32) (*agentResponse, bool, error) {
 	x := &exchange{mayAbandon: q.tracker.MayAbandon()}
 	exchangeCtx, cancel := context.WithCancelCause(ctx)
 	x.cancel = cancel
-	watch := time.AfterFunc(stallTimeout, func() { e.watchExchange(exchangeCtx, x, q, t, n) })
+	watch := time.AfterFunc(firstAttemptQueryDelay, func() { e.watchExchange(exchangeCtx, x, q, t, attempt) })
 	traced := httptrace.WithClientTrace(exchangeCtx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.connected.Store(true) }})
-	out, err := newAttemptRequest(traced, r, q, t, n)
+	out, err := newAttemptRequest(traced, r, q, t, attempt)
 	if err != nil {
 		cancel(nil)
 		return nil, false, err
@@ -106,7 +119,7 @@
 	resp, err := transport.RoundTrip(out)
 	if err == nil {
 		var a *agentResponse
-		if a, err = readResponse(resp, q.id, n, func() { cancel(nil) }); err == nil {
+		if a, err = readResponse(resp, q.id, attempt, func() { cancel(nil) }); err == nil {
 			watch.Stop()
 			x.responded.Store(true)
 			return a, true, nil
@@ -120,15 +133,19 @@
 	return nil, x.connected.Load(), err
 }
 
-// watchExchange queries the agent about an exchange that takes long. If the attempt no longer
-// runs there and its response does not arrive, or the agent does not answer, it cancels the
-// exchange, which replaces the connection. An attempt that runs for too long is abandoned.
-func (e *Entry) watchExchange(ctx context.Context, x *exchange, q *request, t target, n uint32) {
-	wait := stallTimeout
-	started := time.Now().Add(-stallTimeout)
+// watchExchange queries the agent for the state of an attempt whose exchange takes long. If the
+// attempt no longer runs at the agent and no response arrives, or the agent does not answer the
+// queries, watchExchange cancels the exchange, so that makeAttempt goes on over a new
+// connection. It abandons an attempt that takes much longer than expected, but only while more
+// time is left before the deadline than the attempt has taken, so that another endpoint has as
+// much time. Work that takes long at every endpoint must come to its end: without that rule, a
+// request would be abandoned at one endpoint after the other and end as unknown.
+func (e *Entry) watchExchange(ctx context.Context, x *exchange, q *request, t target, attempt uint32) {
+	wait := firstAttemptQueryDelay
+	started := time.Now().Add(-firstAttemptQueryDelay)
 	failures := 0
 	for ctx.Err() == nil && !x.responded.Load() {
-		state, err := e.queryAttemptOnce(ctx, q, t, n, false)
+		state, err := e.queryAttemptOnce(ctx, q, t, attempt, false)
 		if err != nil {
 			failures++
 		} else {
@@ -145,10 +162,10 @@
 			x.cancel(errStalled)
 			return
 		}
-		if elapsed := time.Since(started); elapsed >= slowAttemptFactor*t.ticket.ServiceTime() && elapsed < timeLeft(ctx) && e.abandonAttempt(ctx, x, q, t, n) {
+		if elapsed := time.Since(started); elapsed >= slowAttemptFactor*t.ticket.ServiceTime() && elapsed < timeLeft(ctx) && e.abandonAttempt(ctx, x, q, t, attempt) {
 			return
 		}
-		wait = min(2*wait, maxStallQueryInterval)
+		wait = min(2*wait, maxAttemptQueryInterval)
 		if !delay.For(ctx, wait) {
 			return
 		}
@@ -164,9 +181,10 @@
 	return time.Until(deadline)
 }
 
-// abandonAttempt gives up an attempt of a repeatable request in favour of one on another
-// endpoint, and asks the agent to cancel it. It reports whether it did so.
-func (e *Entry) abandonAttempt(ctx context.Context, x *exchange, q *request, t target, n uint32) bool {
+// abandonAttempt gives up an attempt of a repeatable request, so that a further attempt is made
+// at another endpoint, and asks the agent to cancel the abandoned one. It returns false and
+// does nothing if the attempt must not be abandoned or its response has arrived.
+func (e *Entry) abandonAttempt(ctx context.Context, x *exchange, q *request, t target, attempt uint32) bool {
 	if !x.mayAbandon || x.responded.Load() {
 		return false
 	}
@@ -174,11 +192,13 @@
 	e.log.Warn().Str("decision", "abandon-attempt").Str("request-id", q.id).Str("endpoint", t.name).
 		Str("reason", "it takes much longer than expected").Msg("")
 	x.cancel(errSlow)
-	_, _ = e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, n, true)
+	_, _ = e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, attempt, true)
 	return true
 }
 
-func newAttemptRequest(ctx context.Context, r *http.Request, q *request, t target, n uint32) (*http.Request, error) {
+// newAttemptRequest returns the HTTP request that sends an attempt of the caller's request r to
+// the agent of t.
+func newAttemptRequest(ctx context.Context, r *http.Request, q *request, t target, attempt uint32) (*http.Request, error) {
 	path := link.PathRequests + q.service.Name + strings.TrimPrefix(r.URL.Path, "/services/"+q.service.Name)
 	out, err := http.NewRequestWithContext(ctx, r.Method, "https://"+t.address+path, bytes.NewReader(q.body))
 	if err != nil {
@@ -188,7 +208,7 @@
 	h := out.Header
 	link.CopyHeader(h, r.Header)
 	h.Set(link.HeaderRequest, q.id)
-	h.Set(link.HeaderAttempt, strconv.FormatUint(uint64(n), 10))
+	h.Set(link.HeaderAttempt, strconv.FormatUint(uint64(attempt), 10))
 	h.Set(link.HeaderClass, q.class.Name)
 	h.Set(link.HeaderIncarnation, strconv.FormatUint(t.incarnation, 10))
 	h.Set(link.HeaderMark, strconv.FormatUint(t.mark, 10))
@@ -223,8 +243,8 @@
 	return out
 }
 
-func outcomeOf(f endpoint.AttemptState) problem.Outcome {
-	switch f {
+func outcomeOf(state endpoint.AttemptState) problem.Outcome {
+	switch state {
 	case endpoint.AttemptNotRun:
 		return problem.NotRun
 	case endpoint.AttemptDone:
@@ -233,7 +253,8 @@
 	return problem.Unknown
 }
 
-// interpretNoResponse returns the outcome of an attempt without a response.
+// interpretNoResponse returns the outcome of an attempt that ended without a response; err is
+// why the exchange failed.
 func (e *Entry) interpretNoResponse(ctx context.Context, state endpoint.AttemptState, err error) attemptOutcome {
 	p := problem.New(http.StatusBadGateway, "", "the endpoint did not answer")
 	if state == endpoint.AttemptNotRun {
@@ -249,13 +270,13 @@
 	return attemptOutcome{problem: p, err: err, result: attemptResult{failed: !errors.Is(ctx.Err(), context.Canceled)}}
 }
 
-// queryAttempt queries the agent over new connections for the state of an attempt. If the
-// caller no longer waits for it, it also asks the agent to cancel the attempt where that is
-// safe.
-func (e *Entry) queryAttempt(ctx context.Context, q *request, t target, n uint32) endpoint.AttemptState {
+// queryAttempt queries the agent over new connections for the state of an attempt, at most
+// maxAttemptQueries times. If ctx has ended, no caller waits for the response: queryAttempt then
+// queries once and asks the agent to cancel the attempt where that is safe.
+func (e *Entry) queryAttempt(ctx context.Context, q *request, t target, attempt uint32) endpoint.AttemptState {
 	abandoned := ctx.Err() != nil
 	for range maxAttemptQueries {
-		state, err := e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, n, abandoned)
+		state, err := e.queryAttemptOnce(context.WithoutCancel(ctx), q, t, attempt, abandoned)
 		if err == nil || abandoned {
 			return state
 		}
@@ -263,10 +284,12 @@
 	return endpoint.AttemptUnknown
 }
 
-func (e *Entry) queryAttemptOnce(ctx context.Context, q *request, t target, n uint32, cancelAttempt bool) (endpoint.AttemptState, error) {
+// queryAttemptOnce queries the agent for the state of an attempt over a new connection. If
+// cancelAttempt is set, it also asks the agent to cancel the attempt where that is safe.
+func (e *Entry) queryAttemptOnce(ctx context.Context, q *request, t target, attempt uint32, cancelAttempt bool) (endpoint.AttemptState, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptQueryTimeout)
 	defer cancel()
-	in := &link.AttemptStateQuery{Request: q.id, Attempt: n, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelAttempt}
+	in := &link.AttemptStateQuery{Request: q.id, Attempt: attempt, Incarnation: t.incarnation, Mark: t.mark, Cancel: cancelAttempt}
 	var out link.AttemptStateReply
 	if err := e.agentClient.CallUnpooled(ctx, t.address, link.PathAttemptState, in, &out); err != nil {
 		return endpoint.AttemptUnknown, err
--- a/internal/entry/request_response.go
+++ b/internal/entry/request_response.go
@@ -10,23 +10,27 @@
 	"savoryhoist.example/savoryhoist/pkg/endpoint"
 )
 
-// agentResponse is an agent's response. The body of a small one has been read completely, so
-// that it is known to be complete or the agent can still be asked to resend it. What is
-// unread of a large body is streamed to the caller.
+// agentResponse is an agent's response to an attempt. A body of up to
+// endpoint.MaxResponseBytes has been read completely before anything is sent to the caller, so
+// that the agent can still be asked to resend a truncated response. The unread part of a larger
+// body is streamed to the caller.
 type agentResponse struct {
 	status  int
 	header  http.Header
 	outcome problem.Outcome
-	body    []byte
-	unread  io.ReadCloser
+	// body is the part of the body that has been read, unread the rest of it; unread is nil if
+	// nothing is left.
+	body   []byte
+	unread io.ReadCloser
+	// release is called once the connection is no longer needed.
 	release func()
 }
 
-// readResponse reads a response and checks that it belongs to the attempt. It calls release
-// when the response no longer needs its connection.
-func readResponse(resp *http.Response, id string, attempt uint32, release func()) (*agentResponse, error) {
+// readResponse reads a response and checks that it belongs to this attempt of the request. It
+// calls release when the response no longer needs its connection.
+func readResponse(resp *http.Response, requestID string, attempt uint32, release func()) (*agentResponse, error) {
 	h := resp.Header
-	if h.Get(link.HeaderRequest) != id || h.Get(link.HeaderAttempt) != strconv.FormatUint(uint64(attempt), 10) {
+	if h.Get(link.HeaderRequest) != requestID || h.Get(link.HeaderAttempt) != strconv.FormatUint(uint64(attempt), 10) {
 		_ = resp.Body.Close()
 		return nil, errWrongAttempt
 	}
@@ -58,7 +62,7 @@
 	return a, nil
 }
 
-// releaseConnection closes what is unread of the body and releases the connection.
+// releaseConnection closes the unread part of the body and releases the connection.
 func (a *agentResponse) releaseConnection() {
 	if a.unread == nil {
 		return
@@ -68,20 +72,20 @@
 	a.release()
 }
 
-// forward sends the response to the caller; a body that is truncated on the way from the
-// agent is truncated for the caller too. It calls ended when the endpoint has nothing more to
-// send.
-func (a *agentResponse) forward(w http.ResponseWriter, ended func()) {
+// forward sends the response to the caller. If the body is truncated on the way from the agent,
+// forward aborts the response, so that the caller notices. It calls onReceived once nothing
+// more is read from the agent.
+func (a *agentResponse) forward(w http.ResponseWriter, onReceived func()) {
 	defer a.releaseConnection()
 	link.DropInternal(a.header)
 	link.CopyHeader(w.Header(), a.header)
 	if a.unread == nil {
-		ended()
+		onReceived()
 		w.WriteHeader(a.status)
 		_, _ = w.Write(a.body)
 		return
 	}
-	defer ended()
+	defer onReceived()
 	w.WriteHeader(a.status)
 	if _, err := w.Write(a.body); err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -33,16 +33,19 @@
 
 // requestScript defines how an agent behaves and which response the caller must get.
 type requestScript struct {
+	// Promise states the guarantee to the caller that the script checks.
 	Promise string
 	// Repeat is the value of the caller's header link.HeaderRepeat.
 	Repeat string
 	// Exchanges are the agent's responses to attempts, in order; the last one is used for all
-	// further attempts. Fates are its replies to attempt queries, likewise.
+	// further attempts. Fates are the agent's replies to queries for an attempt's state, used
+	// in the same way.
 	Exchanges, Fates []string
 	Status           int
 	Outcome          string
 	// Attempts are the numbers of the attempts that the agent must receive.
-	Attempts   []int
+	Attempts []int
+	// RetryAfter says whether the response must have the header Retry-After.
 	RetryAfter bool `json:"retry-after"`
 }
 
@@ -53,6 +56,7 @@
 	attempts []int
 }
 
+// take removes the first item of a script's list and returns it; the last item stays.
 func (a *scriptedAgent) take(list *[]string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -220,7 +224,8 @@
 	return callerResponse{resp.StatusCode, resp.Header, string(body)}, err
 }
 
-// TestRequestContract runs each script of testdata with one agent.
+// TestRequestContract runs each script in testdata/request with one agent and checks the response
+// to the caller and the attempts that the agent received.
 func TestRequestContract(t *testing.T) {
 	names, err := filepath.Glob(filepath.Join("testdata", "request", "*.json"))
 	if err != nil || len(names) == 0 {
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -20,6 +20,7 @@
 type routes struct {
 	mu      sync.Mutex
 	routers map[string]*endpoint.Router
+	// waiters holds, for each waiting request, the channel that receives the decision on it.
 	waiters map[*endpoint.Ticket]chan endpoint.Decision
 	random  *mathrand.Rand
 }
@@ -31,10 +32,14 @@
 	name        string
 	address     string
 	incarnation uint64
-	mark        uint64
-	inFlight    int
-	reason      string
-	waited      bool
+	// mark is the mark of the newest report received from the agent, by which the agent tells
+	// whether it may have forgotten the attempt; see endpoint.DedupTable.
+	mark     uint64
+	inFlight int
+	// reason is why the endpoint was chosen.
+	reason string
+	// waited says whether the request waited until an endpoint had room.
+	waited bool
 }
 
 // router returns the router of a service; mu is held.
@@ -63,8 +68,9 @@
 	return true
 }
 
-// chooseEndpoint returns the endpoint for a request, after a wait if all are busy. The
-// caller must pass the target to finishAttempt.
+// chooseEndpoint returns the endpoint for a request, after a wait if all are busy; skip names an
+// endpoint to avoid, or is empty. The error is ErrShed if the request may not start; the decision
+// then holds the reason. The caller must pass a returned target to finishAttempt.
 func (r *routes) chooseEndpoint(ctx context.Context, q *request, deadline time.Time, skip string) (target, endpoint.Decision, error) {
 	now := time.Now()
 	r.mu.Lock()
@@ -106,7 +112,8 @@
 	}
 }
 
-// waitForDecision blocks until a queued request may start or is refused.
+// waitForDecision blocks until a queued request may start or is refused; decided receives the
+// decision. It refuses the request at the latest time at which the request could start.
 func (r *routes) waitForDecision(ctx context.Context, p *endpoint.Router, ticket *endpoint.Ticket, decided chan endpoint.Decision) endpoint.Decision {
 	timer := time.NewTimer(time.Until(ticket.LatestStart()))
 	defer timer.Stop()
@@ -148,12 +155,16 @@
 
 // attemptResult is what an attempt revealed about its endpoint.
 type attemptResult struct {
+	// load is the endpoint's load according to the response, if hasLoad is true.
 	load        endpoint.Load
 	hasLoad     bool
 	serviceTime time.Duration
-	succeeded   bool
-	failed      bool
-	refusal     string
+	// succeeded and failed say whether the attempt counts for or against the endpoint's health.
+	// Both are false for a refusal that is no fault of the endpoint.
+	succeeded bool
+	failed    bool
+	// refusal is the link.Refusal code if the agent refused the attempt, else empty.
+	refusal string
 }
 
 // finishAttempt records the result of an attempt and starts waiting requests. It reports
@@ -195,15 +206,16 @@
 	r.router(service).RetryBudget().RecordFirstAttempt()
 }
 
-// takeRetry takes a retry from the service's retry budget, and returns the delay before it
-// and whether the budget allows it.
-func (r *routes) takeRetry(now time.Time, service string, retry int) (time.Duration, bool) {
+// takeRetry takes one retry from the service's retry budget and returns the delay before that
+// retry, and whether the budget allows it. attempt is the number of the attempt that failed,
+// which is also the number of the retry.
+func (r *routes) takeRetry(now time.Time, service string, attempt int) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.router(service).RetryBudget().Take(now) {
 		return 0, false
 	}
-	return endpoint.RetryDelay(r.random, retry), true
+	return endpoint.RetryDelay(r.random, attempt), true
 }
 
 // applyHeartbeat updates the endpoint table of a service from a heartbeat.
--- a/internal/entry/schedule.go
+++ b/internal/entry/schedule.go
@@ -18,19 +18,23 @@
 
 // Times of scheduling.
 const (
-	// scheduleInterval is the longest time between two scheduling passes.
+	// scheduleInterval is the longest time between two scheduling passes; changes of the jobs
+	// start a pass at once.
 	scheduleInterval = 100 * time.Millisecond
 )
 
-// jobState is the entry's state of batch jobs.
-type jobState struct {
-	mu        sync.Mutex
+// batchState is an entry's state of all batch jobs of its data centre, of the workers that run
+// them and of their scheduling.
+type batchState struct {
+	mu sync.Mutex
+	// startedAt is when the entry started.
 	startedAt time.Time
 	state     job.StateMachine
-	// lastReadBegan is when the newest read of the jobs stream began.
+	// lastReadBegan is when the newest read that reached the end of the jobs stream began.
 	lastReadBegan time.Time
-	changed       chan struct{}
-	workers       map[string]*workerState
+	// changed wakes the scheduler after records were applied.
+	changed chan struct{}
+	workers map[string]*workerState
 	// liveCount is how many workers had a recent last contact at liveCountedAt.
 	liveCount     int
 	liveCountedAt time.Time
@@ -41,21 +45,23 @@
 
 	scheduler queue.Scheduler
 	random    *rand.Rand
-	// deliveredAt is when the records that are being applied were read.
-	deliveredAt time.Time
+	// appliedAt is when the newest records read were applied. The scheduler takes it as the
+	// time of the changes in these records.
+	appliedAt time.Time
 	// configuredDocument is the bundle document that the scheduler is configured with.
 	configuredDocument *bundle.Document
 	// lastSilenceCheckAt is when the entry last checked for silent workers.
 	lastSilenceCheckAt time.Time
 }
 
+// workerState is a worker's newest heartbeat and the time of its arrival.
 type workerState struct {
 	heartbeat   link.Heartbeat
 	lastContact time.Time
 }
 
 // notify wakes the scheduler; mu is held.
-func (j *jobState) notify() {
+func (j *batchState) notify() {
 	if j.changed == nil {
 		return
 	}
@@ -65,18 +71,19 @@
 	}
 }
 
-// connectScheduler passes task changes of the state machine to the scheduler. It must be
-// called before any record is applied.
-func (j *jobState) connectScheduler(now time.Time) {
+// connectScheduler sets up that task changes of the state machine reach the scheduler; now is
+// the time at which the entry starts. It must be called before any record is applied.
+func (j *batchState) connectScheduler(now time.Time) {
 	j.startedAt = now
-	j.deliveredAt = now
+	j.appliedAt = now
 	j.random = rand.New(rand.NewPCG(uint64(now.UnixNano()), 1)) //nolint:gosec // placement only
 	j.state.OnTaskChange = func(id record.TaskID, owner *job.Job, t *job.Task) {
-		j.scheduler.TaskChanged(j.deliveredAt, id, owner, t)
+		j.scheduler.TaskChanged(j.appliedAt, id, owner, t)
 	}
 }
 
-func (j *jobState) init() {
+// init creates what the scheduling loop needs: the channel that wakes it and the map of workers.
+func (j *batchState) init() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.changed = make(chan struct{}, 1)
@@ -118,7 +125,8 @@
 	}
 }
 
-// decide returns the records to append in the current state.
+// decide decides on the jobs in their current state and returns the records to append for these
+// decisions.
 func (e *Entry) decide(now time.Time) []record.Message {
 	document := e.document()
 	entries := e.localEntries(now)
@@ -153,8 +161,8 @@
 	e.jobs.scheduler.Configure(now, d, &e.jobs.state)
 }
 
-// forgetWorkerAfter is how long a worker without tasks may be silent before it is dropped
-// from the state.
+// forgetWorkerAfter is how long a worker without tasks may be silent before it is dropped from
+// batchState.workers.
 const forgetWorkerAfter = 10 * time.Minute
 
 // dropSilentWorkers marks silent workers as lost in the scheduler and drops those without
@@ -165,11 +173,11 @@
 	}
 	e.jobs.lastSilenceCheckAt = now
 	for name, v := range e.jobs.workers {
-		silent := now.Sub(v.lastContact)
-		if silent > workerLostAfter {
+		silentFor := now.Sub(v.lastContact)
+		if silentFor > workerLostAfter {
 			e.jobs.scheduler.Fleet().MarkLost(name)
 		}
-		if silent > forgetWorkerAfter && !e.jobs.scheduler.Fleet().Knows(name) {
+		if silentFor > forgetWorkerAfter && !e.jobs.scheduler.Fleet().Knows(name) {
 			delete(e.jobs.workers, name)
 		}
 	}
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -12,9 +12,11 @@
 	"savoryhoist.example/savoryhoist/internal/delay"
 )
 
-// Times of the check whether a silent worker is lost, that is, silent to all entries.
+// Times of the check whether a worker that is silent to this entry is lost. A worker is lost if
+// it is silent to all entries.
 const (
-	// confirmInterval is how often the other entries are asked about silent workers.
+	// confirmInterval is the time between two rounds of asking the other entries about silent
+	// workers.
 	confirmInterval = 500 * time.Millisecond
 	// confirmTimeout bounds one query to another entry.
 	confirmTimeout = time.Second
@@ -76,6 +78,8 @@
 	return contacts, complete
 }
 
+// queryLastContactsAt asks the entry m for its last contacts with workers and decodes the answer
+// into reply.
 func (e *Entry) queryLastContactsAt(ctx context.Context, m record.Member, workers []string, reply *link.LastContactReply) error {
 	err := e.entryClient.Call(ctx, m.Address, link.PathLastContact, &link.LastContactQuery{Workers: workers}, reply)
 	if err != nil {
@@ -84,10 +88,10 @@
 	return err
 }
 
-// handleSilenceQuery returns to another entry which workers this one had contact with
-// recently. An entry that cannot read the log cannot pass its contents on to a worker, so it
-// returns none.
-func (e *Entry) handleSilenceQuery(_ context.Context, _ link.Peer, q *link.LastContactQuery) (*link.LastContactReply, error) {
+// handleLastContactQuery tells another entry which workers this entry had contact with recently.
+// It names no worker if this entry could not read the log recently: such contacts do not count,
+// because they pass nothing from the log on to the worker.
+func (e *Entry) handleLastContactQuery(_ context.Context, _ link.Peer, q *link.LastContactQuery) (*link.LastContactReply, error) {
 	now := time.Now()
 	reply := new(link.LastContactReply)
 	e.jobs.mu.Lock()
--- a/internal/entry/spill.go
+++ b/internal/entry/spill.go
@@ -22,8 +22,8 @@
 	loadQueryTimeout  = 800 * time.Millisecond
 )
 
-// remoteLoad holds the load of the services in other data centres, to decide which requests
-// to spill there.
+// remoteLoad holds the load of the services in other data centres. It serves to decide which
+// requests to spill, that is, to send to another data centre.
 type remoteLoad struct {
 	// mu is taken after routes.mu.
 	mu         sync.Mutex
@@ -40,6 +40,7 @@
 // measurement, so that it follows when the route becomes longer.
 const roundTripGrowthDivisor = 16
 
+// observe updates the estimate with a measured round-trip time and returns the estimate.
 func (r *roundTrip) observe(took time.Duration) time.Duration {
 	r.shortest += r.shortest / roundTripGrowthDivisor
 	if r.shortest == 0 || took < r.shortest {
@@ -66,6 +67,7 @@
 	}
 }
 
+// queryLoadOf asks one entry of a data centre for the load of the services there.
 func (e *Entry) queryLoadOf(ctx context.Context, dataCentre string) {
 	address, ok := e.randomEntry(dataCentre)
 	if !ok {
@@ -82,7 +84,8 @@
 	e.remoteLoad.applyReply(time.Now(), dataCentre, time.Since(askedAt), &reply)
 }
 
-// randomEntry returns the peer address of a random entry of a data centre.
+// randomEntry returns the peer address of a random entry of a data centre, or false if none is
+// known.
 func (e *Entry) randomEntry(dataCentre string) (string, bool) {
 	members := e.entriesOf(dataCentre, time.Now())
 	if len(members) == 0 {
@@ -91,6 +94,7 @@
 	return members[rand.IntN(len(members))].Address, true
 }
 
+// applyReply records a data centre's reply to a load query; took is the query's round-trip time.
 func (s *remoteLoad) applyReply(now time.Time, dataCentre string, took time.Duration, reply *link.DataCentreLoadReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,13 +116,15 @@
 	}
 }
 
+// done records that a request to a service, which was sent to a data centre, has ended.
 func (s *remoteLoad) done(service, dataCentre string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.services[service].Done(dataCentre)
 }
 
-// handleLoadQuery returns the load of the services here to an entry of another data centre.
+// handleLoadQuery returns the load of the services in this data centre to an entry of another
+// one.
 func (e *Entry) handleLoadQuery(_ context.Context, _ link.Peer, _ *link.DataCentreLoadQuery) (*link.DataCentreLoadReply, error) {
 	now := time.Now()
 	reply := &link.DataCentreLoadReply{RemoteEntryCount: e.countRemoteEntries(now)}
@@ -144,9 +150,10 @@
 	return n
 }
 
-// chooseSpillTarget returns the data centre that a request should be sent to, or "". Only
-// repeatable requests that come from callers are sent elsewhere: if the connection to the
-// other data centre fails, nothing here can find out whether the request ran there.
+// chooseSpillTarget returns the other data centre that a request should be sent to, or "" if this
+// data centre should serve it. Only requests that come from callers are sent to another data
+// centre, and only repeatable ones: if the connection to the other data centre fails, this entry
+// cannot find out whether the request ran there.
 func (e *Entry) chooseSpillTarget(now time.Time, r *http.Request, q *request, deadline time.Time) string {
 	if r.TLS != nil || !q.tracker.MayRepeat() {
 		return ""
@@ -175,8 +182,9 @@
 	return dataCentre
 }
 
-// spillRequest makes an attempt in another data centre and relays the response. It returns
-// false if there was none and the request may be tried here.
+// spillRequest makes an attempt in another data centre and forwards the response to the caller.
+// It returns false if the attempt was not run there or had no response; the request may then be
+// tried in this data centre.
 func (e *Entry) spillRequest(ctx context.Context, w http.ResponseWriter, r *http.Request, q *request, dataCentre string) bool {
 	defer e.remoteLoad.done(q.service.Name, dataCentre)
 	address, ok := e.randomEntry(dataCentre)
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -8,7 +8,7 @@
 	"savoryhoist.example/savoryhoist/pkg/job"
 )
 
-// Status is the JSON form of what an entry knows.
+// Status is the JSON form of an entry's view of its data centre.
 type Status struct {
 	Entry         string           `json:"entry"`
 	DataCentre    string           `json:"data-centre"`
