--- a/internal/agent/active_attempt.go
+++ b/internal/agent/active_attempt.go
@@ -27,18 +27,20 @@
 	id         endpoint.AttemptID
 	ticket     *endpoint.Ticket
 	repeatable bool
-	arrived    time.Time
-	// verdict receives the one verdict on the attempt.
+	arrivedAt  time.Time
+	// verdict receives the gate's only verdict on the attempt: to start it or to shed it.
 	verdict chan endpoint.Verdict
 	// done is closed when the attempt has ended.
-	done    chan struct{}
+	done chan struct{}
+	// waiters is the number of requests that wait for the attempt's response.
 	waiters atomic.Int32
-	cancel  atomic.Pointer[context.CancelFunc]
+	// cancel cancels the run; it is nil until the run has begun.
+	cancel atomic.Pointer[context.CancelFunc]
 }
 
 // admit checks an attempt against the dedup table and, if it is new, asks the gate for a slot.
-// An attempt that the table admits can still be refused by the gate: refusal then says why, and
-// the attempt is recorded as not run.
+// An attempt that the table admits can still be refused by the gate: refusal is then a
+// link.Refusal code, and the attempt is recorded as not run.
 func (a *Agent) admit(now time.Time, in attemptRequest) (att *activeAttempt, admission endpoint.Admission, refusal string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,7 +52,7 @@
 		return a.activeAttempts[in.id], admission, ""
 	}
 	att = a.newActiveAttempt(in)
-	att.arrived = now
+	att.arrivedAt = now
 	verdict, victim, _ := a.offer(now, att)
 	if victim != nil {
 		a.resolve(now, victim, endpoint.Shed)
@@ -88,7 +90,8 @@
 	return att
 }
 
-// offer asks the gate for a slot; mu is held.
+// offer asks the gate for a slot and returns the gate's verdict and its reason; mu is held. The
+// ticket returned, if not nil, is that of a waiting attempt that must give up its place.
 func (a *Agent) offer(now time.Time, att *activeAttempt) (endpoint.Verdict, *endpoint.Ticket, string) {
 	if a.draining {
 		return endpoint.Shed, nil, "the endpoint is draining"
@@ -109,7 +112,7 @@
 	}
 }
 
-// resolve passes the verdict to a waiting attempt; mu is held.
+// resolve passes the gate's verdict to the waiting attempt with ticket t; mu is held.
 func (a *Agent) resolve(now time.Time, t *endpoint.Ticket, v endpoint.Verdict) {
 	att := a.waitingAttempts[t]
 	delete(a.waitingAttempts, t)
@@ -119,7 +122,8 @@
 	att.verdict <- v
 }
 
-// awaitSlot waits for a slot and returns "", or why the attempt got none.
+// awaitSlot waits until the attempt has a slot and returns "", or returns a link.Refusal code if
+// the attempt gets none by its latest start.
 func (a *Agent) awaitSlot(ctx context.Context, att *activeAttempt) string {
 	timer := time.NewTimer(time.Until(att.ticket.LatestStart()))
 	defer timer.Stop()
@@ -137,7 +141,8 @@
 	return ""
 }
 
-// withdraw removes an attempt from the gate's queue, unless it has its verdict already.
+// withdraw removes an attempt from the gate's queue and returns endpoint.Shed. If the gate has
+// given its verdict on the attempt already, withdraw returns that verdict.
 func (a *Agent) withdraw(att *activeAttempt) endpoint.Verdict {
 	now := time.Now()
 	a.mu.Lock()
@@ -150,8 +155,8 @@
 	return <-att.verdict
 }
 
-// finishRun records the end of an attempt that ran, releases its slot and starts waiting
-// attempts.
+// finishRun records the end of an attempt that had a slot, releases the slot and starts waiting
+// attempts. response is kept for later requests for it; nil means that it is not kept.
 func (a *Agent) finishRun(att *activeAttempt, state endpoint.AttemptState, response *endpoint.Response) {
 	now := time.Now()
 	a.mu.Lock()
@@ -168,15 +173,15 @@
 	}
 }
 
-// finish records the final state of an attempt and wakes the requests attached to it; mu is
-// held.
+// finish records the final state of an attempt and wakes the requests that wait for its response;
+// mu is held.
 func (a *Agent) finish(now time.Time, att *activeAttempt, state endpoint.AttemptState, response *endpoint.Response) {
 	a.dedupTable.Finish(now, att.id, state, response)
 	delete(a.activeAttempts, att.id)
 	close(att.done)
 }
 
-// recordServiceTime records the service time of an attempt.
+// recordServiceTime records the service time of an attempt for later estimates.
 func (a *Agent) recordServiceTime(att *activeAttempt, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -194,8 +199,10 @@
 	return endpoint.Load{InFlight: a.gate.Running() + a.gate.Waiting(), Long: long, Reserved: a.gate.ReservedSlots()}
 }
 
-// runContext returns the context of the attempt's run. It does not end with the connection that
-// the attempt came on, so that a resent request can attach.
+// runContext returns the context of the attempt's run, which ends at the deadline, or
+// nonRepeatableOverrun later if the attempt must not be repeated. The context does not end with
+// reqCtx, the context of the request that brought the attempt, so that a resent request can attach
+// to the run.
 func (att *activeAttempt) runContext(reqCtx context.Context) (context.Context, context.CancelFunc) {
 	end := att.ticket.Deadline()
 	if !att.repeatable {
@@ -206,8 +213,10 @@
 	return ctx, cancel
 }
 
-// cancelWhenAbandoned cancels a repeatable run once the request with context reqCtx has ended
-// and no other request waits for it; it checks every abandonedGrace.
+// cancelWhenAbandoned watches a repeatable run from the moment when the request with context reqCtx
+// ends, if no other request waits for the response then: every abandonedGrace it checks whether
+// one does, and cancels the run at the first check at which none does. The returned function
+// prevents the watch unless it has begun.
 func (a *Agent) cancelWhenAbandoned(reqCtx context.Context, att *activeAttempt, cancel context.CancelFunc) func() bool {
 	return context.AfterFunc(reqCtx, func() {
 		if att.waiters.Add(-1) > 0 || !att.repeatable {
@@ -231,6 +240,8 @@
 	})
 }
 
+// handleAttemptQuery tells an entry the state of an attempt, and cancels the attempt if the entry
+// asks for that.
 func (a *Agent) handleAttemptQuery(_ context.Context, _ link.Peer, q *link.AttemptStateQuery) (*link.AttemptStateReply, error) {
 	now := time.Now()
 	a.mu.Lock()
@@ -246,8 +257,8 @@
 	return &link.AttemptStateReply{State: state.String()}, nil
 }
 
-// cancelAttempt cancels an attempt if it still waits or is repeatable, and returns its state; mu
-// is held.
+// cancelAttempt cancels an attempt that still waits for a slot or is repeatable, and returns the
+// attempt's state; mu is held.
 func (a *Agent) cancelAttempt(now time.Time, att *activeAttempt) endpoint.AttemptState {
 	if a.gate.Cancel(now, att.ticket) {
 		a.resolve(now, att.ticket, endpoint.Shed)
@@ -259,17 +270,20 @@
 	return endpoint.AttemptRunning
 }
 
-// responseBuffer writes a response body to the entry that asked for it and keeps a copy while it
-// is small.
+// responseBuffer writes a response body to an entry and keeps a copy of a body of up to
+// endpoint.MaxResponseBytes.
 type responseBuffer struct {
-	client   io.Writer
-	kept     []byte
-	large    bool
+	// client is the connection to the entry.
+	client io.Writer
+	kept   []byte
+	// large says whether the body is too large to be kept.
+	large bool
+	// writeErr is the first error of a write to client.
 	writeErr error
 }
 
-// readFrom copies the complete body of a response to the client.
-func (b *responseBuffer) readFrom(resp *http.Response) error {
+// copyBody copies the complete body of a response to the client.
+func (b *responseBuffer) copyBody(resp *http.Response) error {
 	if resp.Body == http.NoBody {
 		return nil
 	}
@@ -285,8 +299,9 @@
 	return nil
 }
 
-// Write implements io.Writer. A client that is gone is an error only if the response is too
-// large to be kept for the next request for it.
+// Write implements io.Writer. A failed write to the client is returned as an error only if the
+// body is too large to be kept. A smaller body is read to its end, so that it can be sent when the
+// attempt is resent.
 func (b *responseBuffer) Write(p []byte) (int, error) {
 	if !b.large && len(b.kept)+len(p) <= endpoint.MaxResponseBytes {
 		b.kept = append(b.kept, p...)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,7 +38,8 @@
 	// platform's worker.
 	RunnerURL, WorkerURL string
 	// Entries are addresses of entries, or of a load balancer in front of them.
-	Entries        []string
+	Entries []string
+	// HeartbeatEvery is the shortest time between two heartbeat rounds.
 	HeartbeatEvery time.Duration
 	// DrainDelay is how long the agent goes on serving after it has announced that it is
 	// draining.
@@ -53,16 +54,19 @@
 	entryClient *link.Client
 	log         *log.Logger
 	worker      services.Worker
-	runner      *http.Transport
-	registry    gometrics.Registry
-	server      *link.Server
+	// runner is the transport to the endpoint's runner.
+	runner   *http.Transport
+	registry gometrics.Registry
+	server   *link.Server
+	// incarnation is the time at which the process started, in Unix nanoseconds. It
+	// distinguishes the process from earlier ones of the same agent.
 	incarnation uint64
 
 	// heartbeatCalls counts the heartbeats in progress.
 	heartbeatCalls  sync.WaitGroup
 	heartbeatSender link.HeartbeatSender
 
-	// mu guards what requests and heartbeats share.
+	// mu guards the fields below up to requestedInterval, which requests and heartbeats share.
 	mu              sync.Mutex
 	dedupTable      endpoint.DedupTable
 	gate            endpoint.Gate
@@ -70,20 +74,25 @@
 	activeAttempts  map[endpoint.AttemptID]*activeAttempt
 	waitingAttempts map[*endpoint.Ticket]*activeAttempt
 	draining        bool
-	chain           *bundle.Chain
-	entrySelector   entrySelector
-	primary         string
+	// chain holds the bundle in force and decides which bundles follow it.
+	chain         *bundle.Chain
+	entrySelector entrySelector
+	// primary is the address of the entry that appends the records for this agent's reports to
+	// the log, or empty if no entry does.
+	primary string
 	// requestedInterval is the longest heartbeat interval that an entry asks for.
 	requestedInterval time.Duration
 
-	// tasksMu guards the holder and the guard. It is taken before mu.
+	// tasksMu guards the holder, which decides on the worker's tasks by their leases, and the
+	// guard, except for its latencies. It is taken before mu.
 	tasksMu sync.Mutex
 	holder  lease.Holder
 	guard   guard
 }
 
-// predecessorStartGrace is how long a start order of this agent's predecessor may still be
-// on its way to the worker. A listing requested earlier may miss that task.
+// predecessorStartGrace is how long a start order of an earlier process of this agent may still
+// be on its way to the worker. A listing of the worker's tasks that was requested before this time
+// has passed may lack the task of such an order.
 const predecessorStartGrace = time.Second
 
 // New returns an agent that is bound to its address but does not run yet.
@@ -132,8 +141,9 @@
 	return a.entryClient.Close()
 }
 
-func (a *Agent) serveUntilClosed(fn func() error) {
-	if err := fn(); err != nil {
+// serveUntilClosed calls serve, which blocks until its server is closed, and logs its error.
+func (a *Agent) serveUntilClosed(serve func() error) {
+	if err := serve(); err != nil {
 		a.log.Error().Err(err).Msg("serving peers failed")
 	}
 }
@@ -168,8 +178,8 @@
 	return len(a.activeAttempts)
 }
 
-// Ready reports whether the ledger of the worker's tasks has been rebuilt and an entry has
-// answered.
+// Ready reports whether the agent is not draining, its ledger of the worker's tasks has been
+// rebuilt, and an entry has become its primary.
 func (a *Agent) Ready() bool {
 	a.tasksMu.Lock()
 	defer a.tasksMu.Unlock()
--- a/internal/agent/bundle.go
+++ b/internal/agent/bundle.go
@@ -9,8 +9,8 @@
 	"savoryhoist.example/savoryhoist/pkg/bundle"
 )
 
-// updateBundle fetches the bundle in force from entries that have another one, unless theirs
-// is known to be older.
+// updateBundle fetches the bundle in force from each entry whose reply names another bundle than
+// this agent has, unless the version in the reply shows that the entry's bundle is not newer.
 func (a *Agent) updateBundle(ctx context.Context, replies []entryReply) {
 	for _, o := range replies {
 		a.mu.Lock()
@@ -41,13 +41,13 @@
 	return &link.BundleReply{Signed: signed, OperatorChanges: operatorChanges, EndOffset: proof.EndOffset()}, err
 }
 
-// fetchBundle asks an entry for the bundle in force and adopts it if it is
-// newer and its signatures are valid.
-func (a *Agent) fetchBundle(ctx context.Context, entry, have string) error {
+// fetchBundle asks the entry at an address for the bundle in force and adopts that bundle if it is
+// newer and its signatures are valid. haveDigest is the digest of the bundle that this agent has.
+func (a *Agent) fetchBundle(ctx context.Context, entryAddress, haveDigest string) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply link.BundleReply
-	if err := a.entryClient.Call(ctx, entry, link.PathBundle, &link.BundleQuery{HaveDigest: have}, &reply); err != nil {
+	if err := a.entryClient.Call(ctx, entryAddress, link.PathBundle, &link.BundleQuery{HaveDigest: haveDigest}, &reply); err != nil {
 		return err
 	}
 	signed, err := a.unpack(&reply)
@@ -71,7 +71,7 @@
 	return err
 }
 
-// unpack returns the encoded signed bundle of a reply.
+// unpack returns the encoded signed bundle of a reply, which is decompressed if need be.
 func (a *Agent) unpack(reply *link.BundleReply) ([]byte, error) {
 	if reply.Packed == nil {
 		return reply.Signed, nil
--- a/internal/agent/entry_selector.go
+++ b/internal/agent/entry_selector.go
@@ -20,13 +20,17 @@
 	rediscoverInterval = 5 * time.Second
 )
 
-// entrySelector chooses the entries that an agent sends heartbeats to. The zero value knows
-// none.
+// entrySelector chooses the entries that an agent sends heartbeats to. It knows entries by
+// their addresses.
 type entrySelector struct {
-	name       string
+	// name is the agent's name.
+	name string
+	// configured are the addresses in the agent's settings, of entries or of a load balancer.
 	configured []string
-	known      []string
-	failures   map[string]failure
+	// known are the entries named in the newest replies.
+	known []string
+	// failures holds the entries that did not answer their last call.
+	failures map[string]failure
 	// busy entries have a call in progress.
 	busy map[string]bool
 	// lastRediscoveryAt is when a configured address was last added for discovery.
@@ -61,7 +65,7 @@
 // recordSuccess records that an entry answered.
 func (c *entrySelector) recordSuccess(address string) { delete(c.failures, address) }
 
-// beginCalls records calls to entries, which are not targets again until the calls end.
+// beginCalls records that calls to entries begin. An entry is no target until its call has ended.
 func (c *entrySelector) beginCalls(addresses []string) {
 	if c.busy == nil {
 		c.busy = make(map[string]bool)
@@ -71,7 +75,7 @@
 	}
 }
 
-// endCall records the end of a call.
+// endCall records the end of a call to an entry.
 func (c *entrySelector) endCall(address string) { delete(c.busy, address) }
 
 // targets returns the entries to send a heartbeat to now: of the known entries that answer,
@@ -103,7 +107,8 @@
 	return slices.DeleteFunc(addresses, func(a string) bool { return c.busy[a] })
 }
 
-// fallback returns configured addresses that answer, or the first ones if none does.
+// fallback returns up to maxTargets configured addresses: those that may be tried now, or the
+// first ones if there are none.
 func (c *entrySelector) fallback(now time.Time) []string {
 	if out := c.usable(now, c.configured); len(out) > 0 {
 		return out[:min(len(out), maxTargets)]
@@ -111,7 +116,9 @@
 	return slices.Clone(c.configured[:min(len(c.configured), maxTargets)])
 }
 
-// rediscover returns a configured address to try for discovery, or "" if none is due.
+// rediscover returns a configured address that is neither in targets nor a known entry, to find
+// entries that the known ones do not know, or "" if there is none or rediscoverInterval has not
+// passed.
 func (c *entrySelector) rediscover(now time.Time, targets []string) string {
 	if now.Sub(c.lastRediscoveryAt) < rediscoverInterval {
 		return ""
@@ -127,6 +134,7 @@
 	return ""
 }
 
+// usable returns the addresses whose last call did not fail, or that may be tried again now.
 func (c *entrySelector) usable(now time.Time, addresses []string) []string {
 	var out []string
 	for _, a := range addresses {
@@ -137,6 +145,7 @@
 	return out
 }
 
+// rendezvousWeight returns the weight of an entry for this agent in rendezvous hashing.
 func (c *entrySelector) rendezvousWeight(address string) uint64 {
 	return xxhash.Sum64String(c.name + "/" + address)
 }
--- a/internal/agent/guard.go
+++ b/internal/agent/guard.go
@@ -11,28 +11,32 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// guardInterval is how often the guard decides about the tasks.
+// guardInterval is the shortest time between two decisions of the guard.
 const guardInterval = time.Second
 
-// guard keeps batch tasks on the worker from raising the latency of the service beside it.
+// guard keeps the batch tasks on the worker from raising the latency of the service that runs
+// beside them.
 type guard struct {
 	// latencies is guarded by Agent.mu, the other fields by Agent.tasksMu.
 	latencies      worker.LatencyWindow
 	policy         worker.Guard
 	lastDecisionAt time.Time
-	pressure       float64
-	classUses      []link.ClassUse
+	// pressure is the service's tail latency divided by its latency objective.
+	pressure float64
+	// classUses is the resource use of the worker's running tasks by class.
+	classUses []link.ClassUse
 }
 
-// noteLatency records the latency of a request; mu is held. Classes with an expected service
-// time of the latency objective or more do not count.
+// noteLatency records the latency of an attempt that has ended, for the pressure of the service;
+// mu is held. Attempts of a class whose expected service time is the latency objective or more do
+// not count.
 func (a *Agent) noteLatency(now time.Time, att *activeAttempt) {
 	s, ok := a.service()
 	if !ok {
 		return
 	}
 	if c, ok := s.Class(att.ticket.Class()); ok && c.ExpectedServiceTime < s.LatencyObjective {
-		a.guard.latencies.Add(now, now.Sub(att.arrived))
+		a.guard.latencies.Add(now, now.Sub(att.arrivedAt))
 	}
 }
 
@@ -72,6 +76,7 @@
 	return r
 }
 
+// guardTasks returns the running tasks of a listing in the form that the guard's policy takes.
 func (a *Agent) guardTasks(listing *services.TaskList) []worker.GuardTask {
 	a.mu.Lock()
 	document := a.chain.Document()
@@ -140,8 +145,9 @@
 		Str("reason", action.Reason()).Float64("pressure", a.guard.pressure).Msg("")
 }
 
-// moveTask saves a checkpoint of a task and stops it. The next listing shows it as stopped;
-// that is reported, and the task continues on another worker.
+// moveTask saves a checkpoint of a task and stops the task. The next listing of the worker's tasks
+// shows the task as stopped, which the agent reports to the entries, and the task continues on
+// another worker.
 func (a *Agent) moveTask(ctx context.Context, key string) error {
 	if _, err := a.worker.Checkpoint(ctx, key); err != nil {
 		return err
--- a/internal/agent/guard_test.go
+++ b/internal/agent/guard_test.go
@@ -33,13 +33,13 @@
   - {name: archive, priority: 1, takeover-after: 60s, max-attempts: 5}
 `
 
-var epoch = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// guardFixture is an agent with a fake worker that records the calls and fails those of one
-// name.
+// guardFixture is an agent with a fake worker that records the calls it gets.
 type guardFixture struct {
-	agent   *Agent
-	calls   []string
+	agent *Agent
+	calls []string
+	// failing is the name of the calls that fail.
 	failing string
 	listing services.TaskList
 	now     time.Time
@@ -65,7 +65,7 @@
 	}
 	signed := bundle.NewSigned(content)
 	signed.Sign("alice", private)
-	g := &guardFixture{now: epoch, agent: &Agent{
+	g := &guardFixture{now: startTime, agent: &Agent{
 		settings: Settings{Service: "planner"}, log: &log.Logger{Level: log.PanicLevel}, chain: bundle.NewChain(roots),
 		registry: gometrics.NewRegistry(),
 	}}
@@ -103,13 +103,13 @@
 	return nil
 }
 
-// serve simulates 30 requests a second of a class, each taking the given time, and runs the
-// guard after each second.
+// serve simulates 30 requests a second of a class, each with latency took, and runs the guard
+// after each second.
 func (g *guardFixture) serve(seconds int, class string, took time.Duration) {
 	for range seconds {
 		g.now = g.now.Add(time.Second)
 		for range 30 {
-			f := &activeAttempt{ticket: endpoint.NewTicket(class, "", 0, g.now, 0), arrived: g.now.Add(-took)}
+			f := &activeAttempt{ticket: endpoint.NewTicket(class, "", 0, g.now, 0), arrivedAt: g.now.Add(-took)}
 			g.agent.noteLatency(g.now, f)
 		}
 		g.agent.runGuard(context.Background(), g.now, &g.listing)
@@ -120,6 +120,8 @@
 	return strings.Contains(strings.Join(g.calls, "\n"), name)
 }
 
+// TestProtect checks which calls the guard makes to the worker: it throttles tasks when the service
+// is slow, moves them when the pressure lasts, and never stops a task without a checkpoint.
 func TestProtect(t *testing.T) {
 	const slow, fast = time.Second, time.Millisecond
 	cases := []struct {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -20,13 +20,14 @@
 const (
 	// callTimeout bounds a call to an entry.
 	callTimeout = 2 * time.Second
-	// replyGrace is how long a round waits for further replies after the first.
+	// replyGrace is how long a round waits for further replies after the first one.
 	replyGrace = 100 * time.Millisecond
-	// heartbeatJitterDivisor sets the random variation of the interval: up to 1/10 of it either
-	// way.
+	// heartbeatJitterDivisor sets the random variation of the heartbeat interval: up to 1/10 of
+	// the interval, longer or shorter.
 	heartbeatJitterDivisor = 10
 )
 
+// sendHeartbeats runs heartbeat rounds until ctx ends.
 func (a *Agent) sendHeartbeats(ctx context.Context) {
 	for {
 		a.runRound(ctx)
@@ -46,8 +47,9 @@
 	return max(a.settings.HeartbeatEvery, a.requestedInterval)
 }
 
-// runRound lists the worker's tasks, sends a heartbeat to the entries, and acts on their
-// replies.
+// runRound runs a heartbeat round: it lists the worker's tasks, sends a heartbeat to the entries,
+// acts on their replies and lets the guard decide on the tasks. If the listing fails, it sends the
+// heartbeat and leaves the tasks alone.
 func (a *Agent) runRound(ctx context.Context) {
 	a.tasksMu.Lock()
 	defer a.tasksMu.Unlock()
@@ -65,12 +67,13 @@
 
 // entryReply is one entry's reply to a heartbeat; reply is nil if the call failed.
 type entryReply struct {
+	// entry is the entry's address.
 	entry string
 	reply *link.HeartbeatReply
 }
 
-// sendHeartbeat sends the heartbeat to a few entries in parallel and returns the replies that
-// arrive in time: an entry that hangs does not delay the round.
+// sendHeartbeat sends a heartbeat to a few entries in parallel and returns the replies that arrive
+// in time, so that an entry that does not answer hardly delays the round; see collectReplies.
 func (a *Agent) sendHeartbeat(ctx context.Context, h link.Heartbeat) []entryReply {
 	entries, primary := a.chooseTargets(time.Now())
 	results := make(chan entryReply, len(entries))
@@ -85,8 +88,8 @@
 	return replies
 }
 
-// collectReplies returns the replies that arrive until all have arrived, or until replyGrace
-// after the first one.
+// collectReplies receives count results and returns the replies among them. It returns earlier
+// when replyGrace has passed since the first reply, or when ctx ends.
 func collectReplies(ctx context.Context, results <-chan entryReply, count int) []entryReply {
 	var replies []entryReply
 	var grace <-chan time.Time
@@ -170,8 +173,10 @@
 // that of another entry while it stays primary.
 const maxPrimaryLagRounds = 8
 
-// choosePrimary keeps the previous primary if it answered and can read the log, and otherwise
-// takes another entry that does. It also updates the known entries and requestedInterval.
+// choosePrimary sets the primary from the replies of a round. An entry can be primary if it
+// answered, is not draining and its read of the log does not lag behind by more than
+// maxPrimaryLagRounds; the previous primary is preferred. choosePrimary also updates the known
+// entries and requestedInterval.
 func (a *Agent) choosePrimary(replies []entryReply, previous string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -221,6 +226,7 @@
 	return h
 }
 
+// service returns the endpoint's service in the bundle in force; mu is held.
 func (a *Agent) service() (*bundle.Service, bool) {
 	if d := a.chain.Document(); d != nil {
 		return d.Service(a.settings.Service)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// dialTimeout bounds a connection to the runner beside the agent.
+	// dialTimeout bounds the time to open a connection to the runner beside the agent.
 	dialTimeout = time.Second
 	// maxRunnerConnections is the most connections to the runner.
 	maxRunnerConnections = 64
-	// maxReadAheadBytes is the largest body that is read before the request is admitted.
+	// maxReadAheadBytes is the largest request body that is read before the attempt is admitted.
 	maxReadAheadBytes = 64 << 10
 	// defaultTimeout is the time to the deadline of attempts that carry none.
 	defaultTimeout = time.Minute
@@ -37,17 +37,21 @@
 	}
 }
 
-// attemptRequest holds the headers of an attempt.
+// attemptRequest holds the parsed headers of an attempt.
 type attemptRequest struct {
-	id          endpoint.AttemptID
+	id endpoint.AttemptID
+	// incarnation is that of the agent that the attempt is meant for, mark the newest mark that
+	// the entry has received from that agent; see endpoint.DedupTable.
 	incarnation uint64
 	mark        uint64
 	class       string
 	team        string
 	deadline    time.Time
-	repeatable  bool
+	// repeatable says whether the request may be run more than once.
+	repeatable bool
 }
 
+// parseAttempt parses the headers of an attempt that arrived at now.
 func parseAttempt(now time.Time, h http.Header) (attemptRequest, error) {
 	n, err := strconv.ParseUint(h.Get(link.HeaderAttempt), 10, 32)
 	a := attemptRequest{
@@ -108,8 +112,9 @@
 	}
 }
 
-// readBody reads a small body at once, so that the server notices when the client closes the
-// connection.
+// readBody reads a request body of up to maxReadAheadBytes at once, because the server notices
+// that the entry has closed the connection only once the body has been read. A larger body, or one
+// of unknown length, stays unread.
 func readBody(r *http.Request) error {
 	if r.ContentLength < 0 || r.ContentLength > maxReadAheadBytes {
 		return nil
@@ -125,17 +130,20 @@
 	return nil
 }
 
-func (a *Agent) refuse(w http.ResponseWriter, id endpoint.AttemptID, refusal string, outcome problem.Outcome, detail string) {
+// refuse answers an attempt with status 503 (Service Unavailable). code is one of the link.Refusal
+// codes, by which the entry decides what to do, and outcome says whether the attempt was run;
+// detail is for people.
+func (a *Agent) refuse(w http.ResponseWriter, id endpoint.AttemptID, code string, outcome problem.Outcome, detail string) {
 	p := problem.New(http.StatusServiceUnavailable, "", detail)
 	p.Outcome = outcome
 	a.mu.Lock()
 	load := a.load()
 	a.mu.Unlock()
-	w.Header().Set(link.HeaderRefusal, refusal)
+	w.Header().Set(link.HeaderRefusal, code)
 	w.Header().Set(link.HeaderLoad, link.FormatLoad(load))
 	p.Write(w)
 	a.log.Info().Str("decision", "refuse-request").Str("request-id", id.Request).Uint32("attempt", id.Attempt).
-		Str("reason", refusal).Str("outcome", string(outcome)).Msg("")
+		Str("reason", code).Str("outcome", string(outcome)).Msg("")
 }
 
 // run waits for a slot and runs the attempt.
@@ -158,6 +166,7 @@
 	a.forwardResponse(w, att, resp, time.Since(began))
 }
 
+// forwardToRunner sends a caller's request to the runner and returns the runner's response.
 func (a *Agent) forwardToRunner(ctx context.Context, r *http.Request) (*http.Response, error) {
 	path := strings.TrimPrefix(r.URL.Path, link.PathRequests+r.PathValue("service"))
 	out, err := http.NewRequestWithContext(ctx, r.Method, a.settings.RunnerURL+path, r.Body)
@@ -174,15 +183,15 @@
 	return a.runner.RoundTrip(out)
 }
 
-// forwardResponse sends the runner's response to the entry and keeps it if it is small. If the
-// entry closes the connection, a small response is still read completely, for the next request
-// for it.
+// forwardResponse sends the runner's response to the entry and keeps the response if it is small.
+// A small response is read completely even if the entry closes the connection, so that it can be
+// sent when the entry resends the attempt. took is the runner's service time.
 func (a *Agent) forwardResponse(w http.ResponseWriter, att *activeAttempt, resp *http.Response, took time.Duration) {
 	header := resp.Header.Clone()
 	header.Set(link.HeaderServiceTime, strconv.FormatInt(took.Microseconds(), 10))
 	a.writeHeader(w, att.id, resp.StatusCode, header)
 	buffer := &responseBuffer{client: w}
-	if err := buffer.readFrom(resp); err != nil {
+	if err := buffer.copyBody(resp); err != nil {
 		a.finishRun(att, endpoint.AttemptDone, nil)
 		panic(http.ErrAbortHandler) // the entry must notice that the body is truncated
 	}
@@ -193,6 +202,8 @@
 	}
 }
 
+// writeHeader sends the header of a response to an attempt that has run. The load that it carries
+// no longer counts this attempt.
 func (a *Agent) writeHeader(w http.ResponseWriter, id endpoint.AttemptID, status int, header http.Header) {
 	a.mu.Lock()
 	load := a.load()
@@ -206,8 +217,8 @@
 	w.WriteHeader(status)
 }
 
-// refuseFailedRun responds with what is known of an attempt that the runner did not answer. It
-// was not run only if the connection could not be opened.
+// refuseFailedRun refuses an attempt that the runner did not answer. The attempt was certainly not
+// run only if the connection to the runner could not be opened.
 func (a *Agent) refuseFailedRun(w http.ResponseWriter, att *activeAttempt, err error) {
 	var op *net.OpError
 	state, outcome := endpoint.AttemptUnknown, problem.Unknown
@@ -219,7 +230,7 @@
 	a.refuse(w, att.id, link.RefusalRunner, outcome, "the runner did not answer")
 }
 
-// attach waits for the end of a running attempt and responds with its response.
+// attach waits for the end of an attempt that is running already and responds with its response.
 func (a *Agent) attach(w http.ResponseWriter, r *http.Request, att *activeAttempt) {
 	a.log.Info().Str("decision", "attach-request").Str("request-id", att.id.Request).Msg("")
 	att.waiters.Add(1)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -178,6 +178,8 @@
 	b.want("runs", b.runs.Load(), 1)
 }
 
+// TestFencedAttemptDoesNotRun checks that an attempt that arrives after a query for its state, or is
+// meant for an earlier process of the agent, is not run.
 func TestFencedAttemptDoesNotRun(t *testing.T) {
 	b := newAgentFixture(t)
 	close(b.release)
@@ -187,6 +189,8 @@
 	b.want("runs", b.runs.Load(), 0)
 }
 
+// TestCeilingsHold checks that the endpoint runs no more requests at once than it has slots, and
+// admits no more than its maximum of connections.
 func TestCeilingsHold(t *testing.T) {
 	b := newAgentFixture(t)
 	replies := make(chan reply, testConnections+1)
@@ -206,6 +210,8 @@
 	}
 }
 
+// TestCancelWhereSafe checks that a query with Cancel ends an attempt that waits for a slot or is
+// repeatable, and leaves running one that must not be repeated.
 func TestCancelWhereSafe(t *testing.T) {
 	b := newAgentFixture(t)
 	var group sync.WaitGroup
@@ -231,6 +237,7 @@
 	b.want("state in the end", b.queryState("requestnever", false), "run")
 }
 
+// TestDrainingAgentRefuses checks that a draining agent refuses attempts without running them.
 func TestDrainingAgentRefuses(t *testing.T) {
 	b := newAgentFixture(t)
 	close(b.release)
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -9,7 +9,7 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// leaseListing converts the worker's listing of tasks.
+// leaseListing converts the worker's listing of tasks to the form that the lease holder takes.
 func leaseListing(l *services.TaskList) *lease.Listing {
 	out := &lease.Listing{
 		Incarnation: l.Incarnation,
@@ -40,8 +40,8 @@
 	}
 }
 
-// applyReplies applies the log readings in the entries' replies and takes the actions that
-// result.
+// applyReplies applies the log readings in the entries' replies to the lease holder and carries
+// out the actions on tasks that the holder then requires.
 func (a *Agent) applyReplies(ctx context.Context, replies []entryReply) {
 	a.mu.Lock()
 	draining := a.draining
@@ -54,8 +54,8 @@
 	a.runActions(ctx, a.holder.Actions())
 }
 
-// runActions calls the worker for each action. A call that fails is repeated in the next
-// round, unless the listing then shows that it took effect.
+// runActions calls the worker for each action. A call that fails is repeated in the next round,
+// unless the listing of that round shows that the call took effect.
 func (a *Agent) runActions(ctx context.Context, actions []lease.Action) {
 	var renewals []services.LeaseRenewal
 	for _, c := range actions {
