--- a/internal/services/log.go
+++ b/internal/services/log.go
@@ -17,7 +17,8 @@
 	"savoryhoist.example/savoryhoist/pkg/record"
 )
 
-// LogPage is the JSON response to a read.
+// LogPage is the JSON response to a read. FirstOffset is the first offset that the
+// stream retains, NextOffset that of the next append.
 type LogPage struct {
 	FirstOffset uint64     `json:"first"`
 	NextOffset  uint64     `json:"next"`
@@ -38,19 +39,21 @@
 // RecordsPath returns the URL path of a stream's records at the log service.
 func RecordsPath(stream string) string { return "/streams/" + url.PathEscape(stream) + "/records" }
 
-// NewLog returns a client of the log service at the base URL.
-func NewLog(client *http.Client, base string) record.Log {
-	l := logClient{client: client, base: base}
+// NewLog returns a client of the log service at baseURL.
+func NewLog(client *http.Client, baseURL string) record.Log {
+	l := logClient{client: client, baseURL: baseURL}
 	return record.Log{Append: l.append, Read: l.read}
 }
 
 type logClient struct {
-	client *http.Client
-	base   string
+	client  *http.Client
+	baseURL string
 }
 
+// append appends one batch to a stream and returns the batch's offset. See record.Log for the
+// marks of its errors.
 func (l *logClient) append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.base+RecordsPath(stream), bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.baseURL+RecordsPath(stream), bytes.NewReader(data))
 	if err != nil {
 		return 0, err
 	}
@@ -73,9 +76,11 @@
 	return out.Offset, nil
 }
 
-func (l *logClient) read(ctx context.Context, stream string, from uint64, wait time.Duration) (record.Page, error) {
-	q := url.Values{"from": {strconv.FormatUint(from, 10)}, "wait": {wait.String()}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.base+RecordsPath(stream)+"?"+q.Encode(), nil)
+// read returns batches of a stream from an offset on. At the end of the stream the service waits
+// up to maxWait for a batch.
+func (l *logClient) read(ctx context.Context, stream string, offset uint64, maxWait time.Duration) (record.Page, error) {
+	q := url.Values{"from": {strconv.FormatUint(offset, 10)}, "wait": {maxWait.String()}}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.baseURL+RecordsPath(stream)+"?"+q.Encode(), nil)
 	if err != nil {
 		return record.Page{}, err
 	}
@@ -94,7 +99,7 @@
 	}
 	page := record.Page{FirstOffset: in.FirstOffset, NextOffset: in.NextOffset}
 	if resp.StatusCode == http.StatusGone {
-		return page, errors.Wrapf(record.ErrExpired, "stream %s: offset %d is before the first retained offset %d", stream, from, in.FirstOffset)
+		return page, errors.Wrapf(record.ErrExpired, "stream %s: offset %d is before the first retained offset %d", stream, offset, in.FirstOffset)
 	}
 	for _, b := range in.Batches {
 		page.Batches = append(page.Batches, record.RawBatch{Offset: b.Offset, Data: b.Data})
@@ -102,7 +107,7 @@
 	return page, nil
 }
 
-// maxDiscardBytes is the most that is read from the unused rest of a response.
+// maxDiscardBytes is the most bytes that are read of the unused rest of a response.
 const maxDiscardBytes = 64 << 10
 
 // discardRest reads the rest of a short response body, so that the connection
--- a/internal/services/pacer.go
+++ b/internal/services/pacer.go
@@ -5,13 +5,13 @@
 // appendBurst is the number of appends that may go without delay after an idle period.
 const appendBurst = 4
 
-// appendPacer limits the rate of appends. After an idle period it lets a burst
-// go without delay. Under load, appends are interval apart on average and each
-// carries more records.
+// appendPacer limits the rate of appends. After an idle period it allows
+// appendBurst appends without delay. Under load, appends are interval apart on
+// average and each carries more records.
 type appendPacer struct {
 	interval time.Duration
-	// nextDue is when the next append would be due without the burst allowance:
-	// the theoretical arrival time of the generic cell rate algorithm (GCRA).
+	// nextDue is when the next append would be due if no burst were allowed: the
+	// theoretical arrival time of the generic cell rate algorithm (GCRA).
 	nextDue time.Time
 }
 
--- a/internal/services/queue.go
+++ b/internal/services/queue.go
@@ -12,8 +12,8 @@
 const (
 	maxQueuedRecords = 16384
 	maxQueuedBytes   = 8 << 20
-	// maxBatchRecords and maxBatchBytes limit a batch of several groups. A
-	// single group that is larger makes up a batch of its own.
+	// maxBatchRecords and maxBatchBytes limit a batch of several groups. A group
+	// that is larger than these limits makes up a batch of its own.
 	maxBatchRecords = 2048
 	maxBatchBytes   = 1 << 20
 )
@@ -34,6 +34,7 @@
 	done chan error
 }
 
+// newGroup returns a group of the encoded messages.
 func newGroup(messages []record.Message) (*group, error) {
 	g := &group{records: make([]record.EncodedRecord, len(messages)), done: make(chan error, 1)}
 	for i, m := range messages {
@@ -48,17 +49,18 @@
 
 // queue holds the groups that wait for an append. The zero value is an empty queue.
 type queue struct {
-	mu      sync.Mutex
-	groups  []*group
-	records int
-	bytes   int
+	mu     sync.Mutex
+	groups []*group
+	// queuedRecords and queuedBytes are the number and the size of the records in groups.
+	queuedRecords int
+	queuedBytes   int
 }
 
 // add appends all groups to the queue, or none of them if they do not fit.
 func (q *queue) add(groups ...*group) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	records, bytes := q.records, q.bytes
+	records, bytes := q.queuedRecords, q.queuedBytes
 	for _, g := range groups {
 		records += len(g.records)
 		bytes += g.sizeBytes
@@ -67,7 +69,7 @@
 		return ErrBackpressure
 	}
 	q.groups = append(q.groups, groups...)
-	q.records, q.bytes = records, bytes
+	q.queuedRecords, q.queuedBytes = records, bytes
 	return nil
 }
 
@@ -78,8 +80,8 @@
 	for i, have := range q.groups {
 		if have == g {
 			q.groups = append(q.groups[:i:i], q.groups[i+1:]...)
-			q.records -= len(g.records)
-			q.bytes -= g.sizeBytes
+			q.queuedRecords -= len(g.records)
+			q.queuedBytes -= g.sizeBytes
 			return true
 		}
 	}
@@ -103,8 +105,8 @@
 	}
 	groups = q.groups[:n:n]
 	q.groups = q.groups[n:]
-	q.records -= len(records)
-	q.bytes -= size
+	q.queuedRecords -= len(records)
+	q.queuedBytes -= size
 	return groups, records
 }
 
@@ -112,5 +114,5 @@
 func (q *queue) recordCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.records
+	return q.queuedRecords
 }
--- a/internal/services/tail.go
+++ b/internal/services/tail.go
@@ -21,20 +21,21 @@
 	StartOffset func(ctx context.Context) (uint64, error)
 	// MaxWait is how long a read at the end of the stream waits for a new record.
 	MaxWait time.Duration
-	// Deliver is called after each read with its records, the offset of the
-	// next batch to read, and when the read began. The time is zero if the
-	// read did not reach the end of the stream: such a read does not show that
-	// the log held nothing newer when it began.
+	// Deliver is called after each read with the records read, the offset of the
+	// next batch to read, and the time at which the read began. The time is zero
+	// if the read did not reach the end of the stream, because such a read does
+	// not show that the log held nothing newer at that time.
 	Deliver func(records []record.Record, next uint64, began time.Time)
-	// OnSkipped is called for each batch that cannot be decoded, in whole or in
-	// part, with the number of records skipped in it.
+	// OnSkipped is called for each batch that cannot be decoded in whole or in
+	// part, with the batch's offset and the number of records skipped in it. err
+	// is set if the whole batch cannot be decoded; count is then 0.
 	OnSkipped func(offset uint64, count int, err error)
 	// OnBounds, if set, is called after each read with the first retained offset
 	// and the offset of the next append.
 	OnBounds func(first, next uint64)
 	// OnExpired is called when the log no longer retains the next offset to read.
-	// It returns the offset to continue at, which is raised to the first
-	// retained offset if it lies before it.
+	// It returns the offset to continue at; an offset before the first retained
+	// one is raised to that one.
 	OnExpired func(ctx context.Context, page record.Page) uint64
 }
 
@@ -62,6 +63,8 @@
 	}
 }
 
+// startOffset returns the offset to start at: that of StartOffset, which is retried until it
+// succeeds, or 0 if StartOffset is nil or ctx ends.
 func (t *Tail) startOffset(ctx context.Context) uint64 {
 	backoff := minRetryDelay
 	for t.StartOffset != nil && ctx.Err() == nil {
@@ -75,7 +78,8 @@
 	return 0
 }
 
-// deliver passes the records of a page to Deliver and returns the next offset to read.
+// deliver passes the records of a page to Deliver and returns the next offset to read. next is the
+// offset that the page was read from, began is when that read began.
 func (t *Tail) deliver(page record.Page, next uint64, began time.Time) uint64 {
 	records := t.decode(page.Batches)
 	if n := len(page.Batches); n > 0 {
@@ -88,12 +92,14 @@
 	return next
 }
 
-func (t *Tail) read(ctx context.Context, from uint64) (record.Page, error) {
+// read reads the stream once, from an offset on.
+func (t *Tail) read(ctx context.Context, offset uint64) (record.Page, error) {
 	call, cancel := context.WithTimeout(ctx, t.MaxWait+logCallTimeout)
 	defer cancel()
-	return t.Log.Read(call, t.Stream, from, t.MaxWait)
+	return t.Log.Read(call, t.Stream, offset, t.MaxWait)
 }
 
+// decode returns the records of batches and reports undecodable ones to OnSkipped.
 func (t *Tail) decode(batches []record.RawBatch) []record.Record {
 	var out []record.Record
 	for _, b := range batches {
--- a/internal/services/worker.go
+++ b/internal/services/worker.go
@@ -66,8 +66,8 @@
 	Detail        string `json:"detail,omitempty"`
 	// LeaseEndMS is when the lease ends on the worker's clock, in milliseconds.
 	LeaseEndMS int64 `json:"until-ms"`
-	// TakeoverMS is the task's takeover time. The worker stores it for agents
-	// that have restarted.
+	// TakeoverMS is the task's takeover time in milliseconds. The worker stores it
+	// for an agent that has restarted.
 	TakeoverMS int64  `json:"takeover-ms"`
 	Class      string `json:"class,omitempty"`
 }
@@ -90,7 +90,7 @@
 	LeaseEndMS int64 `json:"until-ms"`
 }
 
-// Usage is the measured resource use of a worker. The measurement lags behind.
+// Usage is the measured resource use of a worker. The measurement lags behind the actual use.
 type Usage struct {
 	Used worker.Resources `json:"used"`
 	// Tasks holds the use of each task by its key.
@@ -113,13 +113,13 @@
 	Stop func(ctx context.Context, key string) error
 	// Remove removes an ended task from the list.
 	Remove func(ctx context.Context, key string) error
-	// Usage returns the measured resource use, which lags behind.
+	// Usage returns the measured resource use; the measurement lags behind the actual use.
 	Usage func(ctx context.Context) (Usage, error)
 }
 
-// NewWorker returns a client of the worker at the base URL.
-func NewWorker(client *http.Client, base string) Worker {
-	c := workerClient{client: client, base: base}
+// NewWorker returns a client of the worker at baseURL.
+func NewWorker(client *http.Client, baseURL string) Worker {
+	c := workerClient{client: client, baseURL: baseURL}
 	return Worker{
 		List: func(ctx context.Context) (out TaskList, err error) {
 			return out, c.call(ctx, http.MethodGet, "/tasks", nil, &out)
@@ -150,15 +150,19 @@
 	}
 }
 
+// taskPath returns the URL path of an action on a task.
 func taskPath(key, action string) string { return "/tasks/" + url.PathEscape(key) + action }
 
+// workerTimeout bounds one call to the worker.
 const workerTimeout = 2 * time.Second
 
 type workerClient struct {
-	client *http.Client
-	base   string
+	client  *http.Client
+	baseURL string
 }
 
+// call sends in as JSON to a path of the worker and decodes the JSON response into out, if out is
+// not nil.
 func (c *workerClient) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, workerTimeout)
 	defer cancel()
@@ -166,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -24,28 +24,32 @@
 // Writer appends records to one stream, one batch at a time. Records that
 // arrive during an append share the next batch. After an append with unknown
 // outcome, such as a lost response, the writer searches the stream for its
-// batch and appends the batch again only if it is not there. The copy has the
-// same writer name and sequence numbers, so that readers drop the duplicate if
-// the first append takes effect late.
+// batch and appends the batch again only if the stream does not contain it. The
+// second copy has the same writer name and sequence numbers, so that readers
+// drop the duplicate if the first append takes effect late.
 type Writer struct {
 	log    record.Log
 	stream string
 	name   string
+	// wakeup tells Run that groups were queued.
 	wakeup chan struct{}
 	queue  queue
 
+	// mu guards pacer.
 	mu    sync.Mutex
 	pacer appendPacer
 
-	// The fields below are used by the goroutine of Run only.
+	// seq, searchFrom and searchFromKnown are used by the goroutine of Run only.
 
-	// seq is the sequence number of the newest record in a batch.
+	// seq is the sequence number of the newest record that was put into a batch.
 	seq uint64
 	// searchFrom is where the search for a batch with unknown outcome starts: no
 	// such batch of this writer lies before it.
 	searchFrom      uint64
 	searchFromKnown bool
 
+	// The counters below are described at the methods that return them.
+
 	appends  atomic.Uint64
 	resolved atomic.Uint64
 	retries  atomic.Uint64
@@ -58,17 +62,17 @@
 	return &Writer{log: log, stream: stream, name: name, pacer: appendPacer{interval: interval}, wakeup: make(chan struct{}, 1)}
 }
 
-// SetInterval changes the average time between two appends under load.
+// SetInterval sets the average time between two appends under load.
 func (w *Writer) SetInterval(interval time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pacer.interval = interval
 }
 
-// Append writes messages to the stream in one batch and waits until they are in
-// the log. If ctx ends before their append has begun, the messages are removed
-// from the queue and the error is marked record.ErrUnavailable: they have not
-// been and will not be written. If ctx ends later, the error is marked
+// Append writes messages to the stream in one batch and waits until the log has
+// them. If ctx ends before their append has begun, the messages are removed
+// from the queue and the error is marked record.ErrUnavailable: the messages
+// have not been written and will not be. If ctx ends later, the error is marked
 // record.ErrOutcomeUnknown and the writer continues until the batch is in the log
 // or Run returns.
 func (w *Writer) Append(ctx context.Context, messages ...record.Message) error {
@@ -96,8 +100,8 @@
 	return errors.Mark(errors.Wrap(ctx.Err(), "append in progress"), record.ErrOutcomeUnknown)
 }
 
-// Enqueue queues messages without waiting for the log. Their order is kept, but
-// they may be split over several batches.
+// Enqueue queues messages without waiting for the log. The messages keep their
+// order, but may be split over several batches.
 func (w *Writer) Enqueue(messages ...record.Message) error {
 	groups := make([]*group, len(messages))
 	for i, m := range messages {
@@ -133,15 +137,16 @@
 // Queued returns the number of records that wait for an append.
 func (w *Writer) Queued() int { return w.queue.recordCount() }
 
-// Run appends queued records until ctx ends. It then spends at most flush on the
-// rest and fails the records that are still queued.
-func (w *Writer) Run(ctx context.Context, flush time.Duration) {
+// Run appends queued records until ctx ends. It then goes on for at most
+// flushTimeout to append the rest, and ends the calls of Append whose records are
+// still queued with an error.
+func (w *Writer) Run(ctx context.Context, flushTimeout time.Duration) {
 	for {
 		select {
 		case <-w.wakeup:
 			w.appendQueued(ctx)
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), flush)
+			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 			w.appendQueued(last)
 			cancel()
 			w.failQueued()
@@ -150,8 +155,8 @@
 	}
 }
 
-// failQueued reports to the callers of all queued groups that their records were
-// not written.
+// failQueued empties the queue and tells the callers of all queued groups that
+// their records were not written.
 func (w *Writer) failQueued() {
 	for {
 		groups, _ := w.queue.takeBatch()
@@ -162,6 +167,8 @@
 	}
 }
 
+// appendQueued appends the queued records in batches, at the rate that pacer allows,
+// until the queue is empty or ctx ends.
 func (w *Writer) appendQueued(ctx context.Context) {
 	for ctx.Err() == nil && w.queue.recordCount() > 0 {
 		w.mu.Lock()
@@ -175,21 +182,23 @@
 		if len(groups) == 0 {
 			return
 		}
-		first := w.seq + 1
+		firstSeq := w.seq + 1
 		w.seq += uint64(len(records))
-		notifyCallers(groups, w.appendBatch(ctx, records, first))
+		notifyCallers(groups, w.appendBatch(ctx, records, firstSeq))
 	}
 }
 
+// notifyCallers passes the result of an append to the callers of its groups.
 func notifyCallers(groups []*group, err error) {
 	for _, g := range groups {
 		g.done <- err
 	}
 }
 
-// appendBatch retries until the log has the batch or ctx ends.
-func (w *Writer) appendBatch(ctx context.Context, records []record.EncodedRecord, first uint64) error {
-	data, err := record.EncodeBatch(w.name, first, records)
+// appendBatch appends records as one batch, and retries until the log has the
+// batch or ctx ends. firstSeq is the sequence number of the first record.
+func (w *Writer) appendBatch(ctx context.Context, records []record.EncodedRecord, firstSeq uint64) error {
+	data, err := record.EncodeBatch(w.name, firstSeq, records)
 	if err != nil {
 		return err
 	}
@@ -211,7 +220,7 @@
 			if !unknown {
 				break
 			}
-			found, findErr := w.findBatch(ctx, first)
+			found, findErr := w.findBatch(ctx, firstSeq)
 			if found {
 				w.resolved.Add(1)
 				w.appends.Add(1)
@@ -225,8 +234,9 @@
 	}
 }
 
-// abandonedError returns the error for a batch that is no longer retried. It is
-// marked record.ErrOutcomeUnknown if the batch may be in the log.
+// abandonedError returns the error for a batch that is no longer retried; err is
+// the error of its last append. If unknown is set, the batch may be in the log and
+// the returned error is marked record.ErrOutcomeUnknown.
 func abandonedError(err error, unknown bool) error {
 	if unknown {
 		return errors.Wrapf(record.ErrOutcomeUnknown, "append no longer retried: %v", err)
@@ -234,14 +244,16 @@
 	return errors.Wrap(err, "append")
 }
 
+// appendOnce makes one attempt to append data, an encoded batch, and returns the batch's offset in
+// the stream.
 func (w *Writer) appendOnce(ctx context.Context, data []byte) (uint64, error) {
 	call, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
 	return w.log.Append(call, w.stream, data)
 }
 
-// initSearchFrom sets searchFrom to the end of the stream if it is not known yet,
-// so that a later search need not read the stream from its start.
+// initSearchFrom sets searchFrom to the end of the stream if searchFrom is not
+// known yet, so that a later search need not read the stream from its start.
 func (w *Writer) initSearchFrom(ctx context.Context) {
 	if w.searchFromKnown {
 		return
@@ -252,31 +264,31 @@
 }
 
 // findBatch searches the stream from searchFrom to its end for the writer's batch
-// that begins with sequence number first. An error means that the end of the
-// stream was not reached.
-func (w *Writer) findBatch(ctx context.Context, first uint64) (bool, error) {
-	from := w.searchFrom
+// that begins with sequence number firstSeq. An error means that the search did
+// not reach the end of the stream.
+func (w *Writer) findBatch(ctx context.Context, firstSeq uint64) (bool, error) {
+	next := w.searchFrom
 	for {
 		call, cancel := context.WithTimeout(ctx, logCallTimeout)
-		page, err := w.log.Read(call, w.stream, from, 0)
+		page, err := w.log.Read(call, w.stream, next, 0)
 		cancel()
-		if errors.Is(err, record.ErrExpired) && page.FirstOffset > from {
-			from = page.FirstOffset
+		if errors.Is(err, record.ErrExpired) && page.FirstOffset > next {
+			next = page.FirstOffset
 			continue
 		}
 		if err != nil {
 			return false, err
 		}
 		for _, b := range page.Batches {
-			from = b.Offset + 1
+			next = b.Offset + 1
 			writer, seq, err := record.BatchHeader(b.Data)
-			if err == nil && writer == w.name && seq == first {
-				w.searchFrom, w.searchFromKnown = from, true
+			if err == nil && writer == w.name && seq == firstSeq {
+				w.searchFrom, w.searchFromKnown = next, true
 				return true, nil
 			}
 		}
-		if from >= page.NextOffset || len(page.Batches) == 0 {
-			w.searchFrom, w.searchFromKnown = from, true
+		if next >= page.NextOffset || len(page.Batches) == 0 {
+			w.searchFrom, w.searchFromKnown = next, true
 			return false, nil
 		}
 	}
--- a/internal/services/writer_test.go
+++ b/internal/services/writer_test.go
@@ -20,7 +20,8 @@
 	mu      sync.Mutex
 	first   uint64
 	batches [][]byte
-	// script holds the fault of each append; see append.
+	// script holds the fault of each append, in order; an empty one is none. The faults are
+	// those that append implements.
 	script []string
 	// failedReads is how many reads fail once the stream has a batch.
 	failedReads int
@@ -35,7 +36,8 @@
 
 const maxFaultyLogPage = 100
 
-func (l *faultyLog) port() record.Log { return record.Log{Append: l.append, Read: l.read} }
+// client returns the log's client for a writer.
+func (l *faultyLog) client() record.Log { return record.Log{Append: l.append, Read: l.read} }
 
 func (l *faultyLog) append(_ context.Context, _ string, data []byte) (uint64, error) {
 	l.mu.Lock()
@@ -148,7 +150,7 @@
 func runWriterCase(t *testing.T, c *writerCase) {
 	t.Helper()
 	log := &faultyLog{script: c.Appends, failedReads: c.FailedReads, expireAll: c.Expire, otherBatches: c.Others}
-	w := NewWriter(log.port(), "jobs", "writer@1", 20*time.Millisecond)
+	w := NewWriter(log.client(), "jobs", "writer@1", 20*time.Millisecond)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group sync.WaitGroup
 	group.Go(func() { w.Run(ctx, time.Second) })
@@ -178,12 +180,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		hang := make(chan struct{})
 		log := &faultyLog{}
-		port := log.port()
-		port.Append = func(ctx context.Context, stream string, data []byte) (uint64, error) {
+		client := log.client()
+		client.Append = func(ctx context.Context, stream string, data []byte) (uint64, error) {
 			<-hang
 			return log.append(ctx, stream, data)
 		}
-		w := NewWriter(port, "jobs", "writer@1", 0)
+		w := NewWriter(client, "jobs", "writer@1", 0)
 		run, stop := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() { w.Run(run, time.Second) })
