--- a/internal/link/certificate.go
+++ b/internal/link/certificate.go
@@ -23,14 +23,14 @@
 
 // Errors returned when certificates are read or checked.
 var (
-	// ErrCertificate means that a certificate or key could not be read.
+	// ErrCertificate means that a certificate, key or authority could not be parsed.
 	ErrCertificate = errors.New("the certificate is not valid")
 	// ErrPeerRejected means that a peer has no certificate, or one that is not valid or
 	// names a role that is not accepted.
 	ErrPeerRejected = errors.New("the peer's certificate is not accepted")
 )
 
-// Role is the role of a process.
+// Role is the role of a process in the system.
 type Role string
 
 // The roles of processes.
@@ -39,7 +39,7 @@
 	RoleAgent Role = "agent"
 )
 
-// Peer is the identity in a certificate.
+// Peer is the identity of a process, as its certificate names it.
 type Peer struct {
 	role       Role
 	dataCentre string
@@ -63,13 +63,14 @@
 // String returns the form role/data-centre/name.
 func (p Peer) String() string { return string(p.role) + "/" + p.dataCentre + "/" + p.name }
 
+// uriScheme is the scheme of the URI in a certificate that names the process.
 const uriScheme = "savoryhoist"
 
 func (p Peer) uri() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: p.dataCentre, Path: "/" + string(p.role) + "/" + p.name}
 }
 
-// PeerOf returns the identity in a certificate's URI.
+// PeerOf returns the identity that a certificate's savoryhoist URI names.
 func PeerOf(c *x509.Certificate) (Peer, error) {
 	for _, u := range c.URIs {
 		role, name, ok := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
@@ -80,14 +81,15 @@
 	return Peer{}, errors.Wrap(ErrPeerRejected, "no savoryhoist URI in the certificate")
 }
 
-// Identity holds a process's certificate and the certificate authorities that it
-// trusts. They can be replaced while in use.
+// Identity holds a process's certificate and the certificate authorities that the
+// process trusts. Load can replace them while they are in use.
 type Identity struct {
 	state     atomic.Pointer[identityState]
 	onRefused atomic.Pointer[func(error)]
 }
 
-// OnRefused sets the function that is called with the reason when a peer is refused.
+// OnRefused sets the function that is called with the reason when this process
+// refuses a peer.
 func (i *Identity) OnRefused(fn func(error)) { i.onRefused.Store(&fn) }
 
 type identityState struct {
@@ -96,9 +98,9 @@
 	peer        Peer
 }
 
-// Load parses a certificate, its key and the authorities in PEM and puts them in
-// use. On an error the previous ones stay in use. A certificate of another role,
-// data centre or name than the one in use is refused.
+// Load parses a certificate, its key and the authorities in PEM and puts all three
+// in use. On an error the previous ones stay in use. A certificate of another
+// role, data centre or name than the one in use is an error.
 func (i *Identity) Load(certificate, key, authorities []byte) error {
 	pair, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
@@ -133,7 +135,8 @@
 	return os.ReadFile(s)
 }
 
-// verify checks a peer and reports a refusal to the function that OnRefused set.
+// verify checks a peer as check does, and passes the reason of a refusal to the
+// function that OnRefused has set.
 func (i *Identity) verify(cs tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	err := i.check(cs, usage, roles)
 	if fn := i.onRefused.Load(); err != nil && fn != nil {
@@ -143,7 +146,7 @@
 }
 
 // check verifies a peer's certificate chain against the authorities in use, and
-// checks its role.
+// checks that the peer has one of roles.
 func (i *Identity) check(cs tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	if len(cs.PeerCertificates) == 0 {
 		return errors.Wrap(ErrPeerRejected, "no certificate")
@@ -171,6 +174,8 @@
 	return errors.Wrapf(ErrPeerRejected, "%s: role %q is not accepted on this connection", peer, peer.role)
 }
 
+// serverTLS returns the configuration of a server that accepts peers with one of roles;
+// protocols are those of ALPN.
 func (i *Identity) serverTLS(protocols []string, roles []Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -185,6 +190,7 @@
 	}
 }
 
+// clientTLS is like serverTLS, for a client.
 func (i *Identity) clientTLS(protocols []string, roles []Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -208,15 +214,15 @@
 }
 
 // NewAuthority returns an authority with a self-signed certificate that is valid
-// from now for the given time.
-func NewAuthority(now time.Time, valid time.Duration) (*Authority, error) {
+// from now for the duration validity.
+func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
 	template := &x509.Certificate{
 		SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: "savoryhoist authority"},
-		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(valid),
+		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(validity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
@@ -227,8 +233,8 @@
 	return &Authority{certificate: certificate, key: key}, err
 }
 
-// maxClockSkew is how far the clocks of peers may be behind the issuer's:
-// certificates are valid from this long before they are issued.
+// maxClockSkew is how far the clocks of peers may be behind the issuer's clock:
+// a certificate is valid from this long before it is issued.
 const maxClockSkew = 5 * time.Minute
 
 // PEM returns the authority's certificate in PEM.
@@ -240,15 +246,16 @@
 	return pemBlock("PRIVATE KEY", der), err
 }
 
-// Issue returns a certificate for peer and its private key, both in PEM.
-func (a *Authority) Issue(now time.Time, valid time.Duration, peer Peer) (certificate, key []byte, err error) {
+// Issue returns a certificate for peer, valid from now for the duration validity,
+// and its private key, both in PEM.
+func (a *Authority) Issue(now time.Time, validity time.Duration, peer Peer) (certificate, key []byte, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
 	template := &x509.Certificate{
 		SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: peer.name},
-		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(valid),
+		NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(validity),
 		URIs: []*url.URL{peer.uri()}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -264,6 +271,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
+// serialBits is the number of random bits in a certificate's serial number.
 const serialBits = 120
 
 func newSerialNumber() *big.Int {
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -16,7 +16,7 @@
 // ErrCall means that a call between processes failed.
 var ErrCall = errors.New("the call to the peer failed")
 
-// maxMessageBytes limits a message between processes.
+// maxMessageBytes is the most bytes of a message between processes.
 const maxMessageBytes = 16 << 20
 
 // maxIdlePerPeer is the most idle TCP connections that are kept open to one peer.
@@ -24,6 +24,8 @@
 
 // Client calls peers, which are entries or agents.
 type Client struct {
+	// control is the transport for messages between processes, quic the same one under its
+	// own type.
 	control  http.RoundTripper
 	pooled   *http.Transport
 	unpooled *http.Transport
@@ -41,9 +43,9 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	fresh := t.Clone()
-	fresh.DisableKeepAlives = true
-	return &Client{control: q, pooled: t, unpooled: fresh, quic: q}
+	unpooled := t.Clone()
+	unpooled.DisableKeepAlives = true
+	return &Client{control: q, pooled: t, unpooled: unpooled, quic: q}
 }
 
 // RequestTransport returns the transport for callers' requests, which uses pooled TCP
@@ -55,7 +57,7 @@
 func (c *Client) UnpooledTransport() http.RoundTripper { return c.unpooled }
 
 // DropIdle closes the idle connections for callers' requests. It is called after
-// there was no response on one of them.
+// no response arrived on such a connection, because the idle ones may be dead too.
 func (c *Client) DropIdle() { c.pooled.CloseIdleConnections() }
 
 // ControlTransport returns the transport for messages between processes, which uses QUIC.
@@ -78,6 +80,7 @@
 	return call(ctx, c.unpooled, address, path, in, out)
 }
 
+// call is Call over the given transport.
 func call(ctx context.Context, transport http.RoundTripper, address, path string, in, out any) error {
 	body, err := cbor.Marshal(in)
 	if err != nil {
@@ -130,12 +133,13 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		// These headers would make up a third of a short reply.
+		// Date and Content-Type are left out: they would make up a third of a short reply.
 		w.Header()["Date"], w.Header()["Content-Type"] = nil, nil
 		_, _ = w.Write(reply)
 	})
 }
 
+// statusOf returns the HTTP status for an error of a handler function.
 func statusOf(err error) int {
 	if errors.Is(err, ErrPeerRejected) {
 		return http.StatusForbidden
--- a/internal/link/compact.go
+++ b/internal/link/compact.go
@@ -9,8 +9,8 @@
 )
 
 // splitHeartbeat splits a heartbeat into the stable part, which seldom changes, and
-// the volatile part, which every heartbeat carries. The digest is that of the
-// stable part and never 0.
+// the volatile part, which every heartbeat carries. digest is the digest of the
+// stable part; it is never 0.
 func splitHeartbeat(h *Heartbeat) (stable, volatile Heartbeat, digest uint64, err error) {
 	stable = *h
 	volatile = Heartbeat{
@@ -40,7 +40,8 @@
 	// ackedDigests holds, by entry, the digest of the stable part that the entry
 	// received last.
 	ackedDigests map[string]uint64
-	// lastEntries holds, by entry, the list of entries that it sent last.
+	// lastEntries holds, by entry, the list of entries in that entry's newest reply that
+	// had one.
 	lastEntries map[string][]string
 }
 
@@ -62,10 +63,11 @@
 	return &volatile, digest, nil
 }
 
-// HandleReply takes in an entry's reply to a heartbeat. If the reply leaves out the list
-// of entries, HandleReply fills in the last one. It reports whether the heartbeat must be
-// sent again as a whole.
-func (s *HeartbeatSender) HandleReply(entry string, digest uint64, reading *HeartbeatReply) (again bool) {
+// HandleReply records an entry's reply to a heartbeat; digest is the one that Compact
+// returned. If the reply leaves out the list of entries, HandleReply sets reply.Entries to
+// the list that the entry sent last. It reports whether the heartbeat must be sent again as
+// a whole.
+func (s *HeartbeatSender) HandleReply(entry string, digest uint64, reply *HeartbeatReply) (resend bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ackedDigests == nil {
@@ -73,20 +75,20 @@
 		s.lastEntries = make(map[string][]string)
 	}
 	delete(s.ackedDigests, entry)
-	if reading.ResendWhole {
+	if reply.ResendWhole {
 		return true
 	}
-	if reading.AcceptsCompact {
+	if reply.AcceptsCompact {
 		s.ackedDigests[entry] = digest
 	}
-	if len(reading.Entries) == 0 {
-		reading.Entries = s.lastEntries[entry]
+	if len(reply.Entries) == 0 {
+		reply.Entries = s.lastEntries[entry]
 	}
-	s.lastEntries[entry] = reading.Entries
+	s.lastEntries[entry] = reply.Entries
 	return false
 }
 
-// Forget drops the state about an entry, after a call to it has failed.
+// Forget drops what is known about an entry, after a call to that entry has failed.
 func (s *HeartbeatSender) Forget(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,10 +99,12 @@
 // HeartbeatReceiver restores shortened heartbeats at an entry from the newest whole
 // heartbeat of each agent. The zero value has received none.
 type HeartbeatReceiver struct {
-	mu         sync.Mutex
+	mu sync.Mutex
+	// heartbeats holds the stable parts by worker.
 	heartbeats map[string]knownHeartbeat
 }
 
+// knownHeartbeat is the stable part of an agent's newest whole heartbeat, and its digest.
 type knownHeartbeat struct {
 	digest uint64
 	stable Heartbeat
@@ -140,8 +144,8 @@
 	}
 }
 
-// EntriesDigest returns a digest of a list of entries, which does not depend on
-// their order. It is 0 for an empty list only.
+// EntriesDigest returns a digest of a list of entries. The digest does not depend
+// on the order of the list and is 0 for an empty list only.
 func EntriesDigest(entries []string) uint64 {
 	if len(entries) == 0 {
 		return 0
--- a/internal/link/compact_test.go
+++ b/internal/link/compact_test.go
@@ -34,7 +34,7 @@
 }
 
 // TestCompactHeartbeats checks that the heartbeat that an entry restores from a
-// shortened one always equals the whole one, also after a restart of the entry.
+// shortened one always equals the whole heartbeat, also after a restart of the entry.
 func TestCompactHeartbeats(t *testing.T) {
 	var s HeartbeatSender
 	r := new(HeartbeatReceiver)
@@ -70,8 +70,9 @@
 	}
 }
 
-// sendHeartbeat sends h to r, again if r asks for it, and returns the heartbeat
-// that r restores.
+// sendHeartbeat sends h to r, and sends it a second time if r asks for the whole
+// heartbeat. It returns the heartbeat that r restores; wantSame says whether the first
+// one sent must leave out the stable part.
 func sendHeartbeat(t *testing.T, s *HeartbeatSender, r *HeartbeatReceiver, h *Heartbeat, wantSame bool) (got *Heartbeat, resent bool) {
 	t.Helper()
 	sent, digest, err := s.Compact("entry", h)
@@ -111,9 +112,9 @@
 	if err != nil || sent.EntriesDigest != EntriesDigest([]string{"b", "a"}) {
 		t.Errorf("second: got entries digest %d, error %v, want that of the list", sent.EntriesDigest, err)
 	}
-	reading := new(HeartbeatReply)
-	s.HandleReply("entry", digest, reading)
-	if !reflect.DeepEqual(reading.Entries, list) {
-		t.Errorf("list left out: got %v, want %v", reading.Entries, list)
+	reply := new(HeartbeatReply)
+	s.HandleReply("entry", digest, reply)
+	if !reflect.DeepEqual(reply.Entries, list) {
+		t.Errorf("list left out: got %v, want %v", reply.Entries, list)
 	}
 }
--- a/internal/link/header.go
+++ b/internal/link/header.go
@@ -9,11 +9,12 @@
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Authorization": true,
 }
 
-// CopyHeader copies the end-to-end headers, except credentials.
-func CopyHeader(to, from http.Header) {
-	for k, v := range from {
+// CopyHeader copies the headers of src to dst, except those that concern one
+// connection only and Authorization.
+func CopyHeader(dst, src http.Header) {
+	for k, v := range src {
 		if !hopByHop[k] {
-			to[k] = v
+			dst[k] = v
 		}
 	}
 }
--- a/internal/link/identity_test.go
+++ b/internal/link/identity_test.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
+// echo is the message and the reply of the test's handler.
 type echo struct {
 	Text string `cbor:"1,keyasint"`
 }
@@ -71,9 +72,9 @@
 	return out.Text, err
 }
 
-// TestPeersRefused checks which certificates the server accepts and that it
-// reports each connection that it refuses. The client may dial a second time
-// when the server closes the first connection before the request was sent.
+// TestPeersRefused checks which certificates the server accepts, and that the
+// server calls OnRefused for each connection that it refuses. The client may dial a
+// second time when the server closes the first connection before the request was sent.
 func TestPeersRefused(t *testing.T) {
 	now := time.Now()
 	a := testAuthority(t)
--- a/internal/link/load.go
+++ b/internal/link/load.go
@@ -21,14 +21,14 @@
 	return string(b)
 }
 
-// ParseLoad parses a value that FormatLoad returned, and reports whether it is valid.
+// ParseLoad parses a value that FormatLoad returned, and reports whether text is such a value.
 func ParseLoad(text string) (endpoint.Load, bool) {
 	inFlight, rest, _ := strings.Cut(text, " ")
 	long, reserved, _ := strings.Cut(rest, " ")
-	n, err1 := strconv.Atoi(inFlight)
-	l, err2 := strconv.Atoi(long)
-	r, err3 := strconv.Atoi(reserved)
-	return endpoint.Load{InFlight: n, Long: l, Reserved: r}, err1 == nil && err2 == nil && err3 == nil
+	inFlightCount, err1 := strconv.Atoi(inFlight)
+	longCount, err2 := strconv.Atoi(long)
+	reservedCount, err3 := strconv.Atoi(reserved)
+	return endpoint.Load{InFlight: inFlightCount, Long: longCount, Reserved: reservedCount}, err1 == nil && err2 == nil && err3 == nil
 }
 
 // internalHeaders lists the headers that only entries and agents use.
--- a/internal/link/messages.go
+++ b/internal/link/messages.go
@@ -5,7 +5,8 @@
 	"savoryhoist.example/savoryhoist/pkg/worker"
 )
 
-// Paths of the calls between processes.
+// Paths of the calls between processes, each with its message, its reply and the process that
+// serves it.
 const (
 	// PathHeartbeat takes a Heartbeat and returns a HeartbeatReply; at an entry.
 	PathHeartbeat = "/peer/heartbeat"
@@ -34,8 +35,8 @@
 	// HeaderOutcome says whether the request was run; see package problem.
 	HeaderOutcome = "Savoryhoist-Outcome"
 	// HeaderIncarnation is the incarnation of the agent that an attempt is meant
-	// for, HeaderMark the newest mark that the entry has received from it; see
-	// endpoint.DedupTable.
+	// for, HeaderMark the newest mark that the entry has received from that agent;
+	// see endpoint.DedupTable.
 	HeaderIncarnation = "Savoryhoist-Incarnation"
 	HeaderMark        = "Savoryhoist-Mark"
 	// HeaderCallerTeam is the caller's team as authenticated by the entry.
@@ -44,7 +45,7 @@
 	HeaderRefusal = "Savoryhoist-Refusal"
 	// HeaderLoad carries the endpoint's load with each response; see FormatLoad.
 	HeaderLoad = "Savoryhoist-Load"
-	// HeaderServiceTime is the runner's service time, in microseconds.
+	// HeaderServiceTime is how long the runner took for the request, in microseconds.
 	HeaderServiceTime = "Savoryhoist-Took"
 )
 
@@ -52,12 +53,13 @@
 const (
 	// RefusalDraining means that the agent is draining.
 	RefusalDraining = "leaving"
-	// RefusalFull means that the endpoint is fully loaded.
+	// RefusalFull means that the endpoint is fully loaded, or had no free slot in time.
 	RefusalFull = "full"
-	// RefusalRunner means that the runner is missing or did not respond.
+	// RefusalRunner means that the endpoint does not run the service, or that the
+	// runner did not respond.
 	RefusalRunner = "runner"
-	// RefusalAttemptState means that the attempt has already ended or may have run, and
-	// that no response to it is stored.
+	// RefusalAttemptState means that the attempt cannot be run again: it has ended,
+	// or may have run, and its response is not stored.
 	RefusalAttemptState = "fate"
 )
 
@@ -75,7 +77,7 @@
 	Total       worker.Resources `cbor:"10,keyasint"`
 	Free        worker.Resources `cbor:"11,keyasint"`
 	Tasks       []lease.Report   `cbor:"12,keyasint,omitempty"`
-	// Primary asks this entry to record the task reports in the log.
+	// Primary asks the receiver of this heartbeat to record the task reports in the log.
 	Primary bool `cbor:"13,keyasint,omitempty"`
 	// BundleDigest is the digest of the agent's bundle, BundleVersion its version.
 	BundleDigest  string `cbor:"14,keyasint,omitempty"`
@@ -83,7 +85,8 @@
 	// UnchangedDigest, if set, is the digest of the stable part of an earlier heartbeat. That
 	// part has not changed and is left out of this heartbeat; see HeartbeatSender.
 	UnchangedDigest uint64 `cbor:"21,keyasint,omitempty"`
-	// EntriesDigest is the digest of the list of entries that the receiver sent last.
+	// EntriesDigest is the digest of the list of entries that the receiver of this heartbeat
+	// sent last to the agent.
 	EntriesDigest uint64 `cbor:"22,keyasint,omitempty"`
 	// Round is the number of the agent's heartbeat round.
 	Round uint64 `cbor:"18,keyasint"`
@@ -99,7 +102,7 @@
 }
 
 // ClassUse is the resource use of all tasks of one batch class on a worker. The
-// measurement lags behind.
+// measurement lags behind the actual use.
 type ClassUse struct {
 	_     struct{} `cbor:",toarray"`
 	Class string
@@ -112,20 +115,22 @@
 type HeartbeatReply struct {
 	// LogReading is what the entry's newest log read says about the agent's worker.
 	LogReading lease.LogReading `cbor:"1,keyasint"`
-	// BundleDigest is the digest of the bundle in force.
+	// BundleDigest is the digest of the bundle in force at the entry; it is empty if the
+	// agent has that bundle.
 	BundleDigest string `cbor:"5,keyasint,omitempty"`
 	// Entries holds the addresses of the data centre's entries. It is empty if the
 	// heartbeat's EntriesDigest is their digest.
 	Entries []string `cbor:"6,keyasint,omitempty"`
 	// Draining means that the entry is draining and should get no more heartbeats.
 	Draining bool `cbor:"7,keyasint,omitempty"`
-	// BundleVersion is the version of that bundle; 0 if the entry does not report it.
+	// BundleVersion is the version of the bundle in force; 0 if the entry leaves it out.
 	BundleVersion uint64 `cbor:"20,keyasint,omitempty"`
-	// ResendWhole asks for the whole heartbeat; the other fields are then ignored.
+	// ResendWhole asks for the whole heartbeat; the agent then ignores the other fields.
 	ResendWhole bool `cbor:"21,keyasint,omitempty"`
 	// AcceptsCompact means that the entry accepts heartbeats without the stable part.
 	AcceptsCompact bool `cbor:"22,keyasint,omitempty"`
-	// HeartbeatIntervalMS is the shortest time until the next heartbeat, in milliseconds.
+	// HeartbeatIntervalMS is the shortest time that the agent should leave between two
+	// heartbeats, in milliseconds.
 	HeartbeatIntervalMS int64 `cbor:"23,keyasint,omitempty"`
 }
 
@@ -134,13 +139,13 @@
 	Workers []string `cbor:"1,keyasint"`
 }
 
-// LastContactReply holds the workers that the entry had contact with lately. It is
-// empty if the entry has not been able to read the log lately.
+// LastContactReply holds the workers that the entry had contact with recently. It is
+// empty if the entry could not read the log recently.
 type LastContactReply struct {
 	Contacts []WorkerContact `cbor:"1,keyasint,omitempty"`
 }
 
-// WorkerContact is the time since the last contact with a worker.
+// WorkerContact is the time since the last contact with a worker, in milliseconds.
 type WorkerContact struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
@@ -149,13 +154,13 @@
 
 // BundleQuery asks for the bundle in force.
 type BundleQuery struct {
-	// HaveDigest is the digest of the bundle that the sender has. The reply may use that
-	// bundle as a compression dictionary.
+	// HaveDigest is the digest of the bundle that the sender of the query has. The reply
+	// may be compressed with that bundle as dictionary.
 	HaveDigest string `cbor:"1,keyasint,omitempty"`
 }
 
-// BundleReply carries the bundle in force and the proof of it. It is empty if no
-// bundle is in force.
+// BundleReply carries the bundle in force and the proof that it is in force. It is
+// empty if no bundle is in force or the asking process has that bundle already.
 type BundleReply struct {
 	// Signed is the signed bundle.
 	Signed []byte `cbor:"1,keyasint,omitempty"`
@@ -176,8 +181,8 @@
 	Attempt     uint32 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
 	Mark        uint64 `cbor:"4,keyasint,omitempty"`
-	// Cancel also ends the attempt if that is safe: if it is still queued or may
-	// be repeated.
+	// Cancel asks the agent to end the attempt if that is safe: if the attempt is
+	// still queued or may be repeated.
 	Cancel bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -190,7 +195,7 @@
 // JobsQuery asks an entry of another data centre about a team's jobs.
 type JobsQuery struct {
 	Team string `cbor:"1,keyasint"`
-	// ID selects one job; if empty, the query is for all jobs of the team.
+	// ID selects one job; if it is empty, the query is for all jobs of the team.
 	ID string `cbor:"2,keyasint,omitempty"`
 }
 
@@ -198,11 +203,12 @@
 type JobsReply struct {
 	// Views holds the jobs in JSON, in the form that callers get.
 	Views []byte `cbor:"1,keyasint"`
-	// MovedTo is the data centre that continues the job asked for, or "".
+	// MovedTo is the data centre that the job selected by ID was moved to, or "".
 	MovedTo string `cbor:"2,keyasint,omitempty"`
 }
 
-// DataCentreLoadQuery asks an entry of another data centre for the load of the services there.
+// DataCentreLoadQuery asks an entry of another data centre for the load of the services in that
+// data centre.
 type DataCentreLoadQuery struct{}
 
 // DataCentreLoadReply holds the load of the services of a data centre.
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -34,8 +34,9 @@
 type Server struct {
 	tcp  *http.Server
 	quic *http3.Server
-	udp  net.PacketConn
-	ln   net.Listener
+	// udp is the socket of quic, ln the listener of tcp.
+	udp net.PacketConn
+	ln  net.Listener
 }
 
 // Listen binds address, an IP and port, for both transports. Peers must present a
@@ -52,11 +53,11 @@
 	}, nil
 }
 
-// maxBindAttempts is how many ports are tried to find one that is free for both transports.
+// maxBindAttempts is how many ports are tried to find one that is free for TCP and for UDP.
 const maxBindAttempts = 16
 
-// bind binds the same port for TCP and UDP. For port 0, if the port found for TCP
-// is taken for UDP, it tries another one.
+// bind binds the same port for TCP and UDP. If address has port 0 and the port that
+// the system chose for TCP is taken for UDP, bind tries another port.
 func bind(address string) (net.Listener, net.PacketConn, error) {
 	_, port, _ := net.SplitHostPort(address)
 	var config net.ListenConfig
@@ -79,12 +80,13 @@
 // Address returns the IP and port that the server is bound to.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// ServeTCP serves until Shutdown.
+// ServeTCP serves requests over TCP until Shutdown.
 func (s *Server) ServeTCP() error { return ignoreClosed(s.tcp.Serve(s.ln)) }
 
-// ServeQUIC serves until Shutdown.
+// ServeQUIC serves requests over QUIC until Shutdown.
 func (s *Server) ServeQUIC() error { return ignoreClosed(s.quic.Serve(s.udp)) }
 
+// ignoreClosed returns err, or nil if err only says that the server was shut down.
 func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, quic.ErrServerClosed) {
 		return nil
@@ -96,7 +98,8 @@
 // close their QUIC connections.
 const controlCloseTimeout = 2 * time.Second
 
-// Shutdown stops both transports after the requests in flight, or when ctx ends.
+// Shutdown stops both transports when the requests in flight have ended, or when
+// ctx ends.
 // QUIC connections that peers do not close within controlCloseTimeout are closed by
 // the server, which is harmless: control messages are short and are repeated.
 func (s *Server) Shutdown(ctx context.Context) error {
