--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,12 +11,13 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
+// prefix begins the name of every metric that is served.
 const prefix = "savoryhoist_"
 
-// quantiles are the quantiles that are served of each timer.
+// quantiles are the quantiles of each timer that are served.
 var quantiles = []float64{0.5, 0.99, 0.999}
 
-// Handler serves the metrics of registry.
+// Handler returns a handler that serves the metrics of registry.
 func Handler(registry gometrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -26,18 +27,19 @@
 
 // Write writes the metrics of registry, sorted by name.
 func Write(w io.Writer, registry gometrics.Registry) {
-	all := make(map[string]any)
+	metrics := make(map[string]any)
 	names := []string{}
 	registry.Each(func(name string, m any) {
-		all[name] = m
+		metrics[name] = m
 		names = append(names, name)
 	})
 	sort.Strings(names)
 	for _, name := range names {
-		writeMetric(w, prefix+strings.ReplaceAll(name, "-", "_"), all[name])
+		writeMetric(w, prefix+strings.ReplaceAll(name, "-", "_"), metrics[name])
 	}
 }
 
+// writeMetric writes one metric under a name; a timer is written as a summary in seconds.
 func writeMetric(w io.Writer, name string, metric any) {
 	switch m := metric.(type) {
 	case gometrics.Counter:
