--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -1,4 +1,4 @@
-// Package delay waits until a time has passed or a context ends.
+// Package delay waits for a duration that the end of a context cuts short.
 package delay
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits until d has passed or ctx ends, and reports whether d passed first.
+// For waits until d has passed or ctx ends. It returns true if d passed first. If d is not
+// above 0, it returns at once, with true unless ctx has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
