--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -17,11 +17,14 @@
 // ready and returns the ready ones in turn.
 type Balancer struct {
 	client *http.Client
-	urls   []string
+	// urls are the URLs of all entries.
+	urls []string
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ready are the URLs of the entries that were ready at the last check.
 	ready []string
-	next  int
+	// next counts the calls of Pick.
+	next int
 }
 
 // NewBalancer returns a balancer for the entries at urls.
@@ -34,7 +37,7 @@
 	tick := time.NewTicker(readinessCheckInterval)
 	defer tick.Stop()
 	for {
-		b.check(ctx)
+		b.checkReadiness(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -43,15 +46,16 @@
 	}
 }
 
-func (b *Balancer) check(ctx context.Context) {
-	states := make([]bool, len(b.urls))
+// checkReadiness checks the readiness of all entries once, in parallel.
+func (b *Balancer) checkReadiness(ctx context.Context) {
+	isReady := make([]bool, len(b.urls))
 	var group sync.WaitGroup
 	for i, url := range b.urls {
-		group.Go(func() { states[i] = b.isReady(ctx, url) })
+		group.Go(func() { isReady[i] = b.isReady(ctx, url) })
 	}
 	group.Wait()
 	var ready []string
-	for i, ok := range states {
+	for i, ok := range isReady {
 		if ok {
 			ready = append(ready, b.urls[i])
 		}
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -17,13 +17,14 @@
 	variants []string
 	requests []RequestObservation
 	jobs     []JobObservation
-	counts   []standin.Counts
-	// hasCounts reports for each variant whether the counts of its stand-ins are known.
+	// counts holds for each variant the counts of its stand-ins, if hasCounts is true for it.
+	counts    []standin.Counts
 	hasCounts []bool
-	errs      []error
+	// errs are the errors of the load generator itself.
+	errs []error
 }
 
-// collect returns the observations of the run and the counts of the stand-ins.
+// collect returns the observations of the run, with the counts of the stand-ins.
 func (r *Run) collect(ctx context.Context) (*Observations, error) {
 	s := &Observations{plan: r.settings.Plan, seed: r.settings.Seed}
 	for _, v := range r.settings.Variants {
@@ -62,6 +63,7 @@
 	return append(out, s.checkOutcomeShares()...)
 }
 
+// checkRequest returns a description of every guarantee that was violated for one request.
 func (s *Observations) checkRequest(q *RequestObservation) []string {
 	var out []string
 	violated := func(format string, args ...any) { out = append(out, q.id+": "+fmt.Sprintf(format, args...)) }
@@ -90,6 +92,7 @@
 	return out
 }
 
+// checkJob returns a description of every guarantee that was violated for one job.
 func (s *Observations) checkJob(j *JobObservation) []string {
 	violated := func(format string, args ...any) []string {
 		return []string{fmt.Sprintf("job %s (%s): ", j.key, j.id) + fmt.Sprintf(format, args...)}
@@ -127,7 +130,8 @@
 	return out
 }
 
-// checkConcurrentRuns finds tasks of which two runs made progress at the same time.
+// checkConcurrentRuns returns a description of every task of which two runs made progress at the
+// same time.
 func checkConcurrentRuns(tasks map[string][]standin.Run) []string {
 	var out []string
 	for task, runs := range tasks {
@@ -153,8 +157,8 @@
 	return out
 }
 
-// checkOutcomeShares checks that the shares of requests that were refused, or
-// whose outcome is unknown, are within the plan's limits.
+// checkOutcomeShares returns a violation for the share of refused requests, and for that of
+// requests with an unknown outcome, if it is above the plan's limit.
 func (s *Observations) checkOutcomeShares() []string {
 	if len(s.requests) == 0 {
 		return nil
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -12,14 +12,14 @@
 	"savoryhoist.example/savoryhoist/internal/standin"
 )
 
-// ErrFault means that a stand-in refused to change its faults.
+// ErrFault means that the stand-ins refused a change of their faults.
 var ErrFault = errors.New("the stand-ins refused to inject a fault")
 
 // injectFaults changes the faults of the stand-ins at the times that the plan
 // gives, at the site of every variant.
 func (r *Run) injectFaults(ctx context.Context) {
 	for _, f := range r.settings.Plan.Faults {
-		if !sleepUntil(ctx, r.start.Add(f.At)) {
+		if !sleepUntil(ctx, r.startedAt.Add(f.At)) {
 			return
 		}
 		for _, v := range r.settings.Variants {
@@ -31,13 +31,13 @@
 	}
 }
 
-// injectFault sends one change of faults to the stand-ins at URL base.
-func (r *Run) injectFault(ctx context.Context, base string, f Fault) error {
+// injectFault sends one change of faults to the stand-ins at baseURL.
+func (r *Run) injectFault(ctx context.Context, baseURL string, f Fault) error {
 	body, err := json.Marshal(f.Set)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, base+"/"+f.Path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, baseURL+"/"+f.Path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// standinCounts returns what the stand-ins at URL base have counted; nothing if base is empty.
-func (r *Run) standinCounts(ctx context.Context, base string) (standin.Counts, error) {
+// standinCounts returns the counts of the stand-ins at baseURL; they are empty if baseURL is.
+func (r *Run) standinCounts(ctx context.Context, baseURL string) (standin.Counts, error) {
 	var out standin.Counts
-	if base == "" {
+	if baseURL == "" {
 		return out, nil
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/counts", http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+"/counts", http.NoBody)
 	if err != nil {
 		return out, err
 	}
--- a/internal/load/job.go
+++ b/internal/load/job.go
@@ -16,15 +16,19 @@
 
 // JobObservation is what a team observed of one job.
 type JobObservation struct {
-	key     string
-	id      string
+	// key is the idempotency key of the submission.
+	key string
+	id  string
+	// stream is the index of the plan's stream of jobs, variant that of the variant.
 	stream  int
 	variant int
-	tasks   int
-	due     time.Duration
-	// accepted reports whether an entry responded to the submission with the job's ID.
+	// tasks is the number of the job's tasks.
+	tasks int
+	// due is the time after the start of the run at which the job should have been submitted.
+	due time.Duration
+	// accepted says whether an entry responded to the submission with the job's ID.
 	accepted bool
-	// cancelled reports whether an entry accepted the cancellation.
+	// cancelled says whether an entry accepted the cancellation.
 	cancelled bool
 	// cancelMisses counts cancellations that were answered with 404, as for an unknown job.
 	cancelMisses int
@@ -41,11 +45,12 @@
 	// maxCallAttempts is how often a submission, under the same idempotency key,
 	// or a cancellation is tried.
 	maxCallAttempts = 3
-	callRetryDelay  = 500 * time.Millisecond
+	// callRetryDelay is the time between two of these tries.
+	callRetryDelay = 500 * time.Millisecond
 )
 
-// runJob submits one job, cancels it if the schedule says so, and records the
-// observation. watchJobs follows the job to its end.
+// runJob submits one job under an idempotency key, cancels the job if the schedule says
+// so, and records the observation. watchJobs follows the job to its end.
 func (r *Run) runJob(ctx context.Context, key string, a Arrival) {
 	s := &r.settings.Plan.Jobs[a.stream]
 	observed := JobObservation{key: key, stream: a.stream, variant: a.variant, tasks: s.Tasks, due: a.due, outcome: problem.Unknown}
@@ -63,6 +68,7 @@
 	r.jobs = append(r.jobs, observed)
 }
 
+// submitOnce tries once to submit a job and fills in what it observed.
 func (r *Run) submitOnce(ctx context.Context, s *JobStream, a Arrival, observed *JobObservation) {
 	body, err := json.Marshal(map[string]any{
 		"class": s.Class, "tasks": s.Tasks, "size": s.Size, "expected-ms": s.TaskDuration.Milliseconds(),
@@ -104,27 +110,28 @@
 	return false
 }
 
-// callReadyEntry sends one call to a ready entry and decodes the JSON response into out.
-func (r *Run) callReadyEntry(ctx context.Context, variant int, method, path, key, body string, out any) (int, problem.Outcome, error) {
-	base := r.balancers[variant].Pick()
-	if base == "" {
+// callReadyEntry is callEntry for the next ready entry of the variant with this index.
+func (r *Run) callReadyEntry(ctx context.Context, variant int, method, path, idempotencyKey, body string, out any) (int, problem.Outcome, error) {
+	baseURL := r.balancers[variant].Pick()
+	if baseURL == "" {
 		return 0, problem.NotRun, ErrNotReady
 	}
-	return r.callEntry(ctx, base, method, path, key, body, out)
+	return r.callEntry(ctx, baseURL, method, path, idempotencyKey, body, out)
 }
 
-// callEntry sends one call to the entry at URL base and decodes the JSON response
-// into out. An empty key sends no idempotency key.
-func (r *Run) callEntry(ctx context.Context, base, method, path, key, body string, out any) (int, problem.Outcome, error) {
+// callEntry sends one call to the entry at baseURL and decodes the JSON of a
+// successful response into out, unless out is nil. It returns the HTTP status and the
+// outcome that the response names. The idempotency key is left out if it is empty.
+func (r *Run) callEntry(ctx context.Context, baseURL, method, path, idempotencyKey, body string, out any) (int, problem.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, base+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, baseURL+path, strings.NewReader(body))
 	if err != nil {
 		return 0, problem.NotRun, err
 	}
 	req.Header.Set(entry.HeaderTeam, r.settings.Plan.Team)
-	if key != "" {
-		req.Header.Set("Idempotency-Key", key)
+	if idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -138,8 +145,9 @@
 	return resp.StatusCode, outcome, err
 }
 
-// watchJobs polls the entries and records when jobs end. It closes done when
-// all load was sent and all accepted jobs have ended, or the settle time is over.
+// watchJobs polls the entries and records when jobs end. sent is closed when all load
+// was sent. watchJobs closes done when all accepted jobs have ended after that, or when
+// the plan's settle time has passed since then.
 func (r *Run) watchJobs(ctx context.Context, sent <-chan struct{}, done chan<- struct{}) {
 	defer close(done)
 	if len(r.settings.Plan.Jobs) == 0 {
@@ -174,9 +182,9 @@
 func (r *Run) jobPhases(ctx context.Context) map[string]string {
 	out := make(map[string]string)
 	for _, v := range r.settings.Variants {
-		for _, base := range v.Entries {
+		for _, baseURL := range v.Entries {
 			var views []entry.JobView
-			if _, _, err := r.callEntry(ctx, base, http.MethodGet, "/jobs", "", "", &views); err != nil {
+			if _, _, err := r.callEntry(ctx, baseURL, http.MethodGet, "/jobs", "", "", &views); err != nil {
 				continue
 			}
 			for _, view := range views {
@@ -189,6 +197,7 @@
 	return out
 }
 
+// isEnded reports whether a job has ended, or was parked, in the phase with this name.
 func isEnded(phase string) bool {
 	return phase == "succeeded" || phase == "failed" || phase == "cancelled" || phase == "parked"
 }
@@ -208,7 +217,7 @@
 			j.phase = phase
 		}
 		if isEnded(j.phase) {
-			j.latency = time.Since(r.start) - j.due
+			j.latency = time.Since(r.startedAt) - j.due
 			continue
 		}
 		unfinished++
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,6 +24,8 @@
 	}
 }
 
+// TestInvalidPlansAreRefused checks that the plans of testdata/plans.yaml are refused with an error
+// that names each invalid field.
 func TestInvalidPlansAreRefused(t *testing.T) {
 	var cases []struct {
 		Name string   `yaml:"name"`
@@ -82,6 +84,7 @@
 	return s
 }
 
+// TestViolations checks which violations are found in the observations of testdata/checks.yaml.
 func TestViolations(t *testing.T) {
 	var cases []checkCase
 	readCases(t, "testdata/checks.yaml", &cases)
@@ -100,6 +103,8 @@
 	}
 }
 
+// TestScheduleFollowsRate checks that one seed gives one schedule, that the arrivals follow the
+// rate and that they are shared evenly between variants.
 func TestScheduleFollowsRate(t *testing.T) {
 	p := &Plan{
 		Duration: 10 * time.Second,
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -18,8 +18,9 @@
 // ErrPlan means that a plan is not valid.
 var ErrPlan = errors.New("the plan is not valid")
 
-// Plan describes one experiment. The fields on the site, signals, restarts and
-// bundles are for the test driver in the folder experiments, which starts the processes.
+// Plan describes one experiment. Site, Signals, RollingRestart and BundleRaces are for
+// the test driver in the folder experiments, which starts the processes; this package
+// does not use them.
 type Plan struct {
 	Name string `yaml:"name"`
 	// Description describes what the experiment shows.
@@ -34,7 +35,7 @@
 	Jobs       []JobStream     `yaml:"jobs"`
 	Faults     []Fault         `yaml:"faults"`
 	Signals    []Signal        `yaml:"signals"`
-	// RollingRestart lets the driver restart every process in turn.
+	// RollingRestart makes the driver restart every process in turn.
 	RollingRestart bool `yaml:"restart"`
 	// BundleRaces is how many pairs of bundles with the same parent the driver
 	// publishes, both bundles of a pair at the same time.
@@ -65,27 +66,30 @@
 	Rate []RateStep `yaml:"rate"`
 	// MeanWork is the mean of the exponential distribution from which the work time of
 	// each request is drawn.
-	MeanWork  time.Duration `yaml:"work"`
-	BodyBytes int           `yaml:"body-bytes"`
+	MeanWork time.Duration `yaml:"work"`
+	// BodyBytes is the least size of a request's body.
+	BodyBytes int `yaml:"body-bytes"`
 	// StragglerShare is the share of requests whose work time is StragglerWork.
 	StragglerShare float64       `yaml:"straggler-share"`
 	StragglerWork  time.Duration `yaml:"straggler-work"`
 	Deadline       time.Duration `yaml:"deadline"`
-	// NeverRepeat marks the requests as ones that must not be repeated.
+	// NeverRepeat says that the requests must not be run more than once.
 	NeverRepeat bool `yaml:"never-repeat"`
 }
 
-// RateStep is the rate at a time after the start.
+// RateStep is an arrival rate at a time after the start of the run.
 type RateStep struct {
-	At        time.Duration `yaml:"at"`
-	PerSecond float64       `yaml:"per-second"`
+	At time.Duration `yaml:"at"`
+	// PerSecond is the number of arrivals per second.
+	PerSecond float64 `yaml:"per-second"`
 }
 
 // JobStream is a stream of jobs.
 type JobStream struct {
-	Name  string           `yaml:"name"`
-	Class string           `yaml:"class"`
-	Rate  []RateStep       `yaml:"rate"`
+	Name  string     `yaml:"name"`
+	Class string     `yaml:"class"`
+	Rate  []RateStep `yaml:"rate"`
+	// Tasks is the number of tasks of each job, Size the resources that each task needs.
 	Tasks int              `yaml:"tasks"`
 	Size  worker.Resources `yaml:"size"`
 	// TaskDuration is how long each task runs; it is also the expected duration that the
@@ -98,21 +102,24 @@
 	CancelShare float64 `yaml:"cancel-share"`
 }
 
-// Fault is a change of a stand-in's faults at a time after the start: PUT /Path
-// with Set as JSON.
+// Fault is a change of a stand-in's faults at a time after the start of the run. It is
+// sent as PUT /Path with Set as JSON.
 type Fault struct {
 	At   time.Duration  `yaml:"at"`
 	Path string         `yaml:"path"`
 	Set  map[string]any `yaml:"set"`
 }
 
-// Signal is sent to a process by the driver at a time after the start.
+// Signal is a signal that the test driver sends to a process at a time after the start
+// of the run.
 type Signal struct {
-	At      time.Duration `yaml:"at"`
-	Process string        `yaml:"process"`
+	At time.Duration `yaml:"at"`
+	// Process is the name of the process.
+	Process string `yaml:"process"`
 	// Action is kill (SIGKILL), term (SIGTERM) or pause (SIGSTOP, later SIGCONT).
 	Action string `yaml:"send"`
-	// ResumeAfter is how long after the signal the process is started again, or resumed.
+	// ResumeAfter is how long after the signal the process is started again or, after a
+	// pause, resumed.
 	ResumeAfter time.Duration `yaml:"back"`
 }
 
@@ -150,11 +157,11 @@
 	if err := yaml.UnmarshalWithOptions(data, p, yaml.Strict()); err != nil {
 		return nil, errors.Mark(err, ErrPlan)
 	}
-	return p, p.check()
+	return p, p.validate()
 }
 
-// check returns an error that names every field that is not valid.
-func (p *Plan) check() error {
+// validate returns an error that names every invalid field, or nil.
+func (p *Plan) validate() error {
 	var errs error
 	require := func(ok bool, field, rule string) {
 		if !ok {
@@ -187,6 +194,7 @@
 
 func isShare(v float64) bool { return v >= 0 && v <= 1 }
 
+// validRate reports whether there are steps, in the order of time and without a negative rate.
 func validRate(steps []RateStep) bool {
 	for i, s := range steps {
 		if s.PerSecond < 0 || (i > 0 && s.At < steps[i-1].At) {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -20,7 +20,7 @@
 	QuantilesPlot = "latency-quantiles.png"
 )
 
-// WriteReport writes result.json and report.md into folder.
+// WriteReport writes the result r to result.json and, as a page to read, to report.md in folder.
 func (s *Observations) WriteReport(folder string, r *Result) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return err
@@ -35,6 +35,7 @@
 	return os.WriteFile(filepath.Join(folder, "report.md"), []byte(s.markdown(r)), fileMode)
 }
 
+// markdown returns the content of report.md.
 func (s *Observations) markdown(r *Result) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&b, format+"\n", args...) }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -20,14 +20,15 @@
 
 // Result is the measured result of a run, in its JSON form.
 type Result struct {
-	Name       string         `json:"name"`
-	Seed       uint64         `json:"seed"`
-	Passed     bool           `json:"passed"`
-	Requests   []StreamResult `json:"requests"`
-	Jobs       []JobResult    `json:"jobs"`
-	Appends    uint64         `json:"appends"`
-	Ratios     []Ratio        `json:"ratios,omitempty"`
-	Violations []string       `json:"violations"`
+	Name     string         `json:"name"`
+	Seed     uint64         `json:"seed"`
+	Passed   bool           `json:"passed"`
+	Requests []StreamResult `json:"requests"`
+	Jobs     []JobResult    `json:"jobs"`
+	// Appends is the number of appends to the log.
+	Appends    uint64   `json:"appends"`
+	Ratios     []Ratio  `json:"ratios,omitempty"`
+	Violations []string `json:"violations"`
 }
 
 // StreamResult is the result of one stream of requests at one variant.
@@ -65,14 +66,15 @@
 	Cancelled int    `json:"cancelled"`
 	Failed    int    `json:"failed"`
 	// CancelMisses counts cancellations of accepted jobs that were answered with 404.
-	CancelMisses int     `json:"cancel-misses"`
-	Starts       int     `json:"starts"`
-	P50          float64 `json:"p50-ms"`
-	Max          float64 `json:"max-ms"`
+	CancelMisses int `json:"cancel-misses"`
+	// Starts counts the starts of the jobs' tasks.
+	Starts int     `json:"starts"`
+	P50    float64 `json:"p50-ms"`
+	Max    float64 `json:"max-ms"`
 }
 
 // Ratio is the latency of a stream of requests at the last variant of a run,
-// divided by that at the first one, the baseline.
+// divided by its latency at the first variant, the baseline.
 type Ratio struct {
 	Stream string  `json:"stream"`
 	P50    float64 `json:"p50"`
@@ -104,6 +106,7 @@
 	return r
 }
 
+// newHistogram returns an empty histogram of latencies in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minLatencyUS, maxLatencyUS, latencySignificantDigits)
 }
@@ -114,12 +117,14 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), minLatencyUS), maxLatencyUS))
 }
 
+// percentileMS returns a percentile of a histogram's latencies in milliseconds.
 func percentileMS(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-func (s *Observations) streamResult(stream, variant int, name string) StreamResult {
-	out := StreamResult{Stream: s.plan.Requests[stream].Name, Variant: name}
+// streamResult returns the result of the stream of requests and the variant with these indexes.
+func (s *Observations) streamResult(stream, variant int, variantName string) StreamResult {
+	out := StreamResult{Stream: s.plan.Requests[stream].Name, Variant: variantName}
 	histogram := newHistogram()
 	for i := range s.requests {
 		q := &s.requests[i]
@@ -147,8 +152,9 @@
 	return out
 }
 
-func (s *Observations) jobResult(stream, variant int, name string) JobResult {
-	out := JobResult{Stream: s.plan.Jobs[stream].Name, Variant: name}
+// jobResult returns the result of the stream of jobs and the variant with these indexes.
+func (s *Observations) jobResult(stream, variant int, variantName string) JobResult {
+	out := JobResult{Stream: s.plan.Jobs[stream].Name, Variant: variantName}
 	histogram := newHistogram()
 	for i := range s.jobs {
 		j := &s.jobs[i]
@@ -178,6 +184,7 @@
 	return out
 }
 
+// ratios returns the ratios of r's results to those of the baseline, or nil without a baseline.
 func (s *Observations) ratios(r *Result) []Ratio {
 	if len(s.variants) < 2 {
 		return nil
@@ -197,7 +204,8 @@
 // seriesInterval is the span of arrival times that one point of a series covers.
 const seriesInterval = 500 * time.Millisecond
 
-// series returns the 99th percentile of a stream's latency by time of arrival.
+// series returns the 99th percentile of the latency by time of arrival, for the stream of requests
+// and the variant with these indexes.
 func (s *Observations) series(stream, variant int) []Point {
 	intervals := make([]*hdrhistogram.Histogram, int(s.plan.Duration/seriesInterval)+1)
 	for i := range s.requests {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,7 +16,8 @@
 // ErrNotReady means that no entry of a site is ready.
 var ErrNotReady = errors.New("no entry is ready")
 
-// Variant is one site under load. A run with a baseline has two: the baseline and the present version.
+// Variant is one site under load. A run with a baseline has two variants, in this order: the
+// baseline and the present version of the system.
 type Variant struct {
 	Name string
 	// Entries are the URLs of the site's entries.
@@ -36,10 +37,11 @@
 
 // Run executes a plan once.
 type Run struct {
-	settings  Settings
-	client    *http.Client
+	settings Settings
+	client   *http.Client
+	// balancers holds one balancer for each variant.
 	balancers []*Balancer
-	start     time.Time
+	startedAt time.Time
 
 	mu       sync.Mutex
 	requests []RequestObservation
@@ -47,14 +49,15 @@
 	errs     []error
 }
 
-// Limits and times of the tool's own calls.
+// Limits and times of the load generator's own calls.
 const (
 	maxIdleConnsPerHost = 512
-	readyTimeout        = 30 * time.Second
-	readyPollInterval   = 20 * time.Millisecond
-	progressInterval    = 2 * time.Second
-	// responseTimeout is how long every call waits for its response at most. It
-	// ends requests that have no deadline.
+	// readyTimeout bounds the wait until each variant has a ready entry.
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	progressInterval  = 2 * time.Second
+	// responseTimeout is the longest wait for the response to any call. It also ends
+	// requests that have no deadline.
 	responseTimeout = 30 * time.Second
 )
 
@@ -81,7 +84,7 @@
 	if err := r.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	r.start = time.Now()
+	r.startedAt = time.Now()
 	group.Go(func() { r.showProgress(ctx) })
 	group.Go(func() { r.injectFaults(ctx) })
 	sent := make(chan struct{})
@@ -93,6 +96,7 @@
 	return r.collect(ctx)
 }
 
+// awaitReady waits until every variant has a ready entry, for at most readyTimeout.
 func (r *Run) awaitReady(ctx context.Context) error {
 	for waited := time.Duration(0); waited < readyTimeout; waited += readyPollInterval {
 		ready := 0
@@ -116,7 +120,7 @@
 func (r *Run) sendArrivals(ctx context.Context) {
 	var group sync.WaitGroup
 	for i, a := range r.settings.Plan.Schedule(r.settings.Seed, len(r.balancers)) {
-		if !sleepUntil(ctx, r.start.Add(a.due)) {
+		if !sleepUntil(ctx, r.startedAt.Add(a.due)) {
 			break
 		}
 		id := fmt.Sprintf("%s-%d-%d", r.settings.Plan.Name, r.settings.Seed, i)
@@ -129,22 +133,25 @@
 	group.Wait()
 }
 
+// showProgress writes a line of progress every progressInterval until ctx ends.
 func (r *Run) showProgress(ctx context.Context) {
 	for delay.For(ctx, progressInterval) {
 		r.mu.Lock()
 		requests, jobs := len(r.requests), len(r.jobs)
 		r.mu.Unlock()
 		_, _ = fmt.Fprintf(r.settings.ProgressWriter, "%s: %s of %s, %d requests, %d jobs\n", r.settings.Plan.Name,
-			time.Since(r.start).Round(time.Second), r.settings.Plan.Duration, requests, jobs)
+			time.Since(r.startedAt).Round(time.Second), r.settings.Plan.Duration, requests, jobs)
 	}
 }
 
+// addError records an error of the load generator, which counts as a violation.
 func (r *Run) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errs = append(r.errs, err)
 }
 
+// sleepUntil waits until t or the end of ctx, and reports whether t was reached first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -8,13 +8,14 @@
 
 // Arrival is one scheduled request or job.
 type Arrival struct {
+	// due is the time after the start of the run at which the request or job is due.
 	due time.Duration
 	// stream is the index of the plan's stream: of Jobs if isJob is true, else of Requests.
 	stream int
 	isJob  bool
-	// work is how long the request, or each task of the job, takes at a stand-in.
+	// work is how long a stand-in works on the request, or on each task of the job.
 	work time.Duration
-	// variant is the index of the variant that the load goes to.
+	// variant is the index of the variant that the request or job is sent to.
 	variant int
 	// cancel makes the run cancel the job once it is accepted.
 	cancel bool
@@ -55,9 +56,10 @@
 	return out
 }
 
-// arrivals draws the times of a Poisson process whose rate is factor times that
-// of steps, by thinning.
-func arrivals(random *rand.Rand, steps []RateStep, length time.Duration, factor int) []time.Duration {
+// arrivals draws the arrival times, up to duration, of a Poisson process whose rate
+// is rateFactor times the rate of steps. It uses thinning: it draws arrivals at the
+// highest rate and drops each with the probability that gives the rate at its time.
+func arrivals(random *rand.Rand, steps []RateStep, duration time.Duration, rateFactor int) []time.Duration {
 	maxRate := 0.0
 	for _, s := range steps {
 		maxRate = max(maxRate, s.PerSecond)
@@ -68,8 +70,8 @@
 	var out []time.Duration
 	at := time.Duration(0)
 	for {
-		at += time.Duration(random.ExpFloat64() / (maxRate * float64(factor)) * float64(time.Second))
-		if at >= length {
+		at += time.Duration(random.ExpFloat64() / (maxRate * float64(rateFactor)) * float64(time.Second))
+		if at >= duration {
 			return out
 		}
 		if random.Float64()*maxRate < rateAt(steps, at) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// rateAt returns the rate at a time, interpolated between steps. Before the first
-// and after the last step the rate is constant.
+// rateAt returns the rate at a time after the start, interpolated between steps.
+// Before the first and after the last step the rate is constant.
 func rateAt(steps []RateStep, at time.Duration) float64 {
 	for i, s := range steps {
 		if at >= s.At {
