--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -59,10 +59,11 @@
 	})
 }
 
-// readHeaderTimeout is how long a client of the servers started here may take to send its request headers.
+// readHeaderTimeout is how long a client may take to send its request headers to a server that
+// this package starts.
 const readHeaderTimeout = 5 * time.Second
 
-// runWithAdminServer calls run and serves handler at address until run returns.
+// runWithAdminServer calls run, and serves handler at address, an IP and port, until run returns.
 func runWithAdminServer(ctx context.Context, address string, handler http.Handler, run func(context.Context) error) error {
 	ln, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 	if err != nil {
--- a/internal/command/bad_input_test.go
+++ b/internal/command/bad_input_test.go
@@ -70,10 +70,11 @@
 	Field     string            `yaml:"field"`
 }
 
-func (b *badRequest) send(t *testing.T, base string) *http.Response {
+// send sends the request to the entry at baseURL.
+func (b *badRequest) send(t *testing.T, baseURL string) *http.Response {
 	t.Helper()
 	body := b.Body + strings.Repeat(".", b.BodyBytes)
-	req, err := http.NewRequest(b.Method, base+b.Path, strings.NewReader(body))
+	req, err := http.NewRequest(b.Method, baseURL+b.Path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,9 +128,10 @@
 	}
 }
 
-func (s *site) jobList(base string) string {
+// jobList returns the team's jobs in JSON, as the entry at baseURL lists them.
+func (s *site) jobList(baseURL string) string {
 	s.t.Helper()
-	req, err := http.NewRequest(http.MethodGet, base+"/jobs", http.NoBody)
+	req, err := http.NewRequest(http.MethodGet, baseURL+"/jobs", http.NoBody)
 	s.must(err)
 	req.Header.Set(entry.HeaderTeam, "nursery")
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/command/bench_capacity.go
+++ b/internal/command/bench_capacity.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// printCapacity prints the measured slopes and the computed lines as readable text, then the whole result as one line of JSON.
+// printCapacity prints the measured slopes and the resources computed from them as
+// readable text, then the whole result as one line of JSON.
 func printCapacity(w io.Writer, r *capacity.Result) error {
 	for i := range r.Slopes {
 		s := &r.Slopes[i]
--- a/internal/command/bench_explore.go
+++ b/internal/command/bench_explore.go
@@ -15,10 +15,10 @@
 	"savoryhoist.example/savoryhoist/internal/explore"
 )
 
-// ErrViolations means that the explored histories violated at least one rule.
+// ErrViolations means that at least one simulated history violated a guarantee.
 var ErrViolations = errors.New("the exploration has found violations")
 
-// exploreResult is the last line that the command prints.
+// exploreResult is the JSON form of the last line that the command prints.
 type exploreResult struct {
 	Target     string  `json:"target"`
 	FirstSeed  uint64  `json:"first-seed"`
--- a/internal/command/bench_takeover.go
+++ b/internal/command/bench_takeover.go
@@ -11,9 +11,9 @@
 	"savoryhoist.example/savoryhoist/internal/explore/batch"
 )
 
-// takeoverCost shows the trade-off of one takeover time: a short one leaves
-// tasks of a dead worker idle for less time, a long one lets tasks run through a
-// longer outage.
+// takeoverCost shows the trade-off of one takeover time. A short takeover time
+// leaves the tasks of a dead worker idle for less time; a long one lets tasks run
+// through a longer outage.
 type takeoverCost struct {
 	TakeoverAfterS            float64 `json:"takeover-after-s"`
 	IdleMeanS                 float64 `json:"idle-mean-s"`
--- a/internal/command/bundle.go
+++ b/internal/command/bundle.go
@@ -22,11 +22,13 @@
 	}
 }
 
+// entryFlag returns the flag --entry-url of commands that call an entry.
 func entryFlag() cli.Flag {
 	return stringFlag("entry-url", "http://127.0.0.1:8080", "URL of an entry or of the load balancer in front of the entries")
 }
 
-// singleArgument returns the command's only argument; the error for any other number of them names what is wanted.
+// singleArgument returns the command's only argument. If there is another number of
+// arguments, it returns an error that says which one is wanted.
 func singleArgument(cmd *cli.Command, want string) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", errors.Wrapf(ErrUsage, "want one argument: %s", want)
@@ -34,7 +36,8 @@
 	return cmd.Args().First(), nil
 }
 
-// readFileArgument returns the content of the file that the only argument names.
+// readFileArgument returns the content of the file that the command's only argument
+// names; see singleArgument.
 func readFileArgument(cmd *cli.Command, want string) ([]byte, error) {
 	path, err := singleArgument(cmd, want)
 	if err != nil {
--- a/internal/command/bundle_check.go
+++ b/internal/command/bundle_check.go
@@ -75,6 +75,8 @@
 	return content, err
 }
 
+// printChanges prints the changes from the document encoded in before to d, and warns if d
+// is not the successor of before.
 func printChanges(out io.Writer, before []byte, d *bundle.Document) error {
 	old, err := bundle.Parse(before)
 	if err != nil {
--- a/internal/command/call.go
+++ b/internal/command/call.go
@@ -12,10 +12,11 @@
 	"savoryhoist.example/savoryhoist/internal/entry"
 )
 
-// ErrRefused means that the entry answered with a status other than success.
+// ErrRefused means that the entry answered with an HTTP status of 300 or more.
 var ErrRefused = errors.New("the entry refused the call")
 
-// callAndPrint sends a request to the entry and prints the body of its response.
+// callAndPrint sends a request to the entry at --entry-url and prints the body of a
+// successful response.
 func callAndPrint(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header) error {
 	return callEntry(ctx, cmd, method, path, body, header, func(responseBody io.Reader) error {
 		_, err := io.Copy(cmd.Root().Writer, responseBody)
@@ -23,14 +24,15 @@
 	})
 }
 
-// callEntry sends a request to the entry at --entry-url and passes the body of a successful response to fn.
-func callEntry(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header, fn func(io.Reader) error) error {
+// callEntry sends a request to the entry at --entry-url and passes the body of a successful
+// response to handleBody.
+func callEntry(ctx context.Context, cmd *cli.Command, method, path string, body io.Reader, header http.Header, handleBody func(io.Reader) error) error {
 	c := &flagReader{cmd: cmd}
-	base := c.url("entry-url")
+	baseURL := c.url("entry-url")
 	if c.err != nil {
 		return c.err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, baseURL+path, body)
 	if err != nil {
 		return err
 	}
@@ -46,9 +48,10 @@
 		detail, _ := io.ReadAll(resp.Body)
 		return errors.Wrapf(ErrRefused, "status %d: %s", resp.StatusCode, strings.TrimSpace(string(detail)))
 	}
-	return fn(resp.Body)
+	return handleBody(resp.Body)
 }
 
+// teamFlags returns the flags of commands that call an entry on behalf of a team.
 func teamFlags() []cli.Flag {
 	return []cli.Flag{
 		entryFlag(),
@@ -57,6 +60,7 @@
 	}
 }
 
+// teamHeader returns the headers that identify the team of --token or --team.
 func teamHeader(cmd *cli.Command) http.Header {
 	h := make(http.Header)
 	if t := cmd.String("token"); t != "" {
--- a/internal/command/certificate.go
+++ b/internal/command/certificate.go
@@ -11,7 +11,7 @@
 	"savoryhoist.example/savoryhoist/internal/link"
 )
 
-// Modes of written files and directories.
+// Permission modes of written files and directories.
 const (
 	secretMode = 0o600
 	publicMode = 0o644
@@ -33,13 +33,13 @@
 
 func runCertificate(_ context.Context, cmd *cli.Command) error {
 	c := &flagReader{cmd: cmd}
-	valid := c.positiveDuration("valid")
+	validity := c.positiveDuration("valid")
 	peers := c.peerArguments()
 	if c.err != nil {
 		return c.err
 	}
 	now := time.Now()
-	authority, err := link.NewAuthority(now, valid)
+	authority, err := link.NewAuthority(now, validity)
 	if err != nil {
 		return err
 	}
@@ -51,21 +51,22 @@
 		return err
 	}
 	for _, p := range peers {
-		if err := writeCertificate(now, valid, authority, p, out); err != nil {
+		if err := writeCertificate(now, validity, authority, p, out); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeCertificate issues a certificate for a peer and writes it and its key to
-// the directory out, in files named after the peer.
-func writeCertificate(now time.Time, valid time.Duration, a *link.Authority, p link.Peer, out string) error {
-	certificate, key, err := a.Issue(now, valid, p)
+// writeCertificate issues a certificate for a peer that is valid from now for the
+// duration validity, and writes the certificate and its key to a folder, in files
+// named after the peer.
+func writeCertificate(now time.Time, validity time.Duration, authority *link.Authority, peer link.Peer, folder string) error {
+	certificate, key, err := authority.Issue(now, validity, peer)
 	if err != nil {
 		return err
 	}
-	base := filepath.Join(out, p.Name())
+	base := filepath.Join(folder, peer.Name())
 	if err := os.WriteFile(base+".pem", certificate, publicMode); err != nil {
 		return err
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -63,6 +63,7 @@
 	return 0
 }
 
+// exitCode returns the exit code for an error of a subcommand.
 func exitCode(err error) int {
 	if errors.Is(err, ErrUsage) {
 		return exitUsage
@@ -70,12 +71,13 @@
 	return exitFailure
 }
 
+// usageError marks an error in a command's flags as ErrUsage.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return errors.Mark(err, ErrUsage)
 }
 
-// markUsageErrors marks errors in the flags of every command and subcommand as
-// ErrUsage, because a command does not inherit the handler of its parent.
+// markUsageErrors sets usageError as the handler of flag errors of every command
+// and subcommand, because a command does not inherit the handler of its parent.
 func markUsageErrors(commands []*cli.Command) {
 	for _, c := range commands {
 		c.OnUsageError = usageError
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -52,6 +52,7 @@
 // devSite holds the parts of the dev mode: an entry, agents, and stand-ins of
 // the platform's services.
 type devSite struct {
+	// group waits for the agents and the stand-ins' servers.
 	group       sync.WaitGroup
 	level       log.Level
 	authority   *link.Authority
@@ -104,6 +105,8 @@
 	return nil
 }
 
+// run starts an entry with its API at the address listen, and the agents, publishes the first
+// bundle and, when ctx ends, waits until the entry has drained.
 func (s *devSite) run(ctx context.Context, cmd *cli.Command, listen string) error {
 	logURL, err := s.serveStandin(new(standin.Log).Handler())
 	if err != nil {
@@ -141,6 +144,7 @@
 	return nil
 }
 
+// identity issues a certificate and returns the identity that holds it.
 func (s *devSite) identity(role link.Role, name string) (*link.Identity, error) {
 	certificate, key, err := s.authority.Issue(time.Now(), devCertificateValidity, link.NewPeer(role, devDataCentre, name))
 	if err != nil {
@@ -162,8 +166,10 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
-func (s *devSite) startAgent(ctx context.Context, i int, entryAddress string) error {
-	name := fmt.Sprintf("worker-%d", i+1)
+// startAgent starts the agent with an index, with a stand-in worker and runner, until ctx ends.
+// The agent sends its heartbeats to entryAddress.
+func (s *devSite) startAgent(ctx context.Context, index int, entryAddress string) error {
+	name := fmt.Sprintf("worker-%d", index+1)
 	size := worker.Resources{MilliCPU: 16000, MemoryMB: 60 << 10, Accelerators: 2}
 	workerURL, err := s.serveStandin(standin.NewWorker(size, time.Now).Handler())
 	if err != nil {
@@ -178,7 +184,7 @@
 		return err
 	}
 	a, err := agent.New(time.Now(), agent.Settings{
-		Name: name, DataCentre: devDataCentre, Rack: fmt.Sprintf("rack-%d", i+1), Service: devService,
+		Name: name, DataCentre: devDataCentre, Rack: fmt.Sprintf("rack-%d", index+1), Service: devService,
 		Listen: "127.0.0.1:0", RunnerURL: runnerURL, WorkerURL: workerURL, Entries: []string{entryAddress},
 		HeartbeatEvery: devHeartbeatEvery, DrainDelay: devDrainAfter, Roots: s.roots,
 	}, id, newLogger(s.level, name))
@@ -189,12 +195,13 @@
 	return nil
 }
 
-func (s *devSite) publish(ctx context.Context, base string) error {
+// publish publishes the first bundle through the entry at baseURL.
+func (s *devSite) publish(ctx context.Context, baseURL string) error {
 	data, err := s.firstBundle.Encode()
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/bundles", bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+"/bundles", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
--- a/internal/command/drain_test.go
+++ b/internal/command/drain_test.go
@@ -52,6 +52,7 @@
 	return n
 }
 
+// sendRequestWithWork sends a request on which the stand-in runner works for the duration work.
 func (l *traffic) sendRequestWithWork(body, work string) error {
 	return l.send(body, http.Header{"Standin-Work": {work}, "Savoryhoist-Deadline": {time.Minute.String()}})
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -27,6 +27,8 @@
 	}
 }
 
+// explain prints the log lines about a job in causal order. It reads them from files or, without
+// files, from in.
 func explain(out io.Writer, in io.Reader, job string, files []string) error {
 	var lines []joblog.Line
 	read := func(r io.Reader) error {
--- a/internal/command/failover_test.go
+++ b/internal/command/failover_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// startCount returns how many task runs a worker has started so far.
-func (s *site) startCount(worker int) int { return len(s.workers[worker].Runs()) }
+// startCount returns how many task runs the worker with an index has started so far.
+func (s *site) startCount(workerIndex int) int { return len(s.workers[workerIndex].Runs()) }
 
 // startsByTask counts the starts of each task on all workers.
 func (s *site) startsByTask() map[string]int {
--- a/internal/command/job.go
+++ b/internal/command/job.go
@@ -77,6 +77,8 @@
 	}
 }
 
+// callJobAndPrint calls the path of the job that the command's only argument names, and prints the
+// response.
 func callJobAndPrint(ctx context.Context, cmd *cli.Command, method string) error {
 	id, err := singleArgument(cmd, "the job's id")
 	if err != nil {
--- a/internal/command/killed_test.go
+++ b/internal/command/killed_test.go
@@ -107,8 +107,8 @@
 	p.cmd = nil
 }
 
-// runningTasks returns the number of tasks that a worker has started and that still run.
-func (s *site) runningTasks(worker int) int { return s.workers[worker].Running() }
+// runningTasks returns the number of tasks that run on the worker with an index.
+func (s *site) runningTasks(workerIndex int) int { return s.workers[workerIndex].Running() }
 
 // checkStarts checks that every task was started at least once and at most
 // maxStarts times, and that no worker was overcommitted.
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -64,6 +64,8 @@
 	return reportLoad(cmd, plan, observed)
 }
 
+// reportLoad writes the report, prints the result without its plots and returns ErrGuarantee if a
+// guarantee was violated.
 func reportLoad(cmd *cli.Command, plan *load.Plan, observed *load.Observations) error {
 	result := observed.Result()
 	folder := cmd.String("report")
@@ -101,6 +103,7 @@
 	return out
 }
 
+// optionalURL returns the URL that a flag holds, or "" if the flag is not set.
 func (c *flagReader) optionalURL(flag string) string {
 	if c.cmd.String(flag) == "" {
 		return ""
--- a/internal/command/reload.go
+++ b/internal/command/reload.go
@@ -17,7 +17,7 @@
 // reloadInterval is the time between two reads of the certificate files.
 const reloadInterval = time.Minute
 
-// expiryWarningPeriod is how long before its expiry a certificate causes warnings in the log.
+// expiryWarningPeriod is the time before a certificate expires in which each reload logs a warning.
 const expiryWarningPeriod = 24 * time.Hour
 
 // runWithCertificateReload calls run and, until run returns, reloads the
@@ -51,8 +51,9 @@
 	}
 }
 
-// reloadCertificate reads the files once. If any of them cannot be read or
-// used, the old certificate stays in use.
+// reloadCertificate reads the files of the certificate, its key and the authorities,
+// and puts them in use. If any of them cannot be read or used, the old ones stay in
+// use. It warns if the certificate in use expires soon.
 func reloadCertificate(now time.Time, cmd *cli.Command, id *link.Identity, logger *log.Logger) {
 	before := id.Expires()
 	var texts [3][]byte
--- a/internal/command/restart_test.go
+++ b/internal/command/restart_test.go
@@ -20,10 +20,13 @@
 	// pickEntry returns the URL of the entry to call next.
 	pickEntry func() string
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// requests is the number of requests that have ended.
 	requests int
+	// failures describes every request or submission that failed.
 	failures []string
-	jobs     []string
+	// jobs are the IDs of the accepted jobs, in the order of submission.
+	jobs []string
 }
 
 // TestRollingRestartLosesNothing restarts every process in turn while requests
@@ -50,6 +53,7 @@
 	load.checkJobs(t)
 }
 
+// sendRequests sends one request after the other until ctx ends, as the client with this number.
 func (l *traffic) sendRequests(ctx context.Context, client int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		body := fmt.Sprintf("request %d of client %d", i, client)
@@ -90,6 +94,7 @@
 	return nil
 }
 
+// post sends a POST to the next entry on behalf of the test's team.
 func (l *traffic) post(path, body string, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, l.pickEntry()+path, strings.NewReader(body))
 	if err != nil {
@@ -155,6 +160,7 @@
 	t.Logf("%d requests, %d jobs, %d appends", l.requests, len(l.jobs), l.s.log.Appends())
 }
 
+// allSucceeded reports whether an entry knows every job of l as succeeded.
 func (l *traffic) allSucceeded() bool {
 	req, _ := http.NewRequest(http.MethodGet, l.pickEntry()+"/jobs", nil)
 	req.Header.Set(entry.HeaderTeam, "nursery")
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -21,14 +21,17 @@
 	return cli.EnvVars("SAVORYHOIST_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_")))
 }
 
+// stringFlag returns a flag that an environment variable can set too; value is the default.
 func stringFlag(name, value, usage string) cli.Flag {
 	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
 
+// durationFlag is like stringFlag.
 func durationFlag(name string, value time.Duration, usage string) cli.Flag {
 	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
 
+// intFlag is like stringFlag.
 func intFlag(name string, value int, usage string) cli.Flag {
 	return &cli.IntFlag{Name: name, Value: value, Usage: usage, Sources: envSource(name)}
 }
@@ -49,16 +52,18 @@
 }
 
 // flagReader reads and checks the values of flags. It collects all errors in
-// err, so that one run reports every flag that is not valid.
+// err, so that one run of the program reports every invalid flag.
 type flagReader struct {
 	cmd *cli.Command
 	err error
 }
 
+// addError adds an error for a flag; rule says what its value must be.
 func (c *flagReader) addError(flag, rule string) {
 	c.err = errors.Join(c.err, errors.Mark(errors.Newf("--%s: %s", flag, rule), ErrUsage))
 }
 
+// required returns the value of a flag that must not be empty.
 func (c *flagReader) required(flag string) string {
 	v := c.cmd.String(flag)
 	if v == "" {
@@ -76,11 +81,13 @@
 	return v
 }
 
+// validAddress reports whether v is an IP and port.
 func validAddress(v string) bool {
 	host, _, err := net.SplitHostPort(v)
 	return err == nil && net.ParseIP(host) != nil
 }
 
+// addresses returns the IPs and ports of a flag that holds a list separated by commas.
 func (c *flagReader) addresses(flag string) []string {
 	var out []string
 	for _, v := range strings.Split(c.cmd.String(flag), ",") {
@@ -94,6 +101,7 @@
 	return out
 }
 
+// url returns the URL that a flag holds, without a slash at its end.
 func (c *flagReader) url(flag string) string {
 	v := c.cmd.String(flag)
 	if !validURL(v) {
@@ -131,6 +139,7 @@
 	return o
 }
 
+// pem returns the PEM text that a flag holds or names the file of.
 func (c *flagReader) pem(flag string) []byte {
 	v := c.required(flag)
 	if v == "" {
@@ -143,6 +152,8 @@
 	return data
 }
 
+// identity returns the identity in the certificate flags, which must be that of this process in
+// the given role.
 func (c *flagReader) identity(role link.Role) *link.Identity {
 	certificate, key, authorities := c.pem("certificate"), c.pem("key"), c.pem("authorities")
 	id := new(link.Identity)
@@ -174,6 +185,7 @@
 	return log.ParseLevel(level)
 }
 
+// newLogger returns a logger to standard error whose lines carry the process's name.
 func newLogger(level log.Level, name string) *log.Logger {
 	return &log.Logger{
 		Level:      level,
@@ -183,7 +195,8 @@
 	}
 }
 
-// peerArguments returns the peers of arguments of the form role/data-centre/name.
+// peerArguments returns the peers that the command's arguments name, each in the form
+// role/data-centre/name.
 func (c *flagReader) peerArguments() []link.Peer {
 	var out []link.Peer
 	for _, a := range c.cmd.Args().Slice() {
--- a/internal/command/site_test.go
+++ b/internal/command/site_test.go
@@ -49,7 +49,8 @@
 	dataCentre string
 	args       []string
 	readyURL   string
-	cmd        *exec.Cmd
+	// cmd is the running process, or nil if it was stopped.
+	cmd *exec.Cmd
 }
 
 // newSite starts the given number of entries and agents in each data centre;
@@ -106,12 +107,15 @@
 	return server.URL
 }
 
+// freeAddress returns an IP and port that no process listens on.
 func (s *site) freeAddress() string {
 	address, err := standin.FreeAddress()
 	s.must(err)
 	return address
 }
 
+// processArgs issues a certificate for a process and returns the arguments that entries and agents
+// have in common.
 func (s *site) processArgs(role link.Role, dataCentre, name string) []string {
 	certificate, key, err := s.authority.Issue(time.Now(), time.Hour, link.NewPeer(role, dataCentre, name))
 	s.must(err)
@@ -123,8 +127,9 @@
 	}
 }
 
-func (s *site) addEntry(dataCentre string, i int) {
-	name := fmt.Sprintf("entry-%d", i+1)
+// addEntry adds an entry to the processes to start; index is its index in the site.
+func (s *site) addEntry(dataCentre string, index int) {
+	name := fmt.Sprintf("entry-%d", index+1)
 	caller, peer := s.freeAddress(), s.freeAddress()
 	s.entryURLs = append(s.entryURLs, "http://"+caller)
 	s.peers[dataCentre] = append(s.peers[dataCentre], peer)
@@ -132,8 +137,10 @@
 	s.processes = append(s.processes, &process{name: name, dataCentre: dataCentre, args: args, readyURL: "http://" + caller + "/readyz"})
 }
 
-func (s *site) addAgent(dataCentre string, i int) {
-	name := fmt.Sprintf("worker-%d", i+1)
+// addAgent adds an agent to the processes to start, with a stand-in worker and runner; index is its
+// index in the site.
+func (s *site) addAgent(dataCentre string, index int) {
+	name := fmt.Sprintf("worker-%d", index+1)
 	w := standin.NewWorker(worker.Resources{MilliCPU: 16000, MemoryMB: 60 << 10, Accelerators: 2}, time.Now)
 	r := standin.NewRunner(8)
 	s.workers = append(s.workers, w)
@@ -198,6 +205,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// eventually waits until fn returns true, and fails the test after waitTimeout; condition names what
+// is waited for.
 func (s *site) eventually(condition string, fn func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -208,7 +217,9 @@
 	s.t.Fatalf("%s: not true within %s", condition, waitTimeout)
 }
 
-func (s *site) publish(key []byte) {
+// publish publishes the first bundle, signed with an operator's private key, and waits until it is in
+// force.
+func (s *site) publish(privateKey []byte) {
 	roots, err := bundle.ParseRoots(s.operators, 1)
 	s.must(err)
 	d, err := bundle.ParseTemplate(devBundleTemplate, roots)
@@ -221,7 +232,7 @@
 	content, err := bundle.Format(d)
 	s.must(err)
 	signed := bundle.NewSigned(content)
-	signed.Sign("alice", key)
+	signed.Sign("alice", privateKey)
 	data, err := signed.Encode()
 	s.must(err)
 	s.eventually("first bundle in force", func() bool {
--- a/internal/command/spill_test.go
+++ b/internal/command/spill_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// agentOf returns the first agent in a data centre.
 func (s *site) agentOf(dataCentre string) *process {
 	for _, p := range s.processes {
 		if p.dataCentre == dataCentre && strings.HasPrefix(p.name, "worker-") {
--- a/internal/command/tune.go
+++ b/internal/command/tune.go
@@ -8,7 +8,8 @@
 
 // Settings of the Go runtime for processes that may use only a small part of a machine.
 const (
-	// gcPercent is how many percent the heap may grow before a garbage collection.
+	// gcPercent is by how many percent the heap may grow before the next garbage
+	// collection starts; see debug.SetGCPercent.
 	gcPercent = 50
 	// maxAgentProcessors limits GOMAXPROCS of an agent. With more processors,
 	// waking threads and stealing goroutines costs an agent more than it gains.
