--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -179,7 +179,7 @@
 		out.Body = http.NoBody
 	}
 	link.CopyHeader(out.Header, r.Header)
-	link.DropInternal(out.Header)
+	link.DropInternalHeaders(out.Header)
 	return a.runner.RoundTrip(out)
 }
 
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -43,10 +43,10 @@
 	if err != nil {
 		return err
 	}
-	present := load.Variant{Name: "present", Entries: c.urls("entry-urls"), Standin: c.optionalURL("standin-url")}
+	present := load.Variant{Name: "present", EntryURLs: c.urls("entry-urls"), StandinURL: c.optionalURL("standin-url")}
 	variants := []load.Variant{present}
 	if cmd.String("baseline-entry-urls") != "" {
-		baseline := load.Variant{Name: "baseline", Entries: c.urls("baseline-entry-urls"), Standin: c.optionalURL("baseline-standin-url")}
+		baseline := load.Variant{Name: "baseline", EntryURLs: c.urls("baseline-entry-urls"), StandinURL: c.optionalURL("baseline-standin-url")}
 		variants = []load.Variant{baseline, present}
 	}
 	if c.err != nil {
--- a/internal/entry/request_attempt.go
+++ b/internal/entry/request_attempt.go
@@ -158,7 +158,7 @@
 			e.countEvent("connections-replaced")
 			e.log.Warn().Str("decision", "replace-connection").Str("request-id", q.id).Str("endpoint", t.name).
 				Str("reason", "it made no progress").Str("fate", state.String()).Msg("")
-			e.agentClient.DropIdle()
+			e.agentClient.CloseIdleConnections()
 			x.cancel(errStalled)
 			return
 		}
--- a/internal/entry/request_response.go
+++ b/internal/entry/request_response.go
@@ -77,7 +77,7 @@
 // more is read from the agent.
 func (a *agentResponse) forward(w http.ResponseWriter, onReceived func()) {
 	defer a.releaseConnection()
-	link.DropInternal(a.header)
+	link.DropInternalHeaders(a.header)
 	link.CopyHeader(w.Header(), a.header)
 	if a.unread == nil {
 		onReceived()
--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -56,9 +56,9 @@
 // is used after a peer has not responded, when its open connections may be dead.
 func (c *Client) UnpooledTransport() http.RoundTripper { return c.unpooled }
 
-// DropIdle closes the idle connections for callers' requests. It is called after
+// CloseIdleConnections closes the idle connections for callers' requests. It is called after
 // no response arrived on such a connection, because the idle ones may be dead too.
-func (c *Client) DropIdle() { c.pooled.CloseIdleConnections() }
+func (c *Client) CloseIdleConnections() { c.pooled.CloseIdleConnections() }
 
 // ControlTransport returns the transport for messages between processes, which uses QUIC.
 func (c *Client) ControlTransport() http.RoundTripper { return c.control }
--- a/internal/link/load.go
+++ b/internal/link/load.go
@@ -36,8 +36,8 @@
 	HeaderIncarnation, HeaderMark, HeaderCallerTeam, HeaderRefusal, HeaderLoad, HeaderServiceTime, HeaderAttempt,
 }
 
-// DropInternal removes the headers that only entries and agents use.
-func DropInternal(h http.Header) {
+// DropInternalHeaders removes the headers that only entries and agents use.
+func DropInternalHeaders(h http.Header) {
 	for _, k := range internalHeaders {
 		delete(h, k)
 	}
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -28,13 +28,13 @@
 func (r *Run) collect(ctx context.Context) (*Observations, error) {
 	s := &Observations{plan: r.settings.Plan, seed: r.settings.Seed}
 	for _, v := range r.settings.Variants {
-		c, err := r.standinCounts(ctx, v.Standin)
+		c, err := r.standinCounts(ctx, v.StandinURL)
 		if err != nil {
 			return nil, err
 		}
 		s.variants = append(s.variants, v.Name)
 		s.counts = append(s.counts, c)
-		s.hasCounts = append(s.hasCounts, v.Standin != "")
+		s.hasCounts = append(s.hasCounts, v.StandinURL != "")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/fault.go
+++ b/internal/load/fault.go
@@ -23,7 +23,7 @@
 			return
 		}
 		for _, v := range r.settings.Variants {
-			if err := r.injectFault(ctx, v.Standin, f); err != nil {
+			if err := r.injectFault(ctx, v.StandinURL, f); err != nil {
 				r.addError(err)
 			}
 		}
--- a/internal/load/job.go
+++ b/internal/load/job.go
@@ -182,7 +182,7 @@
 func (r *Run) jobPhases(ctx context.Context) map[string]string {
 	out := make(map[string]string)
 	for _, v := range r.settings.Variants {
-		for _, baseURL := range v.Entries {
+		for _, baseURL := range v.EntryURLs {
 			var views []entry.JobView
 			if _, _, err := r.callEntry(ctx, baseURL, http.MethodGet, "/jobs", "", "", &views); err != nil {
 				continue
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -46,7 +46,7 @@
 	}
 	for _, q := range r.Requests {
 		line("| %s | %s | %d | %d | %d | %d | %.1f | %.1f | %.1f | %.1f |", q.Stream, q.Variant, q.Sent, q.Answered,
-			q.Refused, q.Unknown, q.P50, q.P99, q.P999, q.Max)
+			q.Refused, q.Unknown, q.P50MS, q.P99MS, q.P999MS, q.MaxMS)
 	}
 	if len(r.Jobs) > 0 {
 		line("\n| jobs | variant | submitted | accepted | succeeded | cancelled | failed | starts | p50 ms | max ms |")
@@ -54,7 +54,7 @@
 	}
 	for _, j := range r.Jobs {
 		line("| %s | %s | %d | %d | %d | %d | %d | %d | %.0f | %.0f |", j.Stream, j.Variant, j.Submitted, j.Accepted,
-			j.Succeeded, j.Cancelled, j.Failed, j.Starts, j.P50, j.Max)
+			j.Succeeded, j.Cancelled, j.Failed, j.Starts, j.P50MS, j.MaxMS)
 	}
 	for _, q := range r.Ratios {
 		line("\nRatio to the baseline of %s: p50 %.2f, p99 %.2f.", q.Stream, q.P50, q.P99)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -39,10 +39,10 @@
 	Answered int     `json:"answered"`
 	Refused  int     `json:"refused"`
 	Unknown  int     `json:"unknown"`
-	P50      float64 `json:"p50-ms"`
-	P99      float64 `json:"p99-ms"`
-	P999     float64 `json:"p999-ms"`
-	Max      float64 `json:"max-ms"`
+	P50MS    float64 `json:"p50-ms"`
+	P99MS    float64 `json:"p99-ms"`
+	P999MS   float64 `json:"p999-ms"`
+	MaxMS    float64 `json:"max-ms"`
 	// Quantiles and Series are the points of the plots: latency by quantile, and
 	// the 99th percentile of latency by time of arrival.
 	Quantiles []Point `json:"quantiles,omitempty"`
@@ -69,8 +69,8 @@
 	CancelMisses int `json:"cancel-misses"`
 	// Starts counts the starts of the jobs' tasks.
 	Starts int     `json:"starts"`
-	P50    float64 `json:"p50-ms"`
-	Max    float64 `json:"max-ms"`
+	P50MS  float64 `json:"p50-ms"`
+	MaxMS  float64 `json:"max-ms"`
 }
 
 // Ratio is the latency of a stream of requests at the last variant of a run,
@@ -142,8 +142,8 @@
 			out.Unknown++
 		}
 	}
-	out.P50, out.P99 = percentileMS(histogram, 50), percentileMS(histogram, 99)
-	out.P999, out.Max = percentileMS(histogram, 99.9), percentileMS(histogram, 100)
+	out.P50MS, out.P99MS = percentileMS(histogram, 50), percentileMS(histogram, 99)
+	out.P999MS, out.MaxMS = percentileMS(histogram, 99.9), percentileMS(histogram, 100)
 	for _, nines := range []float64{0, 1, 2, 3} {
 		percentile := 100 * (1 - math.Pow(10, -nines))
 		out.Quantiles = append(out.Quantiles, Point{X: nines, Y: percentileMS(histogram, percentile)})
@@ -180,7 +180,7 @@
 			out.Failed++
 		}
 	}
-	out.P50, out.Max = percentileMS(histogram, 50), percentileMS(histogram, 100)
+	out.P50MS, out.MaxMS = percentileMS(histogram, 50), percentileMS(histogram, 100)
 	return out
 }
 
@@ -193,10 +193,10 @@
 	n := len(s.plan.Requests)
 	for i := range n {
 		first, last := &r.Requests[i], &r.Requests[(len(s.variants)-1)*n+i]
-		if first.P50 == 0 || first.P99 == 0 {
+		if first.P50MS == 0 || first.P99MS == 0 {
 			continue
 		}
-		out = append(out, Ratio{Stream: first.Stream, P50: last.P50 / first.P50, P99: last.P99 / first.P99})
+		out = append(out, Ratio{Stream: first.Stream, P50: last.P50MS / first.P50MS, P99: last.P99MS / first.P99MS})
 	}
 	return out
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -20,10 +20,10 @@
 // baseline and the present version of the system.
 type Variant struct {
 	Name string
-	// Entries are the URLs of the site's entries.
-	Entries []string
-	// Standin is the URL of the site's stand-ins; if empty, checks that need their counts are skipped.
-	Standin string
+	// EntryURLs are the URLs of the site's entries.
+	EntryURLs []string
+	// StandinURL is the URL of the site's stand-ins; if empty, checks that need their counts are skipped.
+	StandinURL string
 }
 
 // Settings configure a run.
@@ -66,7 +66,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true}
 	r := &Run{settings: s, client: &http.Client{Transport: transport}}
 	for _, v := range s.Variants {
-		r.balancers = append(r.balancers, NewBalancer(r.client, v.Entries))
+		r.balancers = append(r.balancers, NewBalancer(r.client, v.EntryURLs))
 	}
 	return r
 }
