--- a/internal/bench/log/control.go
+++ b/internal/bench/log/control.go
@@ -117,11 +117,11 @@
 	if err := c.start(live, agents); err != nil {
 		return controlRates{}, err
 	}
-	counted, err := c.measure(ctx, c.proxy.address())
+	counted, err := c.measureRates(ctx, c.proxy.address())
 	if err != nil {
 		return controlRates{}, err
 	}
-	direct, err := c.measure(ctx, c.entry.PeerAddress())
+	direct, err := c.measureRates(ctx, c.entry.PeerAddress())
 	counted.cpu = direct.cpu * counted.heartbeats / direct.heartbeats
 	return counted, err
 }
@@ -205,10 +205,11 @@
 	return nil
 }
 
-// measure sends every agent's heartbeats to an address and returns the rates during
-// controlMeasurePeriod. This begins after warmUpHeartbeats per agent, when all connections
-// should be established.
-func (c *controlTestbed) measure(ctx context.Context, address string) (controlRates, error) {
+// measureRates sends every agent's heartbeats to an address and returns the answered heartbeats,
+// the bytes and datagrams at the proxy and the processor seconds per second, measured over
+// controlMeasurePeriod. The measurement begins after warmUpHeartbeats per agent, when all
+// connections should be established.
+func (c *controlTestbed) measureRates(ctx context.Context, address string) (controlRates, error) {
 	var group sync.WaitGroup
 	var heartbeats, failed atomic.Int64
 	sending, stop := context.WithCancel(ctx)
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -232,7 +232,8 @@
 	return f, true
 }
 
-// explainWaiting sets Waiting of the job's tasks that wait to be started; jobs.mu is held.
+// explainWaiting sets in v, for each task that waits to be started, the reason why it waits; the
+// caller holds jobs.mu.
 func (e *Entry) explainWaiting(j *job.Job, v *JobView) {
 	for i := range v.Tasks {
 		if reason, ok := e.jobs.scheduler.WaitReason(j, uint32(i)); ok {
--- a/internal/explore/term/term.go
+++ b/internal/explore/term/term.go
@@ -63,8 +63,9 @@
 	// IgnoreRunnerLife makes agents acknowledge ends and extend leases at a runner that
 	// may have restarted since it was last listed.
 	IgnoreRunnerLife bool
-	// SkipFencingInNewLife makes agents report a restarted runner to the dispatcher before
-	// they have fenced, in its new life, the starts sent to its earlier one.
+	// SkipFencingInNewLife makes agents report a restarted runner to the dispatcher
+	// without first making sure that starts sent to it before its restart can no longer
+	// take effect.
 	SkipFencingInNewLife bool
 	// SkipStoringWorkers starts tasks on workers whose names are not in the store.
 	// SkipWriteUnderTerm starts tasks on a worker after its name was stored, without the
--- a/internal/services/worker.go
+++ b/internal/services/worker.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// taskPath returns the URL path of an action on a task.
+// taskPath returns the URL path of a task, followed by action, which is "" or begins with a slash.
 func taskPath(key, action string) string { return "/tasks/" + url.PathEscape(key) + action }
 
 // workerTimeout bounds one call to the worker.
--- a/internal/services/writer.go
+++ b/internal/services/writer.go
@@ -50,9 +50,9 @@
 
 	// The counters below are described at the methods that return them.
 
-	appends  atomic.Uint64
-	resolved atomic.Uint64
-	retries  atomic.Uint64
+	appends         atomic.Uint64
+	resolvedAppends atomic.Uint64
+	retries         atomic.Uint64
 }
 
 // NewWriter returns a writer whose batches carry name, which must be unique
@@ -129,7 +129,7 @@
 
 // ResolvedAppends returns the number of batches that were found in the log after an
 // append with unknown outcome.
-func (w *Writer) ResolvedAppends() uint64 { return w.resolved.Load() }
+func (w *Writer) ResolvedAppends() uint64 { return w.resolvedAppends.Load() }
 
 // Retries returns the number of appends that were repeated.
 func (w *Writer) Retries() uint64 { return w.retries.Load() }
@@ -222,7 +222,7 @@
 			}
 			found, findErr := w.findBatch(ctx, firstSeq)
 			if found {
-				w.resolved.Add(1)
+				w.resolvedAppends.Add(1)
 				w.appends.Add(1)
 				return nil
 			}
--- a/pkg/bundle/chain.go
+++ b/pkg/bundle/chain.go
@@ -104,7 +104,7 @@
 // cannot be decided on yet, OfferAt keeps it and returns ErrNoParent.
 func (c *Chain) OfferAt(offset uint64, s *Signed) error {
 	if offset < c.endOffset {
-		return c.rejectDecided(s)
+		return c.decidedError(s)
 	}
 	if c.endOffset < c.readFromOffset {
 		c.addUndecided(undecidedBundle{offset: offset, signed: s})
@@ -119,8 +119,10 @@
 	return nil
 }
 
-// rejectDecided returns the error for a bundle at an offset before endOffset.
-func (c *Chain) rejectDecided(s *Signed) error {
+// decidedError returns the error for a bundle at an offset before endOffset, on which
+// the chain has already decided: ErrInForce if the bundle is the one in force, otherwise
+// ErrSuperseded.
+func (c *Chain) decidedError(s *Signed) error {
 	if Digest(s.content) == c.digest {
 		return ErrInForce
 	}
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -306,8 +306,9 @@
 	return s.stepID(), true
 }
 
-// PolicyUnanswered records that the question with a sequence number was refused or not answered. It
-// returns the step, or false if the question has expired.
+// PolicyUnanswered records that the placement policy service refused or did not answer question
+// seq. It returns the step that the question was about, or false if the question is no longer open,
+// for example because it has expired.
 func (sc *Scheduler) PolicyUnanswered(now time.Time, seq uint64) (workflow.StepID, bool) {
 	open := sc.openQuestions[seq]
 	if open == nil {
--- a/pkg/dispatch/board_test.go
+++ b/pkg/dispatch/board_test.go
@@ -37,7 +37,8 @@
 	// Runs are the runs that a worker lists: "task run percent reading", the last two as in
 	// RunStatus.
 	Runs []string `json:"runs"`
-	// Ends are the run ends that a worker lists: "number task run outcome checkpoint".
+	// Ends are the run ends that a worker lists: "end task run outcome checkpoint", where end and
+	// run are the numbers of the run end and of the run; the checkpoint may be missing.
 	Ends []string `json:"ends"`
 	// Job, Queue and Steps describe a job; FromEarlierTerm means that the job was accepted in an
 	// earlier term. The job runs RepeatCount times, first at FirstDueMS (Unix milliseconds), then
@@ -56,8 +57,10 @@
 	// WantLost are the runs that the scheduler must record as lost: "task run worker"; not
 	// compared if missing.
 	WantLost []string `json:"lost"`
-	// WantQuestions are the questions that the scheduler must send: "step asker workers", with
-	// the workers separated by commas and each written as worker/life.
+	// WantQuestions are the questions to the placement policy service that the scheduler must
+	// send: "step asker workers". asker is the worker whose agent sends the question; workers are
+	// the candidates, separated by commas, each as worker/life, where life identifies one life of
+	// the worker's runner.
 	WantQuestions []string `json:"ask"`
 	// Question is the number of the question that Tickets answers: the tickets of the permitted
 	// workers, by worker/life. They are valid for ValidMS milliseconds.
--- a/pkg/dispatch/report.go
+++ b/pkg/dispatch/report.go
@@ -169,7 +169,7 @@
 	if status.Pending {
 		return
 	}
-	if r.phase == runOrdered {
+	if r.phase == runStartOrdered {
 		r.phase = runRunning
 	}
 	if status.Percent != r.percent {
@@ -194,7 +194,7 @@
 		return
 	}
 	r := sc.addRun(now, s, t, status.Task, w, status.Run)
-	r.phase = runOrdered
+	r.phase = runStartOrdered
 	sc.updateRun(now, r, status)
 	s.occurrence.job.started = true
 }
--- a/pkg/dispatch/scheduler.go
+++ b/pkg/dispatch/scheduler.go
@@ -171,6 +171,8 @@
 	done bool
 	// failedRuns holds the numbers of the runs that failed.
 	failedRuns []uint64
+	// checkpoint is the checkpoint that the next run starts from, or "": the newest one of the
+	// last ended run that had one, or the greatest one of all tasks if a gang is started.
 	checkpoint string
 	// lastRunNumber is the highest run number known.
 	lastRunNumber uint64
@@ -188,7 +190,9 @@
 type runPhase uint8
 
 const (
-	runOrdered runPhase = iota
+	// runStartOrdered means that the start was ordered, but the worker has not yet reported that
+	// its runner lists the run.
+	runStartOrdered runPhase = iota
 	runRunning
 	runStopping
 )
@@ -205,7 +209,8 @@
 	progressedAt time.Time
 	// reading is the newest RunStatus.Reading: milliseconds of tail latency for a serving task,
 	// thousandths of a processor in use for another task.
-	reading       float64
+	reading float64
+	// checkpoint is the newest checkpoint that the worker reported for the run, or "".
 	checkpoint    string
 	stopOrderedAt time.Time
 	stopReason    string
--- a/pkg/endpoint/dedup.go
+++ b/pkg/endpoint/dedup.go
@@ -139,8 +139,9 @@
 // SetMaxEnded sets the most ended attempts that are remembered; 0 means the default.
 func (b *DedupTable) SetMaxEnded(n int) { b.maxEnded = n }
 
-// Admit decides on an attempt that has arrived with its sender's mark. A new
-// attempt is recorded as running.
+// Admit decides whether an arriving attempt is run, joined, answered again or
+// refused. mark is the newest of the table's marks that the sender had received (see
+// DedupTable). A new attempt is recorded as running.
 func (b *DedupTable) Admit(now time.Time, id AttemptID, mark uint64) Admission {
 	b.evict(now)
 	e, ok := b.entries[id]
--- a/pkg/endpoint/spill.go
+++ b/pkg/endpoint/spill.go
@@ -21,8 +21,7 @@
 	// InFlight is the number of requests that run or wait in the data centre.
 	InFlight int
 	// Entries is the number of entries that may send requests to the data centre. An
-	// entry is
-	// a process that accepts requests from callers.
+	// entry is a process that accepts requests from callers.
 	Entries int
 	// RoundTrip is the network round-trip time.
 	RoundTrip time.Duration
--- a/pkg/job/reclaimer.go
+++ b/pkg/job/reclaimer.go
@@ -36,8 +36,10 @@
 	confirmedAt map[string]time.Time
 	// revocations holds the revocations in effect.
 	revocations map[record.AssignmentID]revocation
-	requeue     requeueLimiter
-	rules       ReclaimerRules
+	// requeue keeps a record from being queued again while it is still being appended
+	// and read back, and remembers when it was first queued.
+	requeue requeueLimiter
+	rules   ReclaimerRules
 }
 
 // revocation holds when this entry decided on a revocation, or the zero time if
@@ -131,7 +133,8 @@
 	return now.Sub(at)
 }
 
-// confirmedLost reports whether a valid confirmation says that the worker is lost.
+// confirmedLost reports whether ConfirmLost was called for the worker less than
+// confirmationValidFor ago and no newer contact with the worker was noted since.
 func (rc *Reclaimer) confirmedLost(now time.Time, worker string) bool {
 	at, ok := rc.confirmedAt[worker]
 	return ok && now.Sub(at) < confirmationValidFor
--- a/pkg/job/snapshot.go
+++ b/pkg/job/snapshot.go
@@ -29,7 +29,8 @@
 // snapshotPart is the content of one record of a snapshot.
 type snapshotPart struct {
 	Writers []record.WriterSeq `cbor:"1,keyasint,omitempty"`
-	Chunks  []cbor.RawMessage  `cbor:"2,keyasint,omitempty"`
+	// Chunks holds encoded jobChunks.
+	Chunks []cbor.RawMessage `cbor:"2,keyasint,omitempty"`
 }
 
 // jobChunk holds up to tasksPerChunk tasks of a job, from index First on. The
